--- a/endivewind/commands/bench_soak.py
+++ b/endivewind/commands/bench_soak.py
@@ -4,7 +4,8 @@
 faults that overlap. It checks what callers were told against what targets
 ran. The schedule and all logs of a run stay in a folder of its own;
 --replay=FILE plays a schedule again, --shrink drops faults from a red one as
-long as it stays red. Exit code 1 if a promise was broken.
+long as it stays red. --other_release=FOLDER runs every other node from another
+checkout, as during a roll-out. Exit code 1 if a promise was broken.
 """
 
 import asyncio
@@ -21,7 +22,7 @@
 
 USAGE = (
     "soak --seeds=A-B [--soak_seconds=S] [--at_once=N] [--logs=FOLDER] "
-    "| --replay=FILE [--shrink]"
+    "[--other_release=FOLDER] | --replay=FILE [--shrink]"
 )
 
 _SOAK_SECONDS = flags.DEFINE_float(
@@ -32,6 +33,9 @@
 )
 _LOGS = flags.DEFINE_string("logs", "soak-logs", "Folder for schedules, logs.")
 _REPLAY = flags.DEFINE_string("replay", "", "A schedule to play again.")
+_OTHER_RELEASE = flags.DEFINE_string(
+    "other_release", "", "Checkout whose code every other node runs."
+)
 _SHRINK = flags.DEFINE_boolean("shrink", False, "Drop faults while it is red.")
 flags.declare_key_flag("seeds")
 flags.declare_key_flag("format")
@@ -78,21 +82,26 @@
 ) -> runs.Outcome:
     async with gate:
         schedule = schedules.draw(seed, _SOAK_SECONDS.value)
-        outcome = await runs.Run(schedule, folder / f"seed-{seed}").play()
+        outcome = await _run(schedule, folder / f"seed-{seed}").play()
     _tell(outcome)
     return outcome
 
 
+def _run(schedule: schedules.Schedule, folder: pathlib.Path) -> runs.Run:
+    other = pathlib.Path(_OTHER_RELEASE.value).resolve()
+    return runs.Run(schedule, folder, other if _OTHER_RELEASE.value else None)
+
+
 async def _replay(
     schedule: schedules.Schedule, folder: pathlib.Path
 ) -> runs.Outcome:
-    outcome = await runs.Run(schedule, folder / "replay").play()
+    outcome = await _run(schedule, folder / "replay").play()
     _tell(outcome)
     if not (_SHRINK.value and outcome.findings):
         return outcome
 
     async def is_red(smaller: schedules.Schedule) -> bool:
-        again = await runs.Run(smaller, folder / "shrink").play()
+        again = await _run(smaller, folder / "shrink").play()
         return bool(again.findings)
 
     smallest = await schedules.shrink(schedule, is_red)
--- a/endivewind/commands/children.py
+++ b/endivewind/commands/children.py
@@ -111,9 +111,22 @@
     async def __aexit__(self, *error: object) -> None:
         await self._stack.aclose()
 
-    async def start(self, name: str, binary: str, *arguments: str) -> Child:
-        """Starts a binary and waits until it listens."""
-        process = await spawn(binary, *arguments)
+    async def start(
+        self,
+        name: str,
+        binary: str,
+        *arguments: str,
+        checkout: pathlib.Path | None = None,
+    ) -> Child:
+        """Starts a binary and waits until it listens.
+
+        Args:
+          name: for errors.
+          binary: its module in commands/.
+          *arguments: for the binary.
+          checkout: folder whose code it runs; that of this process if None.
+        """
+        process = await spawn(binary, *arguments, checkout=checkout)
         child = Child(name, process)
         self._stack.push_async_callback(child.end)
         child.listening = await child.line(
@@ -127,13 +140,19 @@
         file.write_text(yaml.safe_dump(settings))
         return file
 
-    async def node(self, settings: dict[str, Any]) -> Child:
-        """Starts a node with settings of its own."""
+    async def node(
+        self, settings: dict[str, Any], checkout: pathlib.Path | None = None
+    ) -> Child:
+        """Starts a node with settings of its own, from a checkout if given."""
         file = self.write_settings(settings)
-        return await self.start(settings["name"], "node", f"--settings={file}")
+        return await self.start(
+            settings["name"], "node", f"--settings={file}", checkout=checkout
+        )
 
 
-async def spawn(binary: str, *arguments: str) -> asyncio.subprocess.Process:
+async def spawn(
+    binary: str, *arguments: str, checkout: pathlib.Path | None = None
+) -> asyncio.subprocess.Process:
     """Starts a binary by its module in commands/; output is to be read."""
     code = f"from endivewind.commands import {binary}; {binary}.run()"
     return await asyncio.create_subprocess_exec(
@@ -143,6 +162,8 @@
         *arguments,
         stdout=asyncio.subprocess.PIPE,
         limit=MAX_LINE_BYTES,
+        # With -c, Python imports from its working directory first.
+        cwd=checkout,
     )
 
 
--- a/endivewind/soak/fleets.py
+++ b/endivewind/soak/fleets.py
@@ -50,8 +50,18 @@
 class Fleet:
     """Starts, breaks and restarts the processes of one run."""
 
-    def __init__(self, folder: pathlib.Path) -> None:
+    def __init__(
+        self, folder: pathlib.Path, other_release: pathlib.Path | None = None
+    ) -> None:
+        """Starts nothing yet.
+
+        Args:
+          folder: for the logs of all processes.
+          other_release: checkout of another release, whose code every other
+            node runs; None runs this release alone.
+        """
         self._folder = folder
+        self._other_release = other_release
         self._stack = contextlib.AsyncExitStack()
         # Closed last: processes write their logs until they have ended.
         self._files = contextlib.ExitStack()
@@ -142,10 +152,15 @@
                 return
             self.starts[name] += 1
             self.processes[name] = await self._children.node(
-                self._settings[name]
+                self._settings[name], self._checkout(name)
             )
             self._follow(name)
 
+    def _checkout(self, name: str) -> pathlib.Path | None:
+        """Whose code a node runs: that of this release at even numbers."""
+        is_even = int(name.rpartition("-")[2]) % 2 == 0
+        return None if is_even else self._other_release
+
     async def start_target(self, name: str) -> None:
         """Starts a target, unless it runs; it prefers its own node."""
         async with self._locks[name]:
--- a/endivewind/soak/runs.py
+++ b/endivewind/soak/runs.py
@@ -88,17 +88,23 @@
     """Plays one schedule; all it starts has ended afterwards."""
 
     def __init__(
-        self, schedule: schedules.Schedule, folder: pathlib.Path
+        self,
+        schedule: schedules.Schedule,
+        folder: pathlib.Path,
+        other_release: pathlib.Path | None = None,
     ) -> None:
         """Writes nothing yet.
 
         Args:
           schedule: the faults.
           folder: for the logs of all processes.
+          other_release: checkout of another release, whose code every other
+            node runs; None runs this release alone.
         """
         folder.mkdir(parents=True, exist_ok=True)
         self._schedule = schedule
         self._folder = folder
+        self._other_release = other_release
         self._findings: list[checks.Finding] = []
         self._outages: list[checks.Outage] = []
         self._versions: dict[str, list[int]] = collections.defaultdict(list)
@@ -112,7 +118,7 @@
           exceptions.EndivewindError: the fleet did not start.
         """
         (self._folder / "schedule.json").write_text(self._schedule.to_json())
-        async with fleets.Fleet(self._folder) as fleet:
+        async with fleets.Fleet(self._folder, self._other_release) as fleet:
             self._fleet = fleet
             await fleet.start()
             await self._recovered()
