--- a/endivewind/decisions/__init__.py
+++ b/endivewind/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions under load: no sockets, tasks or clock."""
+"""Decision logic without I/O: no sockets, tasks or clock."""
--- a/endivewind/decisions/baseline.py
+++ b/endivewind/decisions/baseline.py
@@ -1,10 +1,11 @@
-"""What is usual for a service now: the measure that its targets stand against.
-
-Load: a service of which every target is slow, overloaded or failing at once.
-Harm: a fixed limit would find every target sick and take out all capacity
-just when it is short. A target is therefore compared with the typical one of its
-peers over the same seconds: what most of them show is no target's sickness.
-The typical peer stays well while fewer than four in ten are sick.
+"""Baseline of a service: the signals and latencies that its targets show now.
+
+Load: all targets of a service are slow, overloaded or failing at once. Harm: a
+fixed limit would find every target unhealthy and eject all capacity just when
+it is short. A target is therefore compared with a quantile of its peers over
+the same seconds: what most of them show is not the fault of one target. The
+quantile is that of a healthy peer while fewer than four in ten are unhealthy.
+Used by `outlier_detection`.
 """
 
 import collections.abc
@@ -15,52 +16,54 @@
 from endivewind.decisions import latency
 from endivewind.decisions import sequential
 
-# Twice the usual is what a caller notices; service times of the same work
-# spread less. Five times is beyond what a busy target does.
+# Multiples of the median latency. Callers notice twice the median, and the
+# latencies of similar requests vary by less. A target that is merely busy stays
+# below five times the median.
 SLOW_FACTOR = 2
 STALLED_FACTOR = 5
-# Under a few milliseconds the machine's own scheduling makes the difference.
+# Differences of a few milliseconds are caused by the scheduler of the machine.
 LEAST_SLOW = datetime.timedelta(milliseconds=10)
 LEAST_STALLED = datetime.timedelta(milliseconds=100)
-# Below this the median is not known well enough to call anything slow.
+# With fewer requests the median is too uncertain to call a request slow.
 MIN_HISTORY = 200
-# Each request moves a target's shares by one of these parts: the first sees
-# a change within a few requests, the second is exact enough to measure by.
+# Weights of a request in the moving averages of a target's signal shares: the
+# first follows a change within a few requests, the second is precise enough to
+# serve as a baseline.
 FAST_WEIGHT = 1 / 8
 RECENT_WEIGHT = 1 / 64
-# What a share measured on so few requests may be wrong by.
+# Factor for the error of a share that is measured over few requests.
 MARGIN = 1.25
-# The typical peer: more than half, so that noise does not decide, and less
-# than what one zone of three takes down.
+# Above one half, so that noise does not decide, and low enough that the loss of
+# one availability zone out of three does not change the typical peer.
 TYPICAL = 0.6
-# The shares of the service's history move this slowly.
+# Weight of a request in the moving averages of the service's signal shares.
 HISTORY_WEIGHT = 1 / 4096
-# A peer that has had no work for so long says nothing of the present.
+# A peer without requests for longer than this tells nothing about the present.
 FRESH = datetime.timedelta(seconds=5)
 REFRESH = datetime.timedelta(milliseconds=50)
-# Where the typical peer has gathered this share of the evidence that ejects,
-# the trouble is the service's and not one target's.
+# If the typical peer has accumulated this share of the ejection threshold, the
+# fault is common to the service.
 SHARED_TROUBLE = 0.1
-# Under this share of the service's work a signal still tells something when
-# it comes once.
+# A signal that fewer of the service's requests show is significant even if it
+# occurs once.
 UNUSUAL = 0.1
 
-_SIGNALS = len(sequential.Signal)
-_TESTS = len(sequential.ALTERNATIVES)
-_UNKNOWN = datetime.timedelta.max
+_SIGNAL_COUNT = len(sequential.Signal)
+_TEST_COUNT = len(sequential.ALTERNATIVES)
+_UNKNOWN_LATENCY = datetime.timedelta.max
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sketch:
-    """What a home tells of one target, for the baseline of its service.
+    """State of one target, as input for the baseline of its service.
 
     Attributes:
-      target: the target's id.
-      at: when it was heard, on the hearer's clock.
-      shares: recent share of requests with each signal; the higher of the
-        last few requests and the last hundred.
-      evidence: of each test, as a share of what ejects.
-      median: the target's usual latency.
+      target: id of the target.
+      updated_at: when the state was last updated, on the receiver's clock.
+      signal_shares: recent share of requests with each signal; the higher of
+        the last few requests and the last hundred.
+      evidence: evidence of each test, as a share of the ejection threshold.
+      median_latency: median latency of the target.
     """
 
     target: str
@@ -71,116 +74,123 @@
 
 
 class Baseline:
-    """The usual shares of each signal, and from where on work is slow."""
+    """Expected share of each signal, and latency limits, of one service."""
 
     def __init__(self) -> None:
         self._history = latency.LatencyHistory()
-        self._usual = [0.0] * _SIGNALS
-        self._measured = [0] * _SIGNALS
-        self._expected = [0.0] * _SIGNALS
-        self._typical_evidence = [0.0] * _TESTS
+        self._mean_shares = [0.0] * _SIGNAL_COUNT
+        self._request_counts = [0] * _SIGNAL_COUNT
+        self._expected_shares = [0.0] * _SIGNAL_COUNT
+        self._typical_evidence = [0.0] * _TEST_COUNT
         self._steps = [
             sequential.step(item, 0.0) for item in sequential.ALTERNATIVES
         ]
-        self._refreshed = -REFRESH
-        self._slow = _UNKNOWN
-        self._stalled = _UNKNOWN
+        self._refreshed_at = -REFRESH
+        self._slow_latency = _UNKNOWN_LATENCY
+        self._stalled_latency = _UNKNOWN_LATENCY
 
     @property
     def slow(self) -> datetime.timedelta:
-        """A request that takes longer shows the signal SLOW."""
-        return self._slow
+        """Latency above which a request shows the signal SLOW."""
+        return self._slow_latency
 
     @property
     def stalled(self) -> datetime.timedelta:
-        """A request that takes longer shows the signal STALLED."""
-        return self._stalled
+        """Latency above which a request shows the signal STALLED."""
+        return self._stalled_latency
 
     @property
     def steps(self) -> list[sequential.Step]:
-        """What a request adds to each test now."""
+        """Evidence that a request adds to each test now."""
         return self._steps
 
     @property
     def median(self) -> datetime.timedelta:
-        """The usual latency of this node's targets."""
+        """Median latency of this node's targets."""
         return self._history.median()
 
     def add(
-        self, latency_seen: datetime.timedelta, signals: list[bool]
+        self, request_latency: datetime.timedelta, signals: list[bool]
     ) -> None:
-        """Takes one request of a target that is not ejected."""
-        self._history.add(latency_seen)
-        self._measure(sequential.Signal.FAILED, signals)
-        if self._slow == _UNKNOWN:
-            # Nothing can be called slow yet. Errors need no such limit: a home
-            # that has just started would else be blind to them for as long.
+        """Adds one request of a target that is not ejected."""
+        self._history.add(request_latency)
+        self._update_mean_share(sequential.Signal.FAILED, signals)
+        if self._slow_latency == _UNKNOWN_LATENCY:
+            # No request can be called slow yet. Errors need no latency limit;
+            # otherwise a node that has just started would miss them until then.
             return
-        self._measure(sequential.Signal.SLOW, signals)
-        self._measure(sequential.Signal.STALLED, signals)
+        self._update_mean_share(sequential.Signal.SLOW, signals)
+        self._update_mean_share(sequential.Signal.STALLED, signals)
 
-    def _measure(self, signal: sequential.Signal, signals: list[bool]) -> None:
-        self._measured[signal] += 1
-        weight = max(HISTORY_WEIGHT, 1 / self._measured[signal])
-        seen = signals[signal]
-        self._usual[signal] += weight * (seen - self._usual[signal])
+    def _update_mean_share(
+        self, signal: sequential.Signal, signals: list[bool]
+    ) -> None:
+        self._request_counts[signal] += 1
+        weight = max(HISTORY_WEIGHT, 1 / self._request_counts[signal])
+        is_shown = signals[signal]
+        self._mean_shares[signal] += weight * (
+            is_shown - self._mean_shares[signal]
+        )
 
     @property
     def is_shared(self) -> bool:
-        """Whether the typical target is under suspicion too, for anything.
+        """Whether the typical target has evidence in any test, too.
 
-        One trouble shows in several ways: where all are three times as slow,
-        a few requests of some target stall.
+        One fault can show several signals: if all targets are three times as
+        slow, a few requests of some target stall.
         """
         return max(self._typical_evidence) >= SHARED_TROUBLE
 
     def is_unusual(self, signal: int) -> bool:
-        """Whether a request with the signal stands out now."""
-        return self._expected[signal] < UNUSUAL
+        """Returns whether few of the service's requests show the signal now."""
+        return self._expected_shares[signal] < UNUSUAL
 
     def due(self, now: datetime.timedelta) -> bool:
-        """Whether it is time to look at the peers again."""
-        return now - self._refreshed >= REFRESH
+        """Returns whether `refresh` should be called again."""
+        return now - self._refreshed_at >= REFRESH
 
     def refresh(
         self, peers: collections.abc.Sequence[Sketch], now: datetime.timedelta
     ) -> None:
-        """Takes what the service's targets show now."""
-        self._refreshed = now
-        fresh = [peer for peer in peers if now - peer.at <= FRESH]
-        self._set_limits(fresh)
-        # What has not shown in n requests may still come in one of n; else the
-        # first long work of a service that has just started looks stalled.
+        """Computes the baseline from the summaries of the service's targets."""
+        self._refreshed_at = now
+        fresh_peers = [peer for peer in peers if now - peer.at <= FRESH]
+        self._update_latency_limits(fresh_peers)
+        # A signal that none of n requests showed may still have a share of 1/n.
+        # Otherwise the first long request of a service that has just started
+        # would look stalled.
         expected = [
-            share + 1 / max(measured, 1)
-            for share, measured in zip(self._usual, self._measured, strict=True)
+            share + 1 / max(request_count, 1)
+            for share, request_count in zip(
+                self._mean_shares, self._request_counts, strict=True
+            )
         ]
-        self._typical_evidence = [0.0] * _TESTS
-        # One alone would be its own measure, and be excused for ever.
-        if len(fresh) > 1:
-            for signal in range(_SIGNALS):
-                shares = [peer.shares[signal] for peer in fresh]
-                expected[signal] = max(expected[signal], _typical(shares))
+        self._typical_evidence = [0.0] * _TEST_COUNT
+        # A single target would be compared with itself and never be ejected.
+        if len(fresh_peers) > 1:
+            for signal in range(_SIGNAL_COUNT):
+                shares = [peer.shares[signal] for peer in fresh_peers]
+                expected[signal] = max(expected[signal], _typical_value(shares))
             self._typical_evidence = [
-                _typical([peer.evidence[test] for peer in fresh])
-                for test in range(_TESTS)
+                _typical_value([peer.evidence[test] for peer in fresh_peers])
+                for test in range(_TEST_COUNT)
             ]
-        self._expected = expected
+        self._expected_shares = expected
         self._steps = [
             sequential.step(item, MARGIN * expected[item.signal])
             for item in sequential.ALTERNATIVES
         ]
 
-    def _set_limits(self, fresh: list[Sketch]) -> None:
-        known = [peer.median for peer in fresh if peer.median]
+    def _update_latency_limits(self, fresh_peers: list[Sketch]) -> None:
+        medians = [peer.median for peer in fresh_peers if peer.median]
         if self._history.total >= MIN_HISTORY:
-            known.append(self._history.median())
-        if not known:
+            medians.append(self._history.median())
+        if not medians:
             return
-        usual = statistics.median_low(known)
-        self._slow = max(usual * SLOW_FACTOR, LEAST_SLOW)
-        self._stalled = max(usual * STALLED_FACTOR, LEAST_STALLED)
+        median = statistics.median_low(medians)
+        self._slow_latency = max(median * SLOW_FACTOR, LEAST_SLOW)
+        self._stalled_latency = max(median * STALLED_FACTOR, LEAST_STALLED)
 
 
-def _typical(values: list[float]) -> float:
+def _typical_value(values: list[float]) -> float:
     return sorted(values)[int(TYPICAL * (len(values) - 1))]
--- a/endivewind/decisions/bounds.py
+++ b/endivewind/decisions/bounds.py
@@ -1,4 +1,8 @@
-"""Error bounds of the gray-failure test, one set for each profile."""
+"""Settings of outlier ejection, one set for each service profile.
+
+They bound the false alarms of the sequential test and set how long an ejection
+lasts and how its trial ends.
+"""
 
 import dataclasses
 import datetime
@@ -7,14 +11,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ErrorBounds:
-    """Which errors a service's ejections may make.
+    """When a service's targets are ejected and when they return.
 
     Attributes:
-      false_alarm: probability that one test ejects a healthy target.
-      hold: how long a target stays out before its first trial.
-      max_hold: where a hold that flapping lengthens ends.
-      trial_successes: good answers in a row that end a trial.
-      trial_failures: bad answers that end it the other way.
+      false_alarm_probability: probability that one test ejects a healthy
+        target.
+      base_ejection_time: time from the first ejection to the trial.
+      max_ejection_time: upper limit of the ejection time, which doubles for a
+        target that flaps.
+      trial_successes: consecutive successes after which a target in trial
+        returns to normal.
+      trial_failures: failures after which a target in trial is ejected again.
     """
 
     false_alarm: float
@@ -25,13 +32,14 @@
 
     @property
     def threshold(self) -> float:
-        """Evidence at which a target is ejected (Wald's upper bound)."""
+        """Evidence at which a target is ejected (upper SPRT threshold)."""
         return -math.log(self.false_alarm)
 
 
-# Camerino's crews feel every slow second: four failures in a row are enough,
-# and a target that was wrongly ejected is back after seconds. Three would be
-# met by chance whenever one workspace begins to send what fails everywhere.
+# For services whose users notice every slow second (Camerino). Four consecutive
+# failures eject a target, and one that was ejected by mistake is back within
+# seconds. Three failures would occur by chance whenever one workspace begins
+# to send requests that fail at every target.
 DETECTION = ErrorBounds(
     false_alarm=1e-6,
     hold=datetime.timedelta(seconds=3),
@@ -39,9 +47,10 @@
     trial_successes=8,
     trial_failures=2,
 )
-# Saltline's capacity that is lost at night stays lost until morning. At ten
-# requests a second a target has about a million chances a day of a false
-# alarm; this bound leaves less than one in a thousand days for each test.
+# For services where capacity that is lost at night stays lost until morning
+# (Saltline). At ten requests per second a target has about a million chances
+# of a false alarm per day; this bound keeps each test below one false alarm in
+# a thousand days.
 CAPACITY = ErrorBounds(
     false_alarm=1e-10,
     hold=datetime.timedelta(seconds=3),
--- a/endivewind/decisions/ejection.py
+++ b/endivewind/decisions/ejection.py
@@ -1,22 +1,28 @@
-"""Where a target stands between normal work, ejection and trial."""
+"""State machine of one target: normal, ejected or in trial.
+
+Works like a circuit breaker with a half-open state: an ejected target gets
+trial requests before it returns. Used by `outlier_detection`.
+"""
 
 import datetime
 import enum
 
 from endivewind.decisions import bounds
 
-# A target that flaps must not get longer and longer holds for ever: one
-# strike is forgiven for each such span of normal work.
+# Each such interval in normal state takes one from the count of recent
+# ejections, so that the ejection time of a flapping target does not grow
+# forever.
 FORGIVE = datetime.timedelta(minutes=5)
 
 
-# A healed target is slow now and then as any other: so many good answers make
-# up for a poor one, else one in twenty trials of a healthy target would fail.
+# Successes in trial that offset one failure. A recovered target is slow now and
+# then like any other; without the offset one in twenty trials of a healthy
+# target would fail.
 GOOD_FOR_POOR = 4
 
 
 class Status(enum.StrEnum):
-    """What work a target gets."""
+    """Which requests a target gets: all, none, or trial requests only."""
 
     NORMAL = "normal"
     EJECTED = "ejected"
@@ -24,81 +30,101 @@
 
 
 class Ejection:
-    """The state of one target; events in, status out.
-
-    Load: a target that flaps every few seconds. Harm: each return costs
-    failed requests until it is caught again. The hold doubles with each
-    ejection of a target that had returned, so the share of time in which a flapping target gets work
-    shrinks, and the strikes are forgiven with time, so that an old trouble
-    doesn't keep a healed target out.
+    """Ejection state of one target.
+
+    Load: a target that flaps every few seconds. Harm: after each return
+    requests fail until the target is detected again. The ejection time
+    therefore doubles with each ejection of a target that had returned, so that
+    a flapping target gets requests for a shrinking share of the time. Past
+    ejections expire, so that an old fault does not keep a recovered target
+    out.
     """
 
-    __slots__ = ("_bounds", "_good", "_poor", "_since", "_status", "_strikes")
-
-    def __init__(self, limits: bounds.ErrorBounds) -> None:
-        self._bounds = limits
+    __slots__ = (
+        "_failures",
+        "_recent_ejections",
+        "_settings",
+        "_status",
+        "_status_since",
+        "_successes",
+    )
+
+    def __init__(self, settings: bounds.ErrorBounds) -> None:
+        self._settings = settings
         self._status = Status.NORMAL
-        self._strikes = 0
-        self._since = datetime.timedelta()
-        self._good = 0
-        self._poor = 0.0
+        self._recent_ejections = 0
+        self._status_since = datetime.timedelta()
+        self._successes = 0
+        self._failures = 0.0
 
     @property
     def status(self) -> Status:
-        """What work the target gets now."""
+        """Current status of the target."""
         return self._status
 
     @property
     def strikes(self) -> int:
-        """Ejections that are not forgiven yet."""
-        return self._strikes
+        """Number of ejections that count towards the ejection time."""
+        return self._recent_ejections
 
-    def configure(self, limits: bounds.ErrorBounds) -> None:
-        """Takes new bounds; a hold under way follows them."""
-        self._bounds = limits
+    def configure(self, settings: bounds.ErrorBounds) -> None:
+        """Replaces the settings; they apply to a current ejection, too."""
+        self._settings = settings
 
     def hold(self) -> datetime.timedelta:
-        """How long the present ejection lasts before a trial."""
-        doubled = self._bounds.hold * 2 ** min(self._strikes - 1, 16)
-        return min(doubled, self._bounds.max_hold)
+        """Returns the time from the current ejection to its trial."""
+        ejection_time = self._settings.hold * 2 ** min(
+            self._recent_ejections - 1, 16
+        )
+        return min(ejection_time, self._settings.max_hold)
 
     def eject(self, now: datetime.timedelta) -> None:
-        """Takes the target out.
+        """Ejects the target.
 
-        A trial that fails adds no strike: the target has not come back in
-        between, and a long outage must not lengthen the way back.
+        A failed trial does not count as another ejection: the target had not
+        returned in between, and a long outage must not delay its return.
         """
         if self._status is Status.NORMAL:
-            self._strikes -= min(self._strikes, (now - self._since) // FORGIVE)
-            self._strikes += 1
-        self._enter(Status.EJECTED, now)
+            self._recent_ejections -= min(
+                self._recent_ejections, (now - self._status_since) // FORGIVE
+            )
+            self._recent_ejections += 1
+        self._set_status(Status.EJECTED, now)
 
     def advance(self, now: datetime.timedelta) -> bool:
-        """Starts the trial when the hold has ended; True on a change."""
-        ended = now - self._since >= self.hold()
-        if self._status is not Status.EJECTED or not ended:
+        """Starts the trial once the ejection time has passed.
+
+        Returns:
+          Whether the status changed.
+        """
+        has_expired = now - self._status_since >= self.hold()
+        if self._status is not Status.EJECTED or not has_expired:
             return False
-        self._enter(Status.TRIAL, now)
+        self._set_status(Status.TRIAL, now)
         return True
 
-    def tried(self, good: bool, now: datetime.timedelta) -> bool:
-        """Takes the outcome of a request in trial; True on a change."""
-        if good:
-            self._good += 1
-            self._poor = max(0.0, self._poor - 1 / GOOD_FOR_POOR)
-            if self._good < self._bounds.trial_successes:
+    def tried(self, is_success: bool, now: datetime.timedelta) -> bool:
+        """Records the outcome of a trial request.
+
+        Returns:
+          Whether the status changed.
+        """
+        if is_success:
+            self._successes += 1
+            self._failures = max(0.0, self._failures - 1 / GOOD_FOR_POOR)
+            if self._successes < self._settings.trial_successes:
                 return False
-            self._enter(Status.NORMAL, now)
+            self._set_status(Status.NORMAL, now)
             return True
-        self._good = 0
-        self._poor += 1
-        if self._poor < self._bounds.trial_failures:
+        self._successes = 0
+        self._failures += 1
+        if self._failures < self._settings.trial_failures:
             return False
         self.eject(now)
         return True
 
-    def _enter(self, status: Status, now: datetime.timedelta) -> None:
+    def _set_status(self, status: Status, now: datetime.timedelta) -> None:
         self._status = status
-        self._since = now
-        self._good = 0
-        self._poor = 0.0
+        self._status_since = now
+        self._successes = 0
+        self._failures = 0.0
--- a/endivewind/decisions/floor.py
+++ b/endivewind/decisions/floor.py
@@ -1,4 +1,8 @@
-"""The floor: how much capacity stays in use whatever the verdicts say."""
+"""Capacity floor: the share of slots that ejection must leave in use.
+
+Corresponds to the maximum ejection percentage or panic threshold of other
+proxies. Each ingress node applies it to its own view of a service's targets.
+"""
 
 import collections
 import collections.abc
@@ -6,10 +10,10 @@
 
 from endivewind.decisions import ejection
 
-# Where operators have named no floor, half of what a region has stays.
+# Share of a region's slots that stays in use if operators set no floor.
 DEFAULT_SHARE = 0.5
 
-_ORDER = {
+_STATUS_ORDER = {
     ejection.Status.NORMAL: 0,
     ejection.Status.TRIAL: 1,
     ejection.Status.EJECTED: 2,
@@ -18,17 +22,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """A target that takes work: announced, and not draining.
+    """A target that may get requests: announced, and not draining.
 
     Attributes:
-      id: the target.
-      region: its region.
-      zone: its availability zone.
-      slots: requests it takes at once.
-      status: what its home has judged.
-      badness: how bad its recent work was, in percent.
-      home: the node that hands work over to it.
-      service: the service that it belongs to.
+      id: id of the target.
+      region: region of the target.
+      zone: availability zone of the target.
+      slots: maximum number of concurrent requests.
+      status: ejection status, set by the target's home node.
+      badness: recent share of failed or slow requests, in percent.
+      home: id of the node that forwards requests to the target.
+      service: name of the service that the target belongs to.
     """
 
     id: str
@@ -46,21 +50,22 @@
     floor_slots: int,
     share: float = DEFAULT_SHARE,
 ) -> list[Candidate]:
-    """The targets that may get normal work, region by region.
+    """Returns the targets that may get normal requests, region by region.
 
-    Load: verdicts that take out many targets at once, right or wrong. Harm:
-    the rest gets the work of all and fails under it. Each entry applies the
-    floor to its own view, so it holds with any verdict, late, lost or wrong,
-    and needs no message. All entries with one view bring back the same
-    targets, because the order has no ties.
+    Load: many targets are ejected at once, rightly or wrongly. Harm: the rest
+    gets the requests of all and fails under them. Each ingress node applies the
+    floor to its own view. The floor therefore needs no messages and holds even
+    if status changes are late, lost or wrong. All ingress nodes with the same
+    view keep the same targets, because the sort order has no ties.
 
     Args:
-      candidates: the service's targets.
-      floor_slots: slots in each region; 0 stands for a share of them.
-      share: that share.
+      candidates: targets of the service.
+      floor_slots: minimum number of slots per region; 0 to use `share`.
+      share: minimum share of a region's slots, if `floor_slots` is 0.
 
     Returns:
-      Targets with at least the floor's slots in each region, or all of it.
+      Targets that have at least the minimum number of slots in each region, or
+      all targets of a region that has fewer.
     """
     regions: dict[str, list[Candidate]] = collections.defaultdict(list)
     for item in candidates:
@@ -68,11 +73,11 @@
     return [
         item
         for region in sorted(regions)
-        for item in _of_region(regions[region], floor_slots, share)
+        for item in _select_in_region(regions[region], floor_slots, share)
     ]
 
 
-def _of_region(
+def _select_in_region(
     items: list[Candidate], floor_slots: int, share: float
 ) -> list[Candidate]:
     floor = floor_slots
@@ -80,7 +85,7 @@
         floor = round(share * sum(item.slots for item in items))
     kept: list[Candidate] = []
     slots = 0
-    for item in sorted(items, key=_badness):
+    for item in sorted(items, key=_sort_key):
         if item.status is not ejection.Status.NORMAL and slots >= floor:
             break
         kept.append(item)
@@ -88,6 +93,6 @@
     return kept
 
 
-def _badness(item: Candidate) -> tuple[int, int, str]:
-    badness = item.badness if _ORDER[item.status] else 0
-    return _ORDER[item.status], badness, item.id
+def _sort_key(item: Candidate) -> tuple[int, int, str]:
+    badness = item.badness if _STATUS_ORDER[item.status] else 0
+    return _STATUS_ORDER[item.status], badness, item.id
--- a/endivewind/decisions/judging.py
+++ b/endivewind/decisions/judging.py
@@ -1,6 +1,9 @@
-"""Judges the targets of one service by the outcomes of their real work.
+"""Outlier detection for the targets of one service.
 
-Events in, changes out: no input or output, and time comes as an argument.
+Passive health checking: runs sequential tests (see `sequential_test`) on the
+outcomes of real requests and ejects targets that are unhealthy in comparison
+with their peers. Called by the node that the targets are connected to (their
+home node). Does no I/O; the time is passed as an argument.
 """
 
 import collections
@@ -14,41 +17,43 @@
 from endivewind.decisions import ejection
 from endivewind.decisions import sequential
 
-# A stalled request that is overdue twice as long says more, but only this
-# much: the first time it was overdue has already counted.
-_AGAIN = sequential.Step(hit=2.2, miss=0.0)
-_MAX_OVERDUE = 4
-# How long a target that was excused still counts as one in trouble.
-_EXCUSED = datetime.timedelta(seconds=3)
-_BY_CHANCE = 0.02
-_WELL_SHARE = 0.05
-_MAX_WORKSPACES = 16
+# Evidence added each time the age of a stalled request has doubled. It is
+# limited because the request has already been counted once as stalled.
+_REPEATED_OVERDUE_STEP = sequential.Step(hit=2.2, miss=0.0)
+_MAX_OVERDUE_STEPS = 4
+# Time for which a target whose evidence was dismissed still counts as unhealthy
+# in the comparison with its peers.
+_DISMISSAL_DURATION = datetime.timedelta(seconds=3)
+_MAX_CHANCE_PROBABILITY = 0.02
+_MAX_HEALTHY_FAILURE_SHARE = 0.05
+_MAX_TRACKED_WORKSPACES = 16
 
-_TESTS = len(sequential.ALTERNATIVES)
-_SIGNALS = len(sequential.Signal)
-_STALLED_TEST = _TESTS - 1
+_TEST_COUNT = len(sequential.ALTERNATIVES)
+_SIGNAL_COUNT = len(sequential.Signal)
+_STALLED_TEST_INDEX = _TEST_COUNT - 1
 
 
 class Result(enum.Enum):
-    """What the answer of a target says by itself, apart from its latency."""
+    """Result of a request at a target, regardless of its latency."""
 
     GOOD = "good"
     FAILED = "failed"
-    # Ended before its answer, by the deadline or the caller: only the time
-    # until then counts.
+    # Ended by the deadline or the caller before a response arrived; only the
+    # elapsed time is evaluated.
     UNFINISHED = "unfinished"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """A target's new status, and what led to it.
+    """A change of a target's ejection status.
 
     Attributes:
-      target: the target's id.
-      status: its new status.
-      cause: the test that decided, for people; empty for a return.
-      badness: recent share of failing or slow requests, in percent; it orders
-        the targets that the floor brings back.
+      target: id of the target.
+      status: the new status.
+      cause: name of the test that led to the change, for operators; empty if
+        the target starts its trial or returns to normal.
+      badness: recent share of failed or slow requests, in percent; the
+        capacity floor keeps the targets with the lowest value.
     """
 
     target: str
@@ -58,60 +63,82 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Pending:
-    """A request at the target, and how often it was counted as overdue."""
+class _PendingRequest:
+    """A request that the target has not finished.
 
-    started: datetime.timedelta
-    overdue: int = 0
+    Attributes:
+      started_at: when the request was forwarded.
+      overdue_steps: how often it has been counted as overdue.
+    """
+
+    started_at: datetime.timedelta
+    overdue_steps: int = 0
 
 
-class _Concentration:
-    """Errors and requests by workspace since the evidence began."""
+class _WorkspaceFailures:
+    """Failures and requests by workspace, from the start of the evidence."""
 
-    __slots__ = ("_failed", "_requests", "_total", "_total_failed")
+    __slots__ = (
+        "_failure_count",
+        "_failures_by_workspace",
+        "_request_count",
+        "_requests_by_workspace",
+    )
 
     def __init__(self) -> None:
-        self._failed: collections.Counter[str] = collections.Counter()
-        self._requests: collections.Counter[str] = collections.Counter()
-        self._total = 0
-        self._total_failed = 0
-
-    def add(self, workspace: str, failed: bool) -> None:
-        self._total += 1
-        self._total_failed += failed
-        known = workspace in self._requests
-        if not known and len(self._requests) >= _MAX_WORKSPACES:
+        self._failures_by_workspace: collections.Counter[str] = (
+            collections.Counter()
+        )
+        self._requests_by_workspace: collections.Counter[str] = (
+            collections.Counter()
+        )
+        self._request_count = 0
+        self._failure_count = 0
+
+    def add(self, workspace: str, is_failure: bool) -> None:
+        self._request_count += 1
+        self._failure_count += is_failure
+        is_known = workspace in self._requests_by_workspace
+        if (
+            not is_known
+            and len(self._requests_by_workspace) >= _MAX_TRACKED_WORKSPACES
+        ):
             return
-        self._requests[workspace] += 1
-        if failed:
-            self._failed[workspace] += 1
+        self._requests_by_workspace[workspace] += 1
+        if is_failure:
+            self._failures_by_workspace[workspace] += 1
 
     def clear(self) -> None:
-        if self._total:
-            self._failed.clear()
-            self._requests.clear()
-            self._total = self._total_failed = 0
+        if self._request_count:
+            self._failures_by_workspace.clear()
+            self._requests_by_workspace.clear()
+            self._request_count = self._failure_count = 0
 
-    def one_workspace(self) -> bool:
-        """Whether the target is well for all workspaces but one.
+    def is_single_workspace_fault(self) -> bool:
+        """Returns whether only one workspace's requests fail at the target.
 
-        A sick target fails each workspace's requests alike. The errors are
-        laid on a workspace where it is unlikely that so many of them fell to
-        it by chance, and the others have hardly any.
+        An unhealthy target fails the requests of all workspaces alike. The
+        failures are attributed to a workspace if it is unlikely that it got so
+        many of them by chance, and the others have hardly any.
         """
-        if not self._failed:
+        if not self._failures_by_workspace:
             return False
-        blamed, count = self._failed.most_common(1)[0]
-        others = self._total - self._requests[blamed]
-        others_failed = self._total_failed - count
-        if others_failed > _WELL_SHARE * others:
+        suspect, count = self._failures_by_workspace.most_common(1)[0]
+        other_requests = (
+            self._request_count - self._requests_by_workspace[suspect]
+        )
+        other_failures = self._failure_count - count
+        if other_failures > _MAX_HEALTHY_FAILURE_SHARE * other_requests:
             return False
-        share = self._requests[blamed] / self._total
-        return _at_least(count, self._total_failed, share) < _BY_CHANCE
+        share = self._requests_by_workspace[suspect] / self._request_count
+        return (
+            _binomial_tail(count, self._failure_count, share)
+            < _MAX_CHANCE_PROBABILITY
+        )
 
 
-def _at_least(count: int, total: int, share: float) -> float:
-    """Probability of so many out of the total, each with the share."""
+def _binomial_tail(count: int, total: int, share: float) -> float:
+    """Returns the probability of at least `count` hits (binomial tail)."""
     return math.fsum(
         math.comb(total, number)
         * share**number
@@ -120,148 +147,155 @@
     )
 
 
-class _Target:
-    """Evidence about one target."""
+class _TargetState:
+    """Evidence and ejection state of one target."""
 
     __slots__ = (
+        "dismissed_at",
         "ejection",
         "evidence",
-        "excused",
-        "fast",
-        "median",
+        "fast_shares",
+        "last_seen",
+        "median_latency",
         "pending",
-        "seen",
-        "shares",
-        "workspaces",
+        "recent_shares",
+        "workspace_failures",
     )
 
-    def __init__(self, limits: bounds.ErrorBounds) -> None:
-        self.ejection = ejection.Ejection(limits)
-        self.evidence = [0.0] * _TESTS
-        self.shares = [0.0] * _SIGNALS
-        self.fast = [0.0] * _SIGNALS
-        self.pending: dict[int, _Pending] = {}
-        self.seen = datetime.timedelta()
-        self.excused = -_EXCUSED
-        self.median = datetime.timedelta()
-        self.workspaces = _Concentration()
+    def __init__(self, settings: bounds.ErrorBounds) -> None:
+        self.ejection = ejection.Ejection(settings)
+        self.evidence = [0.0] * _TEST_COUNT
+        self.recent_shares = [0.0] * _SIGNAL_COUNT
+        self.fast_shares = [0.0] * _SIGNAL_COUNT
+        self.pending: dict[int, _PendingRequest] = {}
+        self.last_seen = datetime.timedelta()
+        self.dismissed_at = -_DISMISSAL_DURATION
+        self.median_latency = datetime.timedelta()
+        self.workspace_failures = _WorkspaceFailures()
 
     def badness(self) -> int:
-        return round(100 * max(self.fast))
+        return round(100 * max(self.fast_shares))
 
     def clear(self) -> None:
-        """Starts anew after a change of status.
+        """Discards evidence and pending requests after a change of status.
 
-        What was sent before says nothing of the time after: a request that a
-        hanging target holds from its trial must not eject it once it is well.
+        Requests from before the change say nothing about the time after it: a
+        request that has been pending since the trial of a hanging target must
+        not eject the target once it has recovered.
         """
-        self.evidence = [0.0] * _TESTS
-        self.workspaces.clear()
+        self.evidence = [0.0] * _TEST_COUNT
+        self.workspace_failures.clear()
         self.pending.clear()
 
-    def move_shares(self, signal: int, seen: bool) -> None:
-        fast = self.fast
-        recent = self.shares
-        fast[signal] += baseline.FAST_WEIGHT * (seen - fast[signal])
-        recent[signal] += baseline.RECENT_WEIGHT * (seen - recent[signal])
+    def update_shares(self, signal: int, is_shown: bool) -> None:
+        fast = self.fast_shares
+        recent = self.recent_shares
+        fast[signal] += baseline.FAST_WEIGHT * (is_shown - fast[signal])
+        recent[signal] += baseline.RECENT_WEIGHT * (is_shown - recent[signal])
 
-    def excuse(
+    def dismiss_evidence(
         self, signal: sequential.Signal, now: datetime.timedelta
     ) -> None:
-        """Drops the evidence of a signal that spoke against others.
+        """Discards evidence of a signal that has another cause.
 
-        Requests that are still overdue count anew: if they stay so while the
-        peers are well again, it is this target that hangs.
+        Requests that are still overdue are counted again: if they stay overdue
+        after the peers have recovered, this target is the one that hangs.
         """
         for index, alternative in enumerate(sequential.ALTERNATIVES):
             if alternative.signal is signal:
                 self.evidence[index] = 0.0
-        self.excused = now
-        self.workspaces.clear()
+        self.dismissed_at = now
+        self.workspace_failures.clear()
         for pending in self.pending.values():
-            pending.overdue = 0
+            pending.overdue_steps = 0
 
-    def sketch(
+    def summarize(
         self, name: str, threshold: float, now: datetime.timedelta
     ) -> baseline.Sketch:
         evidence = tuple(value / threshold for value in self.evidence)
-        if now - self.excused < _EXCUSED:
-            # Else the last of many targets in one trouble would look alone,
-            # because the others' evidence has been dropped.
-            evidence = (1.0,) * _TESTS
+        if now - self.dismissed_at < _DISMISSAL_DURATION:
+            # Otherwise the last of many targets with a common fault would look
+            # like an outlier, because the others' evidence was dismissed.
+            evidence = (1.0,) * _TEST_COUNT
         return baseline.Sketch(
             name,
-            self.seen,
-            tuple(map(max, self.shares, self.fast)),
+            self.last_seen,
+            tuple(map(max, self.recent_shares, self.fast_shares)),
             evidence,
-            self.median,
+            self.median_latency,
         )
 
 
 class ServiceJudge:
-    """Judges one service's targets at this home."""
+    """Detects outliers among the targets of one service at their home node."""
 
-    def __init__(self, limits: bounds.ErrorBounds) -> None:
-        self._limits = limits
-        self._threshold = limits.threshold
+    def __init__(self, settings: bounds.ErrorBounds) -> None:
+        self._settings = settings
+        self._threshold = settings.threshold
         self._baseline = baseline.Baseline()
-        self._targets: dict[str, _Target] = {}
-        self._peers: dict[str, baseline.Sketch] = {}
-        self._elsewhere: dict[str, _Target] = {}
+        self._targets: dict[str, _TargetState] = {}
+        self._peer_summaries: dict[str, baseline.Sketch] = {}
+        self._remote_targets: dict[str, _TargetState] = {}
 
     @property
     def limits(self) -> bounds.ErrorBounds:
-        """The error bounds in force."""
-        return self._limits
+        """Settings in effect."""
+        return self._settings
 
     @property
     def usual(self) -> baseline.Baseline:
-        """What is usual for the service."""
+        """Baseline of the service."""
         return self._baseline
 
     def targets(self) -> list[str]:
-        """The targets that this home has had work for."""
+        """Returns the ids of the targets to which this node sent requests."""
         return list(self._targets)
 
-    def configure(self, limits: bounds.ErrorBounds) -> None:
-        """Takes new error bounds; evidence and ejections stay."""
-        self._limits = limits
-        self._threshold = limits.threshold
+    def configure(self, settings: bounds.ErrorBounds) -> None:
+        """Replaces the settings; keeps evidence and ejections."""
+        self._settings = settings
+        self._threshold = settings.threshold
         for target in self._targets.values():
-            target.ejection.configure(limits)
+            target.ejection.configure(settings)
 
     def status(self, target: str) -> ejection.Status:
-        """What work a target gets now."""
-        known = self._targets.get(target)
-        return known.ejection.status if known else ejection.Status.NORMAL
+        """Returns the ejection status of a target."""
+        state = self._targets.get(target)
+        return state.ejection.status if state else ejection.Status.NORMAL
 
     def sketches(self, now: datetime.timedelta) -> list[baseline.Sketch]:
-        """What other homes should hear of this home's targets."""
+        """Returns summaries of this node's normal targets for other nodes."""
         median = self._baseline.median
         for target in self._targets.values():
-            target.median = median
+            target.median_latency = median
         return [
-            target.sketch(name, self._threshold, now)
+            target.summarize(name, self._threshold, now)
             for name, target in self._targets.items()
             if target.ejection.status is ejection.Status.NORMAL
         ]
 
-    def heard(self, sketch: baseline.Sketch) -> None:
-        """Takes what another home tells of its target."""
-        if sketch.target not in self._targets:
-            self._peers[sketch.target] = sketch
+    def heard(self, summary: baseline.Sketch) -> None:
+        """Records the summary of a target of another home node."""
+        if summary.target not in self._targets:
+            self._peer_summaries[summary.target] = summary
 
     def forget(self, target: str) -> None:
-        """Drops a target that has left."""
+        """Removes a target that has left."""
         self._targets.pop(target, None)
-        self._peers.pop(target, None)
-        self._elsewhere.pop(target, None)
+        self._peer_summaries.pop(target, None)
+        self._remote_targets.pop(target, None)
 
     def started(
         self, target: str, number: int, now: datetime.timedelta
     ) -> None:
-        """Takes the start of a request; the number is its own."""
-        self._target(target).pending[number] = _Pending(now)
+        """Records the start of a request.
+
+        Args:
+          target: id of the target.
+          number: unique number of the request.
+          now: current time.
+        """
+        self._get_or_add_target(target).pending[number] = _PendingRequest(now)
 
     def finished(
         self,
@@ -272,32 +306,42 @@
         workspace: str,
         now: datetime.timedelta,
     ) -> Change | None:
-        """Takes the end of a request; a result of None says nothing.
-
-        A target that sheds load (429, 503) is such a case: it is honest about
-        being full, and taking it out would load its peers the more.
+        """Records the end of a request and evaluates its target.
+
+        Args:
+          target: id of the target.
+          number: number of the request, as passed to `record_start`.
+          result: result of the request. None is not evaluated: a target that
+            sheds load (429, 503) reports correctly that it is full, and
+            ejecting it would put more load on its peers.
+          latency: time from the start of the request to its end.
+          workspace: workspace of the caller.
+          now: current time.
+
+        Returns:
+          The change of the target's status, if any.
         """
-        item = self._target(target)
-        pending = item.pending.pop(number, None)
+        state = self._get_or_add_target(target)
+        pending = state.pending.pop(number, None)
         if result is None or pending is None:
             return None
-        self._refresh(now)
-        measure = self._baseline
+        self._refresh_if_due(now)
+        service_baseline = self._baseline
         signals = [
             result is Result.FAILED,
-            latency > measure.slow,
-            latency > measure.stalled,
+            latency > service_baseline.slow,
+            latency > service_baseline.stalled,
         ]
         if result is Result.UNFINISHED and not signals[sequential.Signal.SLOW]:
             return None
-        self._fade(item, now)
-        item.seen = now
-        self._count(item, signals, pending.overdue, workspace)
-        if item.ejection.status is ejection.Status.NORMAL:
+        self._decay_evidence(state, now)
+        state.last_seen = now
+        self._add_evidence(state, signals, pending.overdue_steps, workspace)
+        if state.ejection.status is ejection.Status.NORMAL:
             if result is not Result.UNFINISHED:
-                measure.add(latency, signals)
-            return self._verdict(target, item, now)
-        return self._trial(target, item, signals, now)
+                service_baseline.add(latency, signals)
+            return self._evaluate(target, state, now)
+        return self._record_trial(target, state, signals, now)
 
     def witnessed(
         self,
@@ -307,200 +351,226 @@
         workspace: str,
         now: datetime.timedelta,
     ) -> None:
-        """Takes what this node, as an entry, saw of another home's target.
+        """Records a request that this ingress node sent to another home node.
 
-        It judges nothing here; it says what is usual for the service. A home
-        with a single target of a service has no other peers to compare with.
+        The result only contributes to the baseline of the service; the target
+        is not evaluated here. Without it a home node with a single target of
+        the service would have no peers to compare the target with.
         """
         if target in self._targets:
             return
-        item = self._elsewhere.get(target)
-        if item is None:
-            item = self._elsewhere[target] = _Target(self._limits)
-        measure = self._baseline
+        state = self._remote_targets.get(target)
+        if state is None:
+            state = self._remote_targets[target] = _TargetState(self._settings)
+        service_baseline = self._baseline
         signals = [
             result is Result.FAILED,
-            latency > measure.slow,
-            latency > measure.stalled,
+            latency > service_baseline.slow,
+            latency > service_baseline.stalled,
+        ]
+        self._decay_evidence(state, now)
+        state.last_seen = now
+        self._add_evidence(state, signals, 0, workspace)
+        # Evidence above the threshold adds nothing and would decay more slowly.
+        state.evidence = [
+            min(value, self._threshold) for value in state.evidence
         ]
-        self._fade(item, now)
-        item.seen = now
-        self._count(item, signals, 0, workspace)
-        # More says no more, and would take longer to wear off.
-        item.evidence = [min(value, self._threshold) for value in item.evidence]
 
     def advance(self, now: datetime.timedelta) -> list[Change]:
-        """Looks for overdue requests and for holds that have ended.
+        """Checks for overdue requests and for ejections that have ended.
 
-        A target that hangs ends nothing: without this its slots would be
-        full and it would look idle. A request counts from the moment it is
-        later than the baseline allows, once for each step.
+        A target that hangs finishes no request: without this check its slots
+        would be full while it looks idle. A pending request is counted once
+        for each latency limit that it exceeds.
+
+        Returns:
+          The changes of status.
         """
-        self._refresh(now)
+        self._refresh_if_due(now)
         changes = []
-        overdue = []
-        for name, item in self._targets.items():
-            if item.ejection.advance(now):
-                item.clear()
-                changes.append(self._change(name, item, ""))
-            elif self._overdue(item, now):
-                overdue.append(name)
-        # All targets are counted before one is judged: where all hang, the
-        # first one must not look alone.
-        for name in overdue:
-            found = self._verdict(name, self._targets[name], now)
-            if found:
-                changes.append(found)
+        overdue_targets = []
+        for name, state in self._targets.items():
+            if state.ejection.advance(now):
+                state.clear()
+                changes.append(self._status_change(name, state, ""))
+            elif self._check_overdue(state, now):
+                overdue_targets.append(name)
+        # Overdue requests of all targets are counted before any target is
+        # evaluated: if all hang, the first must not look like an outlier.
+        for name in overdue_targets:
+            change = self._evaluate(name, self._targets[name], now)
+            if change:
+                changes.append(change)
         return changes
 
-    def _target(self, name: str) -> _Target:
-        known = self._targets.get(name)
-        if known is None:
-            known = self._targets[name] = _Target(self._limits)
-            self._peers.pop(name, None)
-            self._elsewhere.pop(name, None)
-        return known
+    def _get_or_add_target(self, name: str) -> _TargetState:
+        state = self._targets.get(name)
+        if state is None:
+            state = self._targets[name] = _TargetState(self._settings)
+            self._peer_summaries.pop(name, None)
+            self._remote_targets.pop(name, None)
+        return state
 
-    def _refresh(self, now: datetime.timedelta) -> None:
+    def _refresh_if_due(self, now: datetime.timedelta) -> None:
         if self._baseline.due(now):
-            self._look_at_peers(now)
+            self._refresh_baseline(now)
 
-    def _look_at_peers(self, now: datetime.timedelta) -> None:
+    def _refresh_baseline(self, now: datetime.timedelta) -> None:
         own = [
-            item.sketch(name, self._threshold, now)
-            for name, item in self._targets.items()
-            if item.ejection.status is ejection.Status.NORMAL
+            state.summarize(name, self._threshold, now)
+            for name, state in self._targets.items()
+            if state.ejection.status is ejection.Status.NORMAL
         ]
-        elsewhere = [
-            item.sketch(name, self._threshold, now)
-            for name, item in self._elsewhere.items()
+        remote = [
+            state.summarize(name, self._threshold, now)
+            for name, state in self._remote_targets.items()
         ]
-        peers = [*own, *elsewhere, *self._peers.values()]
+        peers = [*own, *remote, *self._peer_summaries.values()]
         self._baseline.refresh(peers, now)
 
-    def _count(
+    def _add_evidence(
         self,
-        item: _Target,
+        state: _TargetState,
         signals: list[bool],
-        overdue: int,
+        overdue_steps: int,
         workspace: str,
     ) -> None:
-        for index, seen in enumerate(signals):
-            item.move_shares(index, seen)
-        item.workspaces.add(workspace, signals[sequential.Signal.FAILED])
-        evidence = item.evidence
+        for index, is_shown in enumerate(signals):
+            state.update_shares(index, is_shown)
+        state.workspace_failures.add(
+            workspace, signals[sequential.Signal.FAILED]
+        )
+        evidence = state.evidence
         for index, alternative in enumerate(sequential.ALTERNATIVES):
             signal = alternative.signal
             step = self._baseline.steps[index]
             if not signals[signal]:
                 evidence[index] = max(0.0, evidence[index] + step.miss)
-            elif signal == sequential.Signal.FAILED or overdue < signal:
-                # A step of overdue has the number of its signal; what has
-                # counted while the request was pending counts only once.
+            elif signal == sequential.Signal.FAILED or overdue_steps < signal:
+                # A request with N overdue steps has added the signals from
+                # 1 (SLOW) to N while it was pending; each counts only once.
                 evidence[index] += step.hit
         if not evidence[0]:
-            item.workspaces.clear()
+            state.workspace_failures.clear()
 
-    def _fade(self, item: _Target, now: datetime.timedelta) -> None:
-        idle = now - item.seen
+    def _decay_evidence(
+        self, state: _TargetState, now: datetime.timedelta
+    ) -> None:
+        idle = now - state.last_seen
         if idle < baseline.FRESH:
             return
-        item.evidence = [
-            sequential.faded(value, idle) for value in item.evidence
+        state.evidence = [
+            sequential.faded(value, idle) for value in state.evidence
         ]
 
-    def _overdue(self, item: _Target, now: datetime.timedelta) -> bool:
-        counted = False
+    def _check_overdue(
+        self, state: _TargetState, now: datetime.timedelta
+    ) -> bool:
+        has_counted = False
         slow = self._baseline.slow
-        for pending in item.pending.values():
-            if now - pending.started <= slow:
+        for pending in state.pending.values():
+            if now - pending.started_at <= slow:
                 break
-            counted |= self._count_overdue(item, pending, now)
-        return counted
+            has_counted |= self._add_overdue_steps(state, pending, now)
+        return has_counted
 
-    def _count_overdue(
-        self, item: _Target, pending: _Pending, now: datetime.timedelta
+    def _add_overdue_steps(
+        self,
+        state: _TargetState,
+        pending: _PendingRequest,
+        now: datetime.timedelta,
     ) -> bool:
-        age = now - pending.started
-        before = pending.overdue
-        while pending.overdue < _MAX_OVERDUE and age > self._limit(
-            pending.overdue
+        age = now - pending.started_at
+        before = pending.overdue_steps
+        while (
+            pending.overdue_steps < _MAX_OVERDUE_STEPS
+            and age > self._overdue_limit(pending.overdue_steps)
         ):
-            self._one_overdue(item, pending.overdue)
-            pending.overdue += 1
-        if pending.overdue == before:
+            self._add_overdue_step(state, pending.overdue_steps)
+            pending.overdue_steps += 1
+        if pending.overdue_steps == before:
             return False
-        item.seen = now
+        state.last_seen = now
         return True
 
-    def _limit(self, step: int) -> datetime.timedelta:
+    def _overdue_limit(self, step: int) -> datetime.timedelta:
         if step == 0:
             return self._baseline.slow
         return self._baseline.stalled * 2 ** (step - 1)
 
-    def _one_overdue(self, item: _Target, step: int) -> None:
+    def _add_overdue_step(self, state: _TargetState, step: int) -> None:
         if step >= sequential.Signal.STALLED:
-            if self._baseline.steps[_STALLED_TEST] is not sequential.NO_STEP:
-                item.evidence[_STALLED_TEST] += _AGAIN.hit
+            if (
+                self._baseline.steps[_STALLED_TEST_INDEX]
+                is not sequential.NO_STEP
+            ):
+                state.evidence[_STALLED_TEST_INDEX] += (
+                    _REPEATED_OVERDUE_STEP.hit
+                )
             return
         signal = sequential.Signal(step + 1)
-        item.move_shares(signal, True)
+        state.update_shares(signal, True)
         for index, alternative in enumerate(sequential.ALTERNATIVES):
             if alternative.signal is signal:
-                item.evidence[index] += self._baseline.steps[index].hit
+                state.evidence[index] += self._baseline.steps[index].hit
 
-    def _verdict(
-        self, name: str, item: _Target, now: datetime.timedelta
+    def _evaluate(
+        self, name: str, state: _TargetState, now: datetime.timedelta
     ) -> Change | None:
-        if item.ejection.status is not ejection.Status.NORMAL:
+        if state.ejection.status is not ejection.Status.NORMAL:
             return None
         for index, alternative in enumerate(sequential.ALTERNATIVES):
-            if item.evidence[index] < self._threshold:
+            if state.evidence[index] < self._threshold:
                 continue
-            if self._excused(item, index, now):
-                item.excuse(alternative.signal, now)
+            if self._has_external_cause(state, index, now):
+                state.dismiss_evidence(alternative.signal, now)
                 continue
-            item.ejection.eject(now)
-            item.clear()
-            return self._change(name, item, alternative.name)
+            state.ejection.eject(now)
+            state.clear()
+            return self._status_change(name, state, alternative.name)
         return None
 
-    def _excused(
-        self, item: _Target, index: int, now: datetime.timedelta
+    def _has_external_cause(
+        self, state: _TargetState, index: int, now: datetime.timedelta
     ) -> bool:
-        """Whether the evidence speaks against others than the target.
+        """Returns whether something other than the target is the cause.
 
-        Load: a whole service in trouble, or one workspace that sends what
-        fails everywhere. Harm: healthy targets would go out one by one, each
-        leaving more of the trouble to the rest.
+        Load: a fault of the whole service, or one workspace whose requests
+        fail at every target. Harm: healthy targets would be ejected one by
+        one, each leaving more of the load to the rest.
         """
-        self._look_at_peers(now)
+        self._refresh_baseline(now)
         if self._baseline.is_shared:
             return True
         alternative = sequential.ALTERNATIVES[index]
         if alternative.signal is not sequential.Signal.FAILED:
             return False
-        return item.workspaces.one_workspace()
+        return state.workspace_failures.is_single_workspace_fault()
 
-    def _trial(
+    def _record_trial(
         self,
         name: str,
-        item: _Target,
+        state: _TargetState,
         signals: list[bool],
         now: datetime.timedelta,
     ) -> Change | None:
-        if item.ejection.status is not ejection.Status.TRIAL:
+        if state.ejection.status is not ejection.Status.TRIAL:
             return None
-        # What is usual for the service now must not keep a target out.
-        good = not any(
-            seen and self._baseline.is_unusual(signal)
-            for signal, seen in enumerate(signals)
+        # Signals that are common in the service now must not keep a target
+        # ejected.
+        is_success = not any(
+            is_shown and self._baseline.is_unusual(signal)
+            for signal, is_shown in enumerate(signals)
         )
-        if not item.ejection.tried(good, now):
+        if not state.ejection.tried(is_success, now):
             return None
-        item.clear()
-        failed = item.ejection.status is ejection.Status.EJECTED
-        return self._change(name, item, "trial failed" if failed else "")
+        state.clear()
+        has_failed = state.ejection.status is ejection.Status.EJECTED
+        return self._status_change(
+            name, state, "trial failed" if has_failed else ""
+        )
 
-    def _change(self, name: str, item: _Target, cause: str) -> Change:
-        return Change(name, item.ejection.status, cause, item.badness())
+    def _status_change(
+        self, name: str, state: _TargetState, cause: str
+    ) -> Change:
+        return Change(name, state.ejection.status, cause, state.badness())
--- a/endivewind/decisions/latency.py
+++ b/endivewind/decisions/latency.py
@@ -1,4 +1,7 @@
-"""Latencies of a service over the last minutes, in a fixed small table."""
+"""Histogram of a service's recent latencies with exponential buckets.
+
+Used by `baseline` for the median latency.
+"""
 
 import array
 import bisect
@@ -6,57 +9,61 @@
 import itertools
 import math
 
-_FIRST_MS = 0.1
-_GROWTH = 1.1
-_BUCKETS = 170
-_BOUNDS = tuple(_FIRST_MS * _GROWTH**number for number in range(_BUCKETS))
-_LOG_GROWTH = math.log(_GROWTH)
+_FIRST_BUCKET_MS = 0.1
+_BUCKET_RATIO = 1.1
+_BUCKET_COUNT = 170
+_UPPER_BOUNDS_MS = tuple(
+    _FIRST_BUCKET_MS * _BUCKET_RATIO**number for number in range(_BUCKET_COUNT)
+)
+_LOG_BUCKET_RATIO = math.log(_BUCKET_RATIO)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
 class LatencyHistory:
     """A histogram with buckets 10% wide, from 0.1 ms to about 17 minutes.
 
-    170 floats, the same for any number of requests. Old requests fade by
-    halving all counts when their sum reaches a limit.
+    Takes 170 floats, whatever the number of requests. All counts are halved
+    when their sum reaches a limit, so that old requests lose weight.
     """
 
-    __slots__ = ("_counts", "_limit", "_total")
+    __slots__ = ("_counts", "_max_count", "_request_count")
 
-    def __init__(self, limit: int = 20_000) -> None:
-        self._counts = array.array("f", itertools.repeat(0.0, _BUCKETS))
-        self._total = 0.0
-        self._limit = limit
+    def __init__(self, max_count: int = 20_000) -> None:
+        self._counts = array.array("f", itertools.repeat(0.0, _BUCKET_COUNT))
+        self._request_count = 0.0
+        self._max_count = max_count
 
     @property
     def total(self) -> float:
-        """Requests that the history stands on."""
-        return self._total
+        """Weighted number of requests; less than all after a halving."""
+        return self._request_count
 
     def add(self, latency: datetime.timedelta) -> None:
-        """Takes one request."""
-        self._counts[_bucket(latency)] += 1
-        self._total += 1
-        if self._total >= self._limit:
-            self._halve()
+        """Adds the latency of one request."""
+        self._counts[_bucket_index(latency)] += 1
+        self._request_count += 1
+        if self._request_count >= self._max_count:
+            self._halve_counts()
 
     def median(self) -> datetime.timedelta:
-        """The median; zero where nothing is known."""
-        if not self._total:
+        """Returns the median latency; zero if there are no requests."""
+        if not self._request_count:
             return datetime.timedelta()
-        sums = list(itertools.accumulate(self._counts))
-        index = bisect.bisect_left(sums, self._total / 2)
-        return _BOUNDS[min(index, _BUCKETS - 1)] * _MILLISECOND
+        cumulative_counts = list(itertools.accumulate(self._counts))
+        index = bisect.bisect_left(cumulative_counts, self._request_count / 2)
+        return _UPPER_BOUNDS_MS[min(index, _BUCKET_COUNT - 1)] * _MILLISECOND
 
-    def _halve(self) -> None:
+    def _halve_counts(self) -> None:
         for index, count in enumerate(self._counts):
             self._counts[index] = count / 2
-        self._total /= 2
+        self._request_count /= 2
 
 
-def _bucket(latency: datetime.timedelta) -> int:
+def _bucket_index(latency: datetime.timedelta) -> int:
     milliseconds = latency / _MILLISECOND
-    if milliseconds <= _FIRST_MS:
+    if milliseconds <= _FIRST_BUCKET_MS:
         return 0
-    index = math.ceil(math.log(milliseconds / _FIRST_MS) / _LOG_GROWTH)
-    return min(index, _BUCKETS - 1)
+    index = math.ceil(
+        math.log(milliseconds / _FIRST_BUCKET_MS) / _LOG_BUCKET_RATIO
+    )
+    return min(index, _BUCKET_COUNT - 1)
--- a/endivewind/decisions/poison.py
+++ b/endivewind/decisions/poison.py
@@ -1,33 +1,40 @@
-"""Tells requests that crash their targets from those that were only there."""
+"""Detection of poison requests: requests that crash the targets they run on.
+
+Used by ingress nodes to refuse such requests instead of retrying them.
+"""
 
 import collections
 import dataclasses
 import datetime
 
-# One crash under a request says little: something had to be running. A second
-# one at another target, with no answer to the same request in between, is
-# unlikely to be chance; a third would cost a third target.
+# One crash during a request proves little, since some request is always
+# running. A second crash at another target, with no response to the same
+# request in between, is unlikely to be chance; waiting for a third would cost
+# a third target.
 CRASHES = 2
-# A caller that sends such a request again does so within minutes. Longer would
-# keep a request out after its target was mended.
+# Callers that resend such a request do so within minutes. A longer time would
+# block the request after the target's fault was fixed.
 HOLD = datetime.timedelta(minutes=10)
-# 1,024 fingerprints of 32 bytes take some 300 KB at most; the oldest go first.
+# 1,024 fingerprints of 32 bytes take about 300 KB at most; the oldest are
+# evicted first.
 MAX_SUSPECTS = 1024
 
 
 @dataclasses.dataclass(slots=True)
 class _Suspect:
-    last: datetime.timedelta
+    last_crash: datetime.timedelta
     targets: set[str] = dataclasses.field(default_factory=set)
 
 
 class PoisonBook:
-    """Requests that were at a target when it was lost, by fingerprint.
+    """Records requests that were running when a target crashed.
+
+    Requests are identified by a fingerprint.
 
-    Load: one request that crashes each target that runs it, and a caller that
-    sends it again. Harm: with retries it takes out a service's targets one
-    after another, and each looks sick by itself. A popular request is at many
-    targets when one crashes; its answers elsewhere clear it at once.
+    Load: a request that crashes each target that runs it, from a caller that
+    resends it. Harm: with retries it crashes a service's targets one after
+    another, and each looks unhealthy by itself. A frequent request is running
+    at many targets when one crashes; a response from any target clears it.
     """
 
     def __init__(self) -> None:
@@ -36,35 +43,35 @@
         )
 
     def __len__(self) -> int:
-        """Requests under suspicion; 0 spares callers the fingerprint."""
+        """Returns the number of suspects; if 0, no fingerprint is needed."""
         return len(self._suspects)
 
     def crashed(
         self, fingerprint: bytes, target: str, now: datetime.timedelta
     ) -> None:
-        """Takes a target that was lost with the request on it."""
+        """Records that a target crashed while it ran the request."""
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or now - suspect.last >= HOLD:
+        if suspect is None or now - suspect.last_crash >= HOLD:
             suspect = self._suspects[fingerprint] = _Suspect(now)
-        suspect.last = now
+        suspect.last_crash = now
         suspect.targets.add(target)
         self._suspects.move_to_end(fingerprint)
         if len(self._suspects) > MAX_SUSPECTS:
             self._suspects.popitem(last=False)
 
     def answered(self, fingerprint: bytes) -> None:
-        """Takes an answer to the request: its targets survive it."""
+        """Clears a request to which a target has responded."""
         self._suspects.pop(fingerprint, None)
 
     def refused_for(
         self, fingerprint: bytes, now: datetime.timedelta
     ) -> datetime.timedelta | None:
-        """How much longer to refuse the request; None to let it pass."""
+        """Returns how much longer to refuse the request; None to allow it."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return None
-        left = suspect.last + HOLD - now
-        if left <= datetime.timedelta():
+        remaining = suspect.last_crash + HOLD - now
+        if remaining <= datetime.timedelta():
             del self._suspects[fingerprint]
             return None
-        return left if len(suspect.targets) >= CRASHES else None
+        return remaining if len(suspect.targets) >= CRASHES else None
--- a/endivewind/decisions/ramp.py
+++ b/endivewind/decisions/ramp.py
@@ -1,40 +1,43 @@
-"""Slots of a target that has just come, come back or is still cold."""
+"""Slow start: targets that have just joined or returned get few requests.
+
+Used by each ingress node when it selects a target.
+"""
 
 import collections.abc
 import datetime
 
-# A restarted target fills its caches and pools in seconds; the trials of one
-# that returns have shown that it works, and not that it bears full load.
+# A restarted target fills its caches and pools within seconds. The trial of a
+# returning target has shown that it works, not that it can take full load.
 SPAN = datetime.timedelta(seconds=10)
 
 
 class Ramps:
-    """Slots that grow over a span from one to all.
+    """Raises the usable slots of targets linearly from one to all.
 
-    Load: many entries hear of one new target in the same second, and each
-    has work for all its slots. Harm: a cold target gets its full share at
-    once, is slow for all of it, and is ejected or sheds. Each entry begins
-    with one slot and adds the others evenly.
+    Load: many ingress nodes learn of a new target within the same second, and
+    each has requests for all its slots. Harm: a cold target gets its full
+    share at once, responds slowly to all of it, and is ejected or sheds load.
+    Each ingress node starts with one slot and adds the others evenly.
     """
 
     def __init__(self) -> None:
-        self._since: dict[str, datetime.timedelta] = {}
+        self._started_at: dict[str, datetime.timedelta] = {}
 
     def begin(self, target: str, now: datetime.timedelta) -> None:
-        """Starts a target's ramp, or starts it again."""
-        self._since[target] = now
+        """Starts or restarts the slow start of a target."""
+        self._started_at[target] = now
 
     def slots(self, target: str, slots: int, now: datetime.timedelta) -> int:
-        """How many of its slots this entry uses now."""
-        since = self._since.get(target)
-        if since is None:
+        """Returns how many slots of a target this node may use now."""
+        started_at = self._started_at.get(target)
+        if started_at is None:
             return slots
-        if now - since >= SPAN:
-            del self._since[target]
+        if now - started_at >= SPAN:
+            del self._started_at[target]
             return slots
-        return max(1, int(slots * ((now - since) / SPAN)))
+        return max(1, int(slots * ((now - started_at) / SPAN)))
 
     def forget(self, targets: collections.abc.Iterable[str]) -> None:
-        """Drops targets that have left."""
+        """Removes targets that have left."""
         for target in targets:
-            self._since.pop(target, None)
+            self._started_at.pop(target, None)
--- a/endivewind/decisions/sequential.py
+++ b/endivewind/decisions/sequential.py
@@ -1,9 +1,10 @@
-"""A sequential test of one share: does a target fail more than its service?
+"""Sequential test for a target that shows a signal more often than its peers.
 
-Wald's probability ratio test adds, for each request, the logarithm of how
-much likelier its outcome is at a sick target than at one like the others. A
-test that favours health starts again at once (Page's form), so that a target
-that was well for hours is caught as fast as one that has just started.
+Implements the sequential probability ratio test (SPRT) of Wald. Each request
+adds the log-likelihood ratio of its outcome at an unhealthy target against a
+healthy one. The sum is clamped at zero (Page's CUSUM), so a target that was
+healthy for hours is detected as fast as one that has just started. Used by
+`outlier_detection` and `baseline`.
 """
 
 import dataclasses
@@ -11,15 +12,15 @@
 import enum
 import math
 
-# Old evidence fades: three errors in an hour at a target with little traffic
-# say nothing, three in a second do.
+# Evidence decays with idle time: three errors within an hour at a target with
+# little traffic mean nothing, three within a second do.
 HALF_LIFE = datetime.timedelta(seconds=30)
-# Where half of the service's work shows the signal, no target stands out.
+# If half of the service's requests show the signal, no target is an outlier.
 MAX_EXPECTED = 0.5
 
 
 class Signal(enum.IntEnum):
-    """What a request can say against its target."""
+    """An indication of a fault that a single request can give."""
 
     FAILED = 0
     SLOW = 1
@@ -28,13 +29,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Alternative:
-    """One way of being sick that is tested for.
+    """The alternative hypothesis of one test: a kind of fault.
 
     Attributes:
-      name: the cause that operators read.
-      signal: what is counted.
-      share: share of the otherwise good requests that show the signal.
-      least_expected: the share that a healthy target may show at any time.
+      name: cause of an ejection, as shown to operators.
+      signal: signal that the test counts.
+      unhealthy_share: share of the otherwise good requests that show the signal
+        at an unhealthy target.
+      min_expected_share: lower bound of the share that is expected of a
+        healthy target.
     """
 
     name: str
@@ -43,8 +46,8 @@
     least_expected: float
 
 
-# Three shares of errors, because a test for one in ten needs a hundred
-# requests for what a test for "nearly all" sees in three.
+# Errors are tested at three shares, because a test for a share of 0.1 needs a
+# hundred requests to detect what a test for a share of 0.8 detects in three.
 ALTERNATIVES = (
     Alternative("some requests fail", Signal.FAILED, 0.1, 0.01),
     Alternative("many requests fail", Signal.FAILED, 0.3, 0.01),
@@ -56,7 +59,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """What one request adds to a test: with the signal, and without it."""
+    """Evidence that one request adds to a test.
+
+    Attributes:
+      with_signal: evidence added by a request that shows the signal.
+      without_signal: evidence, zero or less, added by one that does not.
+    """
 
     hit: float
     miss: float
@@ -65,17 +73,30 @@
 NO_STEP = Step(0.0, 0.0)
 
 
-def step(alternative: Alternative, expected: float) -> Step:
-    """The logarithms of the likelihood ratios against an expected share."""
-    healthy = max(expected, alternative.least_expected)
-    if healthy >= MAX_EXPECTED:
+def step(alternative: Alternative, expected_share: float) -> Step:
+    """Returns the log-likelihood ratios of one request's two outcomes.
+
+    Args:
+      alternative: the fault to test for.
+      expected_share: share of requests that show the signal at a healthy
+        target.
+
+    Returns:
+      Evidence for each outcome; zero for both if the expected share is too
+      high for any target to be an outlier.
+    """
+    healthy_share = max(expected_share, alternative.least_expected)
+    if healthy_share >= MAX_EXPECTED:
         return NO_STEP
-    sick = healthy + (1 - healthy) * alternative.share
-    return Step(math.log(sick / healthy), math.log((1 - sick) / (1 - healthy)))
+    unhealthy_share = healthy_share + (1 - healthy_share) * alternative.share
+    return Step(
+        math.log(unhealthy_share / healthy_share),
+        math.log((1 - unhealthy_share) / (1 - healthy_share)),
+    )
 
 
 def faded(value: float, idle: datetime.timedelta) -> float:
-    """Evidence that is left after a time without any."""
+    """Returns the evidence that is left after a time without requests."""
     if value <= 0 or idle <= datetime.timedelta():
         return value
     return float(value * 0.5 ** (idle / HALF_LIFE))
--- a/endivewind/decisions/splitting.py
+++ b/endivewind/decisions/splitting.py
@@ -1,4 +1,7 @@
-"""Shares a route's requests between services by weight."""
+"""Weighted traffic splitting of a route's requests between services.
+
+Uses smooth weighted round robin. Called by the gateway of each ingress node.
+"""
 
 import collections.abc
 import dataclasses
@@ -7,44 +10,50 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """One service's part; a weight of 0 gets nothing."""
+    """A service of a route and its weight; with 0 it gets no requests."""
 
     service: str
     weight: int
 
 
 class Splitter:
-    """Gives each part its share at one entry, whatever the number of requests.
+    """Gives each service its exact share, even over few requests.
 
     Load: a route that moves a tenth of its traffic to a new service, over
-    hundreds of entries with a few requests a second each. Harm: drawn at
-    random, a part of a tenth may get nothing for seconds and twice its share
-    after, so that its operators can't tell what it takes. Smooth weighted
-    round robin is never more than one request off at an entry; each entry
-    starts at a random place, or all would send their first to the same part.
+    hundreds of ingress nodes with a few requests per second each. Harm: if the
+    service were chosen at random, one with a tenth of the weight might get
+    nothing for seconds and then twice its share, and operators could not tell
+    how much it can take. Smooth weighted round robin is never off by more than
+    one request at an ingress node. Each ingress node starts at a random
+    position; otherwise all would send their first request to the same service.
     """
 
     def __init__(
-        self, parts: collections.abc.Sequence[Part], rng: random.Random
+        self, services: collections.abc.Sequence[Part], rng: random.Random
     ) -> None:
-        self._parts = [part for part in parts if part.weight]
-        self._total = sum(part.weight for part in self._parts)
+        self._services = [
+            candidate for candidate in services if candidate.weight
+        ]
+        self._total_weight = sum(
+            candidate.weight for candidate in self._services
+        )
         self._credits = [
-            rng.uniform(0, self._total) for _ in range(len(self._parts))
+            rng.uniform(0, self._total_weight)
+            for _ in range(len(self._services))
         ]
-        self._settle()
+        self._center_credits()
 
     def next(self) -> str:
-        """The service of the next request."""
-        best = 0
-        for index, part in enumerate(self._parts):
-            self._credits[index] += part.weight
-            if self._credits[index] > self._credits[best]:
-                best = index
-        self._credits[best] -= self._total
-        return self._parts[best].service
-
-    def _settle(self) -> None:
-        """Moves the credits to a sum of 0, as the round robin keeps it."""
+        """Returns the service for the next request."""
+        best_index = 0
+        for index, candidate in enumerate(self._services):
+            self._credits[index] += candidate.weight
+            if self._credits[index] > self._credits[best_index]:
+                best_index = index
+        self._credits[best_index] -= self._total_weight
+        return self._services[best_index].service
+
+    def _center_credits(self) -> None:
+        """Shifts the credits to a sum of 0, which `next_service` preserves."""
         mean = sum(self._credits) / len(self._credits)
         self._credits = [credit - mean for credit in self._credits]
--- a/endivewind/tests/decisions/floor_tests.py
+++ b/endivewind/tests/decisions/floor_tests.py
@@ -1,4 +1,4 @@
-"""The floor holds for every view and every verdict."""
+"""Tests of the capacity floor."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 from endivewind.decisions import ejection
 from endivewind.decisions import floor
 
-CANDIDATES = strategies.lists(
+CANDIDATE_LISTS = strategies.lists(
     strategies.builds(
         floor.Candidate,
         id=strategies.text("abcdef", min_size=1, max_size=3),
@@ -23,40 +23,42 @@
 )
 
 
-def _slots(items, region):
+def _total_slots(items, region):
     return sum(item.slots for item in items if item.region == region)
 
 
-class FloorTest(unittest.TestCase):
-    """Verdicts may be late, lost or wrong; capacity must not fall under them.
+class CapacityFloorTest(unittest.TestCase):
+    """Ejections that are late, lost or wrong must not reduce capacity too far.
 
-    If it did, the targets that are left would get the work of all and fail
-    under it, and callers would see a gray failure become an outage.
+    Otherwise the remaining targets would get the requests of all and fail
+    under them, and a gray failure would become an outage.
     """
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
-    @hypothesis.given(CANDIDATES, strategies.integers(1, 60))
-    def test_admits_the_floor_or_all_there_is(self, candidates, slots):
+    @hypothesis.given(CANDIDATE_LISTS, strategies.integers(1, 60))
+    def test_keeps_the_floor_or_all_existing_slots(self, candidates, slots):
         kept = floor.admitted(candidates, slots)
 
         for region in ("andina", "caribe"):
-            existing = _slots(candidates, region)
-            self.assertGreaterEqual(_slots(kept, region), min(slots, existing))
+            existing_slots = _total_slots(candidates, region)
+            self.assertGreaterEqual(
+                _total_slots(kept, region), min(slots, existing_slots)
+            )
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
-    @hypothesis.given(CANDIDATES)
-    def test_half_stays_where_no_floor_is_named(self, candidates):
+    @hypothesis.given(CANDIDATE_LISTS)
+    def test_keeps_half_by_default(self, candidates):
         kept = floor.admitted(candidates, 0)
 
         for region in ("andina", "caribe"):
-            half = _slots(candidates, region) // 2
-            self.assertGreaterEqual(_slots(kept, region), half)
+            half_of_slots = _total_slots(candidates, region) // 2
+            self.assertGreaterEqual(_total_slots(kept, region), half_of_slots)
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
     @hypothesis.given(
-        CANDIDATES, strategies.integers(0, 60), strategies.randoms()
+        CANDIDATE_LISTS, strategies.integers(0, 60), strategies.randoms()
     )
-    def test_every_entry_brings_back_the_same(self, candidates, slots, rng):
+    def test_result_is_independent_of_order(self, candidates, slots, rng):
         shuffled = list(candidates)
         rng.shuffle(shuffled)
 
@@ -65,8 +67,8 @@
         )
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
-    @hypothesis.given(CANDIDATES, strategies.integers(0, 60))
-    def test_all_normal_targets_stay(self, candidates, slots):
+    @hypothesis.given(CANDIDATE_LISTS, strategies.integers(0, 60))
+    def test_keeps_all_normal_targets(self, candidates, slots):
         kept = floor.admitted(candidates, slots)
 
         normal = [
@@ -74,8 +76,8 @@
         ]
         self.assertLessEqual(set(normal), set(kept))
 
-    def test_brings_back_no_more_than_the_floor_and_the_least_bad(self):
-        out = [
+    def test_keeps_least_bad_targets_up_to_the_floor(self):
+        candidates = [
             floor.Candidate(name, "andina", "a", 3, status, badness)
             for name, status, badness in (
                 ("a", ejection.Status.EJECTED, 100),
@@ -85,6 +87,6 @@
             )
         ]
 
-        kept = floor.admitted(out, 9)
+        kept = floor.admitted(candidates, 9)
 
         self.assertEqual(["d", "c", "b"], [item.id for item in kept])
--- a/endivewind/tests/decisions/judging_tests.py
+++ b/endivewind/tests/decisions/judging_tests.py
@@ -1,4 +1,4 @@
-"""The sequential test: who is ejected, and who is not."""
+"""Tests of outlier detection: which targets are ejected and which are not."""
 
 import datetime
 import random
@@ -10,54 +10,67 @@
 from endivewind.decisions import judging
 
 TARGETS = tuple(f"riders-{number}" for number in range(8))
-STEP = datetime.timedelta(milliseconds=10)
-USUAL = datetime.timedelta(milliseconds=100)
+REQUEST_INTERVAL = datetime.timedelta(milliseconds=10)
+BASE_LATENCY = datetime.timedelta(milliseconds=100)
 GOOD = judging.Result.GOOD
 FAILED = judging.Result.FAILED
 
 
-class _Bench:
-    """Requests one after another at every target in turn."""
+class _Simulation:
+    """Sends simulated requests to a detector, one after another."""
 
-    def __init__(self, limits, targets=TARGETS):
-        self.judge = judging.ServiceJudge(limits)
+    def __init__(self, settings, target_ids=TARGETS):
+        self.detector = judging.ServiceJudge(settings)
         self.now = datetime.timedelta()
-        self.targets = targets
+        self.target_ids = target_ids
         self.changes = []
-        self._number = 0
+        self._request_number = 0
         self._rng = random.Random(1)
 
     @property
-    def requests(self):
-        return self._number
+    def request_count(self):
+        return self._request_number
 
     def request(self, target, result=GOOD, factor=1.0, workspace=None):
-        self._number += 1
-        self.now += STEP
-        latency = USUAL * factor * self._rng.uniform(0.7, 1.4)
-        owner = workspace or f"workspace-{self._number % 7}"
-        self.judge.started(target, self._number, self.now - latency)
-        self._note(
-            self.judge.finished(
-                target, self._number, result, latency, owner, self.now
+        self._request_number += 1
+        self.now += REQUEST_INTERVAL
+        latency = BASE_LATENCY * factor * self._rng.uniform(0.7, 1.4)
+        workspace_id = workspace or f"workspace-{self._request_number % 7}"
+        self.detector.started(target, self._request_number, self.now - latency)
+        self._add_change(
+            self.detector.finished(
+                target,
+                self._request_number,
+                result,
+                latency,
+                workspace_id,
+                self.now,
             )
         )
 
-    def rounds(self, number, **odd):
-        """Rounds over all targets; odd gives arguments for some of them."""
+    def rounds(self, number, **overrides):
+        """Sends requests to all targets in turn.
+
+        Args:
+          number: requests to each target.
+          **overrides: arguments of `request` for single targets, by target
+            with underscores for hyphens.
+        """
         for _ in range(number):
-            for target in self.targets:
-                self.request(target, **odd.get(target.replace("-", "_"), {}))
+            for target in self.target_ids:
+                self.request(
+                    target, **overrides.get(target.replace("-", "_"), {})
+                )
 
     def start(self, target):
-        self._number += 1
-        self.judge.started(target, self._number, self.now)
+        self._request_number += 1
+        self.detector.started(target, self._request_number, self.now)
 
     def wait(self, span):
         end = self.now + span
         while self.now < end:
             self.now += datetime.timedelta(milliseconds=100)
-            self.changes.extend(self.judge.advance(self.now))
+            self.changes.extend(self.detector.advance(self.now))
 
     def ejected(self):
         return [
@@ -66,290 +79,299 @@
             if change.status is ejection.Status.EJECTED
         ]
 
-    def _note(self, change):
+    def _add_change(self, change):
         if change is not None:
             self.changes.append(change)
 
 
-class _JudgeTest(unittest.TestCase):
-    def bench(self, limits=bounds.DETECTION, targets=TARGETS):
-        bench = _Bench(limits, targets)
-        bench.rounds(60)
-        self.assertEqual([], bench.ejected())
-        return bench
+class _DetectorTest(unittest.TestCase):
+    def simulation(self, settings=bounds.DETECTION, target_ids=TARGETS):
+        simulation = _Simulation(settings, target_ids)
+        simulation.rounds(60)
+        self.assertEqual([], simulation.ejected())
+        return simulation
 
 
-class OneSickTargetTest(_JudgeTest):
-    """One target fails or slows while its peers stay well.
+class OneUnhealthyTargetTest(_DetectorTest):
+    """One target fails or is slow while its peers stay healthy.
 
-    Callers get its errors until its home takes it out, so it must go out
-    after few requests, and none of its peers may go with it.
+    Callers get its errors until its home node ejects it. It must be ejected
+    after few requests, and none of its peers with it.
     """
 
     def test_errors_count_before_latencies_are_known(self):
-        """A home has just started and one of its targets fails all work.
+        """A node has just started, and one target fails all requests.
 
-        Latencies are judged from 200 requests on. Errors need none of that:
-        until then callers would see every failure of the target.
+        Latencies are evaluated only after 200 requests. Errors must be counted
+        from the start; otherwise callers would see every failure until then.
         """
-        bench = _Bench(bounds.DETECTION)
-        bench.rounds(20, riders_2={"result": FAILED})
+        simulation = _Simulation(bounds.DETECTION)
+        simulation.rounds(20, riders_2={"result": FAILED})
 
-        self.assertLess(bench.requests, baseline.MIN_HISTORY)
-        self.assertEqual(["riders-2"], bench.ejected())
+        self.assertLess(simulation.request_count, baseline.MIN_HISTORY)
+        self.assertEqual(["riders-2"], simulation.ejected())
 
     def test_all_requests_fail(self):
-        bench = self.bench()
+        simulation = self.simulation()
 
-        bench.rounds(4, riders_2={"result": FAILED})
+        simulation.rounds(4, riders_2={"result": FAILED})
 
-        self.assertEqual(["riders-2"], bench.ejected())
+        self.assertEqual(["riders-2"], simulation.ejected())
 
     def test_some_requests_fail(self):
-        bench = self.bench()
+        simulation = self.simulation()
 
         for number in range(40):
             result = FAILED if number % 4 == 0 else GOOD
-            bench.rounds(1, riders_2={"result": result})
+            simulation.rounds(1, riders_2={"result": result})
 
-        self.assertEqual(["riders-2"], bench.ejected())
+        self.assertEqual(["riders-2"], simulation.ejected())
 
     def test_three_times_as_slow(self):
-        bench = self.bench()
+        simulation = self.simulation()
 
-        bench.rounds(6, riders_2={"factor": 3.5})
+        simulation.rounds(6, riders_2={"factor": 3.5})
 
-        self.assertEqual(["riders-2"], bench.ejected())
+        self.assertEqual(["riders-2"], simulation.ejected())
 
-    def test_hangs_and_ends_nothing(self):
-        bench = self.bench()
+    def test_hangs_and_finishes_no_request(self):
+        simulation = self.simulation()
 
         for _ in range(3):
-            bench.start("riders-2")
-        bench.wait(datetime.timedelta(seconds=1))
+            simulation.start("riders-2")
+        simulation.wait(datetime.timedelta(seconds=1))
 
-        self.assertEqual(["riders-2"], bench.ejected())
+        self.assertEqual(["riders-2"], simulation.ejected())
 
-    def test_hangs_while_the_peers_have_no_work(self):
-        """All requests wait at one target; no peer has any news to compare.
+    def test_hangs_while_peers_are_idle(self):
+        """All requests wait at one target, and no peer has recent requests.
 
-        The target must not become its own measure, or it would be excused.
+        The target must not be compared with itself, or its evidence would be
+        dismissed.
         """
-        bench = self.bench()
-        bench.wait(datetime.timedelta(seconds=10))
+        simulation = self.simulation()
+        simulation.wait(datetime.timedelta(seconds=10))
 
         for _ in range(3):
-            bench.start("riders-2")
-        bench.wait(datetime.timedelta(seconds=3))
+            simulation.start("riders-2")
+        simulation.wait(datetime.timedelta(seconds=3))
 
-        self.assertEqual(["riders-2"], bench.ejected())
+        self.assertEqual(["riders-2"], simulation.ejected())
 
-    def test_capacity_profile_asks_for_more_evidence(self):
-        bench = self.bench(bounds.CAPACITY)
+    def test_capacity_profile_requires_more_evidence(self):
+        simulation = self.simulation(bounds.CAPACITY)
 
-        bench.rounds(4, riders_2={"result": FAILED})
-        early = bench.ejected()
-        bench.rounds(3, riders_2={"result": FAILED})
+        simulation.rounds(4, riders_2={"result": FAILED})
+        ejected_early = simulation.ejected()
+        simulation.rounds(3, riders_2={"result": FAILED})
 
-        self.assertEqual(([], ["riders-2"]), (early, bench.ejected()))
+        self.assertEqual(
+            ([], ["riders-2"]), (ejected_early, simulation.ejected())
+        )
 
 
-class TroubleOfAllTest(_JudgeTest):
-    """Every target is slow, fails or is overloaded at the same time.
+class CommonFaultTest(_DetectorTest):
+    """All targets are slow, failing or overloaded at the same time.
 
-    No target stands out then. Ejecting any would leave more work to the
-    rest, which would be next: callers would lose the whole service.
+    No target is an outlier then. Ejecting any would put more load on the rest,
+    which would be ejected next: callers would lose the whole service.
     """
 
     def test_all_slow(self):
-        bench = self.bench()
+        simulation = self.simulation()
 
-        bench.rounds(
+        simulation.rounds(
             60, **{name.replace("-", "_"): {"factor": 4} for name in TARGETS}
         )
 
-        self.assertEqual([], bench.ejected())
+        self.assertEqual([], simulation.ejected())
 
     def test_all_failing(self):
-        bench = self.bench()
+        simulation = self.simulation()
 
-        bench.rounds(
+        simulation.rounds(
             60,
             **{name.replace("-", "_"): {"result": FAILED} for name in TARGETS},
         )
 
-        self.assertEqual([], bench.ejected())
+        self.assertEqual([], simulation.ejected())
 
     def test_all_hanging(self):
-        bench = self.bench()
+        simulation = self.simulation()
 
         for target in TARGETS:
             for _ in range(3):
-                bench.start(target)
-        bench.wait(datetime.timedelta(seconds=3))
+                simulation.start(target)
+        simulation.wait(datetime.timedelta(seconds=3))
 
-        self.assertEqual([], bench.ejected())
+        self.assertEqual([], simulation.ejected())
 
 
-class LonelyTargetTest(_JudgeTest):
-    """A home has one target of the service; the others are elsewhere.
+class SingleTargetTest(_DetectorTest):
+    """A node has one target of the service; other nodes have the rest.
 
-    The node sees the others' answers as an entry. Without them the home
-    could not tell a sick target from a sick service, and every home would
-    eject its own when the service is in trouble.
+    The node gets the responses of the other targets as an ingress node.
+    Without them it could not tell an unhealthy target from an unhealthy
+    service, and each node would eject its target when the service fails.
     """
 
-    def bench(self, limits=bounds.DETECTION, targets=("riders-2",)):
-        bench = _Bench(limits, targets)
+    def simulation(self, settings=bounds.DETECTION, target_ids=("riders-2",)):
+        simulation = _Simulation(settings, target_ids)
         for _ in range(250):
-            self.witness(bench)
-            bench.request("riders-2")
-        return bench
+            self.record_remote_requests(simulation)
+            simulation.request("riders-2")
+        return simulation
 
-    def witness(self, bench, result=GOOD, factor=1.0):
+    def record_remote_requests(self, simulation, result=GOOD, factor=1.0):
         for target in ("riders-4", "riders-5", "riders-6"):
-            bench.judge.witnessed(
-                target, result, USUAL * factor, "other", bench.now
+            simulation.detector.witnessed(
+                target, result, BASE_LATENCY * factor, "other", simulation.now
             )
 
-    def test_service_in_trouble(self):
-        for odd in ({"result": FAILED}, {"factor": 4}):
-            bench = self.bench()
+    def test_unhealthy_service(self):
+        for override in ({"result": FAILED}, {"factor": 4}):
+            simulation = self.simulation()
 
             for _ in range(60):
-                self.witness(bench, **odd)
-                bench.request("riders-2", **odd)
+                self.record_remote_requests(simulation, **override)
+                simulation.request("riders-2", **override)
 
-            self.assertEqual([], bench.ejected())
+            self.assertEqual([], simulation.ejected())
 
-    def test_target_in_trouble(self):
-        for odd in ({"result": FAILED}, {"factor": 4}):
-            bench = self.bench()
+    def test_unhealthy_target(self):
+        for override in ({"result": FAILED}, {"factor": 4}):
+            simulation = self.simulation()
 
             for _ in range(10):
-                self.witness(bench)
-                bench.request("riders-2", **odd)
+                self.record_remote_requests(simulation)
+                simulation.request("riders-2", **override)
 
-            self.assertEqual(["riders-2"], bench.ejected())
+            self.assertEqual(["riders-2"], simulation.ejected())
 
 
-class InnocentTargetTest(_JudgeTest):
-    """A target that is well, or honest about being full, keeps its work."""
+class HealthyTargetTest(_DetectorTest):
+    """Healthy targets, and those that shed load when full, stay in use."""
 
-    def test_shedding_is_not_sickness(self):
-        bench = self.bench()
+    def test_shedding_is_not_a_fault(self):
+        simulation = self.simulation()
 
-        bench.rounds(60, riders_2={"result": None})
+        simulation.rounds(60, riders_2={"result": None})
 
-        self.assertEqual([], bench.ejected())
+        self.assertEqual([], simulation.ejected())
 
-    def test_one_workspace_sends_what_fails(self):
-        """One workspace's requests fail, and happen to meet one target.
+    def test_failing_requests_of_one_workspace(self):
+        """One workspace's requests fail, and happen to reach one target.
 
-        The target answers all others well, so the requests are to blame; a
-        verdict would carry the trouble to the next target.
+        The target serves all other workspaces well, so the requests are the
+        cause. Ejecting the target would move the failures to the next one.
         """
-        bench = self.bench()
+        simulation = self.simulation()
 
         for _ in range(30):
-            bench.request("riders-2", FAILED, workspace="bad")
+            simulation.request("riders-2", FAILED, workspace="bad")
             for _ in range(3):
-                bench.request("riders-2")
+                simulation.request("riders-2")
 
-        self.assertEqual([], bench.ejected())
+        self.assertEqual([], simulation.ejected())
 
-    def test_few_errors_in_an_hour(self):
-        bench = self.bench()
+    def test_few_errors_within_an_hour(self):
+        simulation = self.simulation()
 
         for _ in range(5):
-            bench.wait(datetime.timedelta(minutes=10))
-            bench.request("riders-2", FAILED)
+            simulation.wait(datetime.timedelta(minutes=10))
+            simulation.request("riders-2", FAILED)
 
-        self.assertEqual([], bench.ejected())
+        self.assertEqual([], simulation.ejected())
 
     def test_short_deadlines_of_callers(self):
-        bench = self.bench()
+        simulation = self.simulation()
 
-        bench.rounds(
+        simulation.rounds(
             60,
             riders_2={"result": judging.Result.UNFINISHED, "factor": 0.5},
         )
 
-        self.assertEqual([], bench.ejected())
+        self.assertEqual([], simulation.ejected())
 
 
-class ReturnTest(_JudgeTest):
-    """An ejected target heals, or does not.
+class TrialTest(_DetectorTest):
+    """An ejected target recovers or stays unhealthy, as its trial shows.
 
-    Its trials decide: callers must get its capacity back soon, and must not
-    get its errors again.
+    Callers must get its capacity back soon, and must not get its errors again.
     """
 
-    def test_returns_after_good_trials(self):
-        bench = self.bench()
-        bench.rounds(4, riders_2={"result": FAILED})
+    def test_returns_after_successful_trials(self):
+        simulation = self.simulation()
+        simulation.rounds(4, riders_2={"result": FAILED})
 
-        bench.wait(bounds.DETECTION.hold)
-        in_trial = bench.judge.status("riders-2")
+        simulation.wait(bounds.DETECTION.hold)
+        status_in_trial = simulation.detector.status("riders-2")
         for _ in range(bounds.DETECTION.trial_successes):
-            bench.request("riders-2")
+            simulation.request("riders-2")
 
-        self.assertIs(ejection.Status.TRIAL, in_trial)
-        self.assertIs(ejection.Status.NORMAL, bench.judge.status("riders-2"))
+        self.assertIs(ejection.Status.TRIAL, status_in_trial)
+        self.assertIs(
+            ejection.Status.NORMAL, simulation.detector.status("riders-2")
+        )
 
-    def test_stays_out_after_bad_trials(self):
-        bench = self.bench()
-        bench.rounds(4, riders_2={"result": FAILED})
+    def test_stays_ejected_after_failed_trials(self):
+        simulation = self.simulation()
+        simulation.rounds(4, riders_2={"result": FAILED})
 
-        bench.wait(bounds.DETECTION.hold)
+        simulation.wait(bounds.DETECTION.hold)
         for _ in range(bounds.DETECTION.trial_failures):
-            bench.request("riders-2", FAILED)
+            simulation.request("riders-2", FAILED)
 
-        self.assertIs(ejection.Status.EJECTED, bench.judge.status("riders-2"))
+        self.assertIs(
+            ejection.Status.EJECTED, simulation.detector.status("riders-2")
+        )
 
-    def test_a_healed_target_may_be_slow_now_and_then(self):
-        limits = bounds.DETECTION
-        state = ejection.Ejection(limits)
+    def test_recovered_target_may_be_slow_occasionally(self):
+        settings = bounds.DETECTION
+        state = ejection.Ejection(settings)
         state.eject(datetime.timedelta())
-        state.advance(limits.hold)
+        state.advance(settings.hold)
 
         for _ in range(3):
-            state.tried(False, limits.hold)
-            for _ in range(limits.trial_successes - 1):
-                state.tried(True, limits.hold)
-        state.tried(True, limits.hold)
+            state.tried(False, settings.hold)
+            for _ in range(settings.trial_successes - 1):
+                state.tried(True, settings.hold)
+        state.tried(True, settings.hold)
 
         self.assertIs(ejection.Status.NORMAL, state.status)
 
-    def test_hold_of_a_flapping_target_grows_and_is_forgiven(self):
-        limits = bounds.DETECTION
-        state = ejection.Ejection(limits)
+    def test_ejection_time_of_flapping_target_grows_and_expires(self):
+        settings = bounds.DETECTION
+        state = ejection.Ejection(settings)
         now = datetime.timedelta()
-        holds = []
+        ejection_times = []
         for _ in range(4):
             state.eject(now)
-            holds.append(state.hold())
+            ejection_times.append(state.hold())
             now += state.hold()
             state.advance(now)
-            for _ in range(limits.trial_successes):
+            for _ in range(settings.trial_successes):
                 state.tried(True, now)
         state.eject(now + 4 * ejection.FORGIVE)
 
-        self.assertEqual([limits.hold * 2**n for n in range(4)], holds)
-        self.assertEqual(limits.hold, state.hold())
+        self.assertEqual(
+            [settings.hold * 2**n for n in range(4)], ejection_times
+        )
+        self.assertEqual(settings.hold, state.hold())
 
-    def test_request_held_since_before_does_not_count(self):
-        """A trial's request hangs; the target heals and is normal again.
+    def test_request_from_before_the_change_does_not_count(self):
+        """A trial request hangs; the target recovers and is normal again.
 
-        That request is overdue for long, but it was sent to the sick target.
+        The request is long overdue, but was sent while the target was
+        unhealthy.
         """
-        bench = self.bench()
-        bench.rounds(4, riders_2={"result": FAILED})
-        bench.wait(bounds.DETECTION.hold)
+        simulation = self.simulation()
+        simulation.rounds(4, riders_2={"result": FAILED})
+        simulation.wait(bounds.DETECTION.hold)
         for _ in range(3):
-            bench.start("riders-2")
+            simulation.start("riders-2")
         for _ in range(bounds.DETECTION.trial_successes):
-            bench.request("riders-2")
-        bench.wait(datetime.timedelta(seconds=2))
+            simulation.request("riders-2")
+        simulation.wait(datetime.timedelta(seconds=2))
 
-        self.assertEqual(["riders-2"], bench.ejected())
+        self.assertEqual(["riders-2"], simulation.ejected())
--- a/endivewind/tests/decisions/poison_tests.py
+++ b/endivewind/tests/decisions/poison_tests.py
@@ -1,4 +1,4 @@
-"""Tests of telling requests that crash targets from innocent ones."""
+"""Tests of the detection of poison requests."""
 
 import datetime
 import unittest
@@ -8,53 +8,57 @@
 _MINUTE = datetime.timedelta(minutes=1)
 
 
-class PoisonBookTest(unittest.TestCase):
-    """What counts against a request, and what clears it."""
+class PoisonRequestDetectorTest(unittest.TestCase):
+    """Which crashes block a request, and which responses clear it."""
 
     def setUp(self):
-        self.book = poison.PoisonBook()
+        self.detector = poison.PoisonBook()
 
-    def test_second_target_lost_refuses_it_for_the_hold(self):
-        self.book.crashed(b"bad", "t1", _MINUTE)
-        self.assertIsNone(self.book.refused_for(b"bad", _MINUTE))
+    def test_second_crashed_target_blocks_request(self):
+        self.detector.crashed(b"bad", "t1", _MINUTE)
+        self.assertIsNone(self.detector.refused_for(b"bad", _MINUTE))
 
-        self.book.crashed(b"bad", "t2", 2 * _MINUTE)
+        self.detector.crashed(b"bad", "t2", 2 * _MINUTE)
 
-        left = self.book.refused_for(b"bad", 3 * _MINUTE)
-        self.assertEqual(poison.HOLD - _MINUTE, left)
-        self.assertIsNone(self.book.refused_for(b"other", 3 * _MINUTE))
+        remaining = self.detector.refused_for(b"bad", 3 * _MINUTE)
+        self.assertEqual(poison.HOLD - _MINUTE, remaining)
+        self.assertIsNone(self.detector.refused_for(b"other", 3 * _MINUTE))
 
-    def test_one_target_lost_twice_is_that_target(self):
-        """A target that keeps failing blames no request.
+    def test_repeated_crash_of_one_target_blocks_nothing(self):
+        """A target that crashes repeatedly must not block a request.
 
-        Its own fault loses every connection; the same request meets it twice.
+        The target's own fault closes each connection, and the same request was
+        sent to it twice.
         """
-        self.book.crashed(b"bad", "t1", _MINUTE)
-        self.book.crashed(b"bad", "t1", _MINUTE)
+        self.detector.crashed(b"bad", "t1", _MINUTE)
+        self.detector.crashed(b"bad", "t1", _MINUTE)
 
-        self.assertIsNone(self.book.refused_for(b"bad", _MINUTE))
+        self.assertIsNone(self.detector.refused_for(b"bad", _MINUTE))
 
-    def test_popular_request_is_cleared_by_its_answers(self):
-        """A look-up that everyone sends is on every target that crashes.
+    def test_response_clears_frequent_request(self):
+        """A request that all callers send is running at each crashed target.
 
-        Two targets crash for other reasons; between them the same look-up was
-        answered, so refusing it would refuse a whole service's callers.
+        Two targets crash for other reasons, and between the crashes the same
+        request got a response. Blocking it would refuse all callers of the
+        service.
         """
-        self.book.crashed(b"popular", "t1", _MINUTE)
-        self.book.answered(b"popular")
-        self.book.crashed(b"popular", "t2", _MINUTE)
+        self.detector.crashed(b"popular", "t1", _MINUTE)
+        self.detector.answered(b"popular")
+        self.detector.crashed(b"popular", "t2", _MINUTE)
 
-        self.assertIsNone(self.book.refused_for(b"popular", _MINUTE))
+        self.assertIsNone(self.detector.refused_for(b"popular", _MINUTE))
 
-    def test_it_may_come_back_after_the_hold(self):
-        self.book.crashed(b"bad", "t1", _MINUTE)
-        self.book.crashed(b"bad", "t2", _MINUTE)
+    def test_block_expires(self):
+        self.detector.crashed(b"bad", "t1", _MINUTE)
+        self.detector.crashed(b"bad", "t2", _MINUTE)
 
-        self.assertIsNone(self.book.refused_for(b"bad", _MINUTE + poison.HOLD))
-        self.assertEqual(0, len(self.book))
+        self.assertIsNone(
+            self.detector.refused_for(b"bad", _MINUTE + poison.HOLD)
+        )
+        self.assertEqual(0, len(self.detector))
 
-    def test_suspects_are_bounded(self):
+    def test_number_of_suspects_is_limited(self):
         for number in range(2 * poison.MAX_SUSPECTS):
-            self.book.crashed(str(number).encode(), "t1", _MINUTE)
+            self.detector.crashed(str(number).encode(), "t1", _MINUTE)
 
-        self.assertEqual(poison.MAX_SUSPECTS, len(self.book))
+        self.assertEqual(poison.MAX_SUSPECTS, len(self.detector))
--- a/endivewind/tests/decisions/ramp_tests.py
+++ b/endivewind/tests/decisions/ramp_tests.py
@@ -1,4 +1,4 @@
-"""The ramp of a target that has just come or come back."""
+"""Tests of the slow start of new and returning targets."""
 
 import datetime
 import unittest
@@ -6,27 +6,27 @@
 from endivewind.decisions import ramp
 
 
-class RampsTest(unittest.TestCase):
-    """A target returns, and every entry has work for it.
+class SlowStartTest(unittest.TestCase):
+    """A target returns, and every ingress node has requests for it.
 
-    With all slots at once it would be cold for a full load, and its callers
-    would wait for the slowest answers of the service.
+    With all slots at once the target would get full load while it is cold, and
+    its callers would wait for the slowest responses of the service.
     """
 
     def test_grows_from_one_slot_to_all(self):
-        ramps = ramp.Ramps()
+        ramp_up = ramp.Ramps()
         start = datetime.timedelta(seconds=5)
-        ramps.begin("a", start)
+        ramp_up.begin("a", start)
 
-        seen = [
-            ramps.slots("a", 6, start + ramp.SPAN * part / 4)
-            for part in range(5)
+        usable_slots = [
+            ramp_up.slots("a", 6, start + ramp.SPAN * quarter / 4)
+            for quarter in range(5)
         ]
 
-        self.assertEqual([1, 1, 3, 4, 6], seen)
+        self.assertEqual([1, 1, 3, 4, 6], usable_slots)
 
-    def test_others_keep_their_slots(self):
-        ramps = ramp.Ramps()
-        ramps.begin("a", datetime.timedelta())
+    def test_other_targets_keep_their_slots(self):
+        ramp_up = ramp.Ramps()
+        ramp_up.begin("a", datetime.timedelta())
 
-        self.assertEqual(6, ramps.slots("b", 6, datetime.timedelta()))
+        self.assertEqual(6, ramp_up.slots("b", 6, datetime.timedelta()))
--- a/endivewind/tests/decisions/splitting_tests.py
+++ b/endivewind/tests/decisions/splitting_tests.py
@@ -1,4 +1,4 @@
-"""Shares of a route's requests."""
+"""Tests of weighted traffic splitting."""
 
 import collections
 import random
@@ -10,11 +10,11 @@
 from endivewind.decisions import splitting
 
 
-class SplitterTest(unittest.TestCase):
-    """Operators move a part of a route's requests to a new service.
+class TrafficSplitterTest(unittest.TestCase):
+    """Operators move a share of a route's requests to a new service.
 
-    They judge the new service by what it gets; a share that is far off for
-    seconds would mislead them.
+    They evaluate the new service by the load it gets; a share that deviates
+    for seconds would mislead them.
     """
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
@@ -22,35 +22,36 @@
         strategies.lists(strategies.integers(1, 100), min_size=1, max_size=5),
         strategies.integers(0, 1000),
     )
-    def test_every_part_gets_its_share(self, weights, seed):
-        parts = [
+    def test_every_service_gets_its_share(self, weights, seed):
+        services = [
             splitting.Part(f"s{number}", weight)
             for number, weight in enumerate(weights)
         ]
-        splitter = splitting.Splitter(parts, random.Random(seed))
+        splitter = splitting.Splitter(services, random.Random(seed))
         count = 4 * sum(weights)
 
-        given = collections.Counter(splitter.next() for _ in range(count))
+        selected = collections.Counter(splitter.next() for _ in range(count))
 
-        for part in parts:
-            # One more or less at each end, for where the entry began.
+        for candidate in services:
+            # Off by one at each end, because of the random start position.
             self.assertLessEqual(
-                abs(given[part.service] - 4 * part.weight), len(parts)
+                abs(selected[candidate.service] - 4 * candidate.weight),
+                len(services),
             )
 
-    def test_a_part_without_weight_gets_nothing(self):
-        parts = [splitting.Part("old", 5), splitting.Part("new", 0)]
-        splitter = splitting.Splitter(parts, random.Random(1))
+    def test_service_with_zero_weight_gets_nothing(self):
+        services = [splitting.Part("old", 5), splitting.Part("new", 0)]
+        splitter = splitting.Splitter(services, random.Random(1))
 
-        given = {splitter.next() for _ in range(50)}
+        selected = {splitter.next() for _ in range(50)}
 
-        self.assertEqual({"old"}, given)
+        self.assertEqual({"old"}, selected)
 
-    def test_entries_do_not_begin_with_the_same_part(self):
-        parts = [splitting.Part("old", 1), splitting.Part("new", 1)]
-        first = collections.Counter(
-            splitting.Splitter(parts, random.Random(seed)).next()
+    def test_ingress_nodes_start_with_different_services(self):
+        services = [splitting.Part("old", 1), splitting.Part("new", 1)]
+        first_services = collections.Counter(
+            splitting.Splitter(services, random.Random(seed)).next()
             for seed in range(200)
         )
 
-        self.assertGreater(min(first.values()), 60)
+        self.assertGreater(min(first_services.values()), 60)
