--- a/endivewind/decisions/latency.py
+++ b/endivewind/decisions/latency.py
@@ -1,6 +1,7 @@
-"""Histogram of a service's recent latencies with exponential buckets.
+"""Histogram of a service's latencies over the last minutes.
 
-Used by `baseline` for the median latency.
+Has a fixed size and exponential buckets. Used by `baseline` for the median
+latency.
 """
 
 import array
