--- /dev/null
+++ b/endivewind/tests/decisions/slow_start_tests.py
@@ -0,0 +1,32 @@
+"""Tests of the slow start of new and returning targets."""
+
+import datetime
+import unittest
+
+from endivewind.decisions import ramp
+
+
+class SlowStartTest(unittest.TestCase):
+    """A target returns, and every ingress node has requests for it.
+
+    With all slots at once the target would get full load while it is cold, and
+    its callers would wait for the slowest responses of the service.
+    """
+
+    def test_grows_from_one_slot_to_all(self):
+        ramp_up = ramp.Ramps()
+        start = datetime.timedelta(seconds=5)
+        ramp_up.begin("a", start)
+
+        usable_slots = [
+            ramp_up.slots("a", 6, start + ramp.SPAN * quarter / 4)
+            for quarter in range(5)
+        ]
+
+        self.assertEqual([1, 1, 3, 4, 6], usable_slots)
+
+    def test_other_targets_keep_their_slots(self):
+        ramp_up = ramp.Ramps()
+        ramp_up.begin("a", datetime.timedelta())
+
+        self.assertEqual(6, ramp_up.slots("b", 6, datetime.timedelta()))
--- /dev/null
+++ b/endivewind/tests/decisions/traffic_splitting_tests.py
@@ -0,0 +1,57 @@
+"""Tests of weighted traffic splitting."""
+
+import collections
+import random
+import unittest
+
+import hypothesis
+from hypothesis import strategies
+
+from endivewind.decisions import splitting
+
+
+class TrafficSplitterTest(unittest.TestCase):
+    """Operators move a share of a route's requests to a new service.
+
+    They evaluate the new service by the load it gets; a share that deviates
+    for seconds would mislead them.
+    """
+
+    @hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
+    @hypothesis.given(
+        strategies.lists(strategies.integers(1, 100), min_size=1, max_size=5),
+        strategies.integers(0, 1000),
+    )
+    def test_every_service_gets_its_share(self, weights, seed):
+        services = [
+            splitting.Part(f"s{number}", weight)
+            for number, weight in enumerate(weights)
+        ]
+        splitter = splitting.Splitter(services, random.Random(seed))
+        count = 4 * sum(weights)
+
+        selected = collections.Counter(splitter.next() for _ in range(count))
+
+        for candidate in services:
+            # Off by one at each end, because of the random start position.
+            self.assertLessEqual(
+                abs(selected[candidate.service] - 4 * candidate.weight),
+                len(services),
+            )
+
+    def test_service_with_zero_weight_gets_nothing(self):
+        services = [splitting.Part("old", 5), splitting.Part("new", 0)]
+        splitter = splitting.Splitter(services, random.Random(1))
+
+        selected = {splitter.next() for _ in range(50)}
+
+        self.assertEqual({"old"}, selected)
+
+    def test_ingress_nodes_start_with_different_services(self):
+        services = [splitting.Part("old", 1), splitting.Part("new", 1)]
+        first_services = collections.Counter(
+            splitting.Splitter(services, random.Random(seed)).next()
+            for seed in range(200)
+        )
+
+        self.assertGreater(min(first_services.values()), 60)
