--- a/endivewind/decisions/placing.py
+++ b/endivewind/decisions/placing.py
@@ -1,4 +1,10 @@
-"""Places a request at one of the targets of its service."""
+"""Load balancing: chooses the target that a request is sent to.
+
+Targets are grouped into tiers by locality: the node's own availability zone,
+its region, other regions. Each node uses a subset of every tier, chosen by
+rendezvous hashing, and takes the better of two random targets (power of two
+choices). `callers/placement.py` supplies the load and calls `choose`.
+"""
 
 import collections.abc
 import dataclasses
@@ -12,34 +18,36 @@
 from endivewind.decisions import floor
 from endivewind.decisions import suspicion
 
-# An entry uses this many targets of a service in each tier. It bounds the
-# work for a request, and the connections, at services of any size.
+# Targets of a service that a node uses in each tier. Bounds the work per
+# request and the number of connections for services of any size.
 SUBSET = 24
-# One request in so many goes to a target in trial, while there is one.
+# One in this many idempotent requests goes to a target in trial, if any.
 TRIAL_EVERY = 20
-_FAR = 2
-# A latency that is so many times another's says that a target is slower.
+_CROSS_REGION_TIER = 2
+# A target counts as slower if its latency is this many times the other's.
 CLEARLY = 2
-_CHOICES = 2
-# How likely a target may be sick before work goes past it to the next tier.
-# What must not repeat is lost with it, and worth more than the bytes to the
-# next zone from about one in seven on; what may be repeated costs a retry,
-# which pays up to about even odds.
+_CHOICE_COUNT = 2
+# Suspicion above which a target is passed over for the next tier. A request
+# that is not idempotent is lost if it fails, which costs more than the bytes
+# to the next zone from a probability of about one in seven. An idempotent one
+# costs a retry, which is worth it up to about even odds.
 RISK_ONCE = 0.15
 RISK_REPEATABLE = 0.5
-# What must not repeat goes past its whole region only where it would likelier
-# be lost than not: bytes between regions are paid for by volume, and it brings
-# a body besides its answer.
+# A request that is not idempotent leaves its region only where it would more
+# likely than not be lost: traffic between regions is billed by volume, and such
+# a request carries a body in addition to its response.
 RISK_FAR = 0.6
-# Between two good ones, this much of a slot's load for a sure sickness.
+# Cost of a suspicion of 1 when two targets of the same rank are compared, as
+# a multiple of the load of a full target.
 DOUBT_ONCE = 3.0
 DOUBT_REPEATABLE = 0.5
-# A target in doubt gets every other repeatable request of its zone, one at a
-# time, until it is clear.
+# Share of its zone's idempotent requests that may probe a suspect target, one
+# at a time, until its state is clear.
 PROBE_SHARE = 0.5
-# Seconds between an entry's questions: entries of a zone that all doubt one
-# target would else send at once. Above even odds they grow to one second, a
-# fifth of what a spell of sickness lasts.
+# Minimum time since the last report on a target before a node probes it:
+# otherwise all nodes of a zone that suspect it would probe it at once. Above
+# PROBE_BACKOFF_THRESHOLD the interval grows with the suspicion to about one
+# second, a fifth of the mean time that a target stays unhealthy.
 PROBE_GAP = 0.15
 PROBE_AT_ONCE = 0.4
 PROBE_GAP_SURE = 1.5
@@ -47,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """Where an entry is, for placing near it."""
+    """The location of a node, used to prefer targets near it."""
 
     node: str
     region: str
@@ -56,12 +64,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pool:
-    """Where one entry places a service's work, made anew for each view.
+    """The targets of a service that one node uses.
+
+    Built anew for each version of the fleet's view.
 
     Attributes:
-      tiers: targets of the entry's zone, of its region, and elsewhere.
-      trials: targets that get a few idempotent requests.
-      slots: of all admitted targets, this entry's subset or not.
+      tiers: targets in the node's zone, in the rest of its region, and in
+        other regions.
+      trials: targets in trial, which get a few idempotent requests.
+      slots: the sum over all admitted targets, including those outside this
+        node's subset.
     """
 
     tiers: tuple[tuple[floor.Candidate, ...], ...]
@@ -76,29 +88,30 @@
         place: Place,
         share: float = floor.DEFAULT_SHARE,
     ) -> "Pool":
-        """Applies the floor and takes this entry's subset."""
-        kept = floor.admitted(candidates, floor_slots, share)
-        names = {item.id for item in kept}
+        """Applies the capacity floor and takes this node's subset."""
+        admitted = floor.admitted(candidates, floor_slots, share)
+        admitted_ids = {item.id for item in admitted}
         trials = [
             item
             for item in candidates
-            if item.status is ejection.Status.TRIAL and item.id not in names
+            if item.status is ejection.Status.TRIAL
+            and item.id not in admitted_ids
         ]
         tiers: tuple[list[floor.Candidate], ...] = ([], [], [])
-        for item in kept:
-            tiers[_distance(place, item)].append(item)
+        for item in admitted:
+            tiers[_tier_number(place, item)].append(item)
         return cls(
             tuple(_subset(tier, place.node) for tier in tiers),
             _subset(trials, place.node),
-            sum(item.slots for item in kept),
+            sum(item.slots for item in admitted),
         )
 
     def targets(self) -> set[str]:
-        """Those that may get normal work of this entry."""
+        """Returns the ids of all targets that get this node's normal work."""
         return {item.id for tier in self.tiers for item in tier}
 
     def normal_targets(self) -> set[str]:
-        """The same without those that only the floor has brought back."""
+        """Returns the same without targets admitted only by the floor."""
         return {
             item.id
             for tier in self.tiers
@@ -109,17 +122,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """What a request asks of its place.
+    """What a request demands of the target it is sent to.
 
     Attributes:
-      repeatable: whether it may run again, so that a trial can do no harm.
-      excluded: targets that it must not go to.
-      patience: seconds that it may wait in a near target's queue rather than
-        go to one that is farther away.
-      may_probe: whether the retries left allow it to be sent where it may
-        well fail.
-      is_last: whether no other target may be tried after this one, by its
-        route or because retries are used up.
+      is_idempotent: whether it may run more than once, so that a failure at
+        a target in trial does no harm.
+      excluded: targets that it must not be sent to.
+      max_wait: seconds that it may wait in the queue of a target in its zone or
+        region rather than go to the next tier.
+      may_probe: whether enough of the retry budget is left to send it to a
+        target that is likely to fail.
+      is_last_attempt: whether no other target may be tried after this one,
+        because of its route or because the retry budget is spent.
     """
 
     repeatable: bool
@@ -130,218 +144,238 @@
 
     @property
     def may_fail(self) -> bool:
-        """Whether another target can still make up for a failure."""
+        """Whether it can be retried at another target if it fails."""
         return self.repeatable and not self.is_last
 
     @property
     def risk(self) -> float:
-        """How likely a target may be sick to count as a good one."""
+        """The highest suspicion at which a target still counts as healthy."""
         return RISK_REPEATABLE if self.may_fail else RISK_ONCE
 
     @property
     def far_risk(self) -> float:
-        """How likely one near by may be sick before it goes far instead."""
+        """Suspicion of targets in the region above which it leaves it."""
         return self.risk if self.repeatable else RISK_FAR
 
 
 class Load(Protocol):
-    """What the entry knows of its targets' load."""
+    """What the node knows of the load and health of its targets."""
 
     def in_use(self, item: floor.Candidate) -> float:
-        """Requests that are there now, as far as this entry knows."""
+        """Estimates the number of requests running at a target."""
 
     def own(self, target: str) -> int:
-        """Requests of this entry that are there now."""
+        """Returns the number of this node's requests running at a target."""
 
     def latency(self, target: str) -> float:
-        """Usual latency in seconds; 0 where nothing is known."""
+        """Returns the usual latency in seconds; 0 if it is unknown."""
 
     def wait(self, item: floor.Candidate) -> float:
-        """Seconds that a request would wait for one of its slots."""
+        """Estimates the seconds that a request would wait for a slot."""
 
     def suspicion(self, target: str) -> float:
-        """How likely it is sick."""
+        """Returns the probability that a target is unhealthy."""
 
     def told_ago(self, target: str) -> float:
-        """Seconds since its home has told of it."""
+        """Returns the seconds since a target's home last reported on it."""
 
     def reaches(self, home: str) -> bool:
-        """Whether the path from this entry to a home is open."""
+        """Whether the circuit breaker lets this node send to a home."""
 
     def slots(self, item: floor.Candidate) -> int:
-        """Slots of it that this entry may use now."""
+        """Returns how many of a target's slots this node may use now."""
 
     def affords(self, region: str) -> bool:
-        """Whether the traffic budget allows work in another region."""
+        """Whether the cross-region traffic budget allows another request."""
 
     def is_resting(self, target: str) -> bool:
-        """Whether it refused work a moment ago."""
+        """Whether a target refused a request a moment ago."""
 
 
 class _Rank(enum.IntEnum):
-    """How good a place is; the lowest rank that any target has is taken.
+    """Preference of a target for a request; the lowest rank is taken.
 
-    A slot in the own zone costs nothing; a short wait there costs less than
-    the bytes to another zone, and much less than those to another region.
-    Only what is likely to fail is worse than a far region. The last ranks
-    are for what would else be refused.
+    A free slot in the own zone costs nothing. A short wait there costs less
+    than the bytes to another zone, and much less than those to another region.
+    Only a target that is likely to fail is worse than a remote region. The
+    last ranks serve requests that would otherwise be refused.
     """
 
     ZONE_FREE = 0
     ZONE_QUEUED = 1
     REGION_FREE = 2
     REGION_QUEUED = 3
-    NEAR_DOUBTFUL = 4
-    FAR_FREE = 5
-    NEAR_RISKY = 6
-    FAR_RISKY = 7
-    CUT = 8
+    REGION_SUSPECT = 4
+    REMOTE_FREE = 5
+    REGION_UNHEALTHY = 6
+    REMOTE_UNHEALTHY = 7
+    UNREACHABLE = 8
 
 
-_FREE = (_Rank.ZONE_FREE, _Rank.REGION_FREE, _Rank.FAR_FREE)
+# Ranks by number of tier.
+_FREE = (_Rank.ZONE_FREE, _Rank.REGION_FREE, _Rank.REMOTE_FREE)
 _QUEUED = (_Rank.ZONE_QUEUED, _Rank.REGION_QUEUED, None)
-_DOUBTFUL = (_Rank.NEAR_DOUBTFUL, _Rank.NEAR_DOUBTFUL, _Rank.FAR_RISKY)
-_RISKY = (_Rank.NEAR_RISKY, _Rank.NEAR_RISKY, _Rank.FAR_RISKY)
-# The worst rank that beats anything which the next tiers may have.
-_LAST_NEAR = (_Rank.ZONE_QUEUED, _Rank.REGION_QUEUED, _Rank.CUT)
+_SUSPECT = (_Rank.REGION_SUSPECT, _Rank.REGION_SUSPECT, _Rank.REMOTE_UNHEALTHY)
+_UNHEALTHY = (
+    _Rank.REGION_UNHEALTHY,
+    _Rank.REGION_UNHEALTHY,
+    _Rank.REMOTE_UNHEALTHY,
+)
+# The worst rank in each tier that no later tier can improve on.
+_WORST_RANK_IN_TIER = (
+    _Rank.ZONE_QUEUED,
+    _Rank.REGION_QUEUED,
+    _Rank.UNREACHABLE,
+)
 
 
 def choose(
     pool: Pool, demand: Demand, load: Load, rng: random.Random
 ) -> floor.Candidate | None:
-    """Takes the better of two random candidates of the best rank.
-
-    Load: many entries place at the same targets at once. Harm: if each took
-    the least loaded, all would take the same one, first of all a target that
-    has just come and is empty. Two random choices spread the work and still
-    avoid a loaded, slow or doubtful target. A tier that has no room is left
-    for the next one, since a far answer beats none.
+    """Chooses the better of two random targets of the best rank.
+
+    Load: many nodes choose among the same targets at the same time. Harm: if
+    each took the least loaded one, all would take the same, above all a target
+    that has just joined and is empty. The power of two choices spreads the
+    requests and still avoids loaded, slow or suspect targets. If a tier has no
+    capacity the next one is used: a remote response is better than none.
+
+    Args:
+      pool: the targets that this node uses.
+      demand: what the request demands.
+      load: the load and health of the targets.
+      rng: source of the random choices.
+
+    Returns:
+      The target, or None if no target can take the request now.
     """
     if demand.repeatable and pool.trials and not rng.randrange(TRIAL_EVERY):
-        tried = _trial(pool.trials, demand, load, rng)
+        tried = _choose_trial(pool.trials, demand, load, rng)
         if tried:
             return tried
     if demand.may_probe and rng.random() < PROBE_SHARE:
-        probed = _probe(pool.tiers[0], demand, load, rng)
+        probed = _choose_probe(pool.tiers[0], demand, load, rng)
         if probed:
             return probed
-    found = _best(pool.tiers, demand, load, rng)
-    if found is None:
+    best = _best_rank(pool.tiers, demand, load, rng)
+    if best is None:
         return None
-    rank, same = found
-    if rank in _RISKY or rank in _DOUBTFUL:
-        return min(same, key=lambda item: load.suspicion(item.id))
-    return _better(same[:_CHOICES], demand, load)
+    rank, candidates = best
+    if rank in _UNHEALTHY or rank in _SUSPECT:
+        return min(candidates, key=lambda item: load.suspicion(item.id))
+    return _least_cost(candidates[:_CHOICE_COUNT], demand, load)
 
 
-def _best(
+def _best_rank(
     tiers: tuple[tuple[floor.Candidate, ...], ...],
     demand: Demand,
     load: Load,
     rng: random.Random,
 ) -> tuple[_Rank, list[floor.Candidate]] | None:
-    """The lowest rank that any target has, and targets that have it.
+    """Finds the lowest rank of any target, and targets that have it.
 
-    A tier is looked at only where none before it has what it could offer at
-    best, and no longer than until there are enough to choose from.
+    Stops at the first tier that no later tier can improve on, and stops
+    scanning a tier once it has two targets with a free slot to choose from.
     """
-    found: dict[_Rank, list[floor.Candidate]] = {}
+    by_rank: dict[_Rank, list[floor.Candidate]] = {}
     for number, tier in enumerate(tiers):
-        for item in _in_random_order(tier, rng):
-            rank = _rank_of(item, number, demand, load)
+        for item in _shuffled(tier, rng):
+            rank = _target_rank(item, number, demand, load)
             if rank is not None:
-                found.setdefault(rank, []).append(item)
-            if len(found.get(_FREE[number], ())) == _CHOICES:
+                by_rank.setdefault(rank, []).append(item)
+            if len(by_rank.get(_FREE[number], ())) == _CHOICE_COUNT:
                 break
-        if found and min(found) <= _LAST_NEAR[number]:
+        if by_rank and min(by_rank) <= _WORST_RANK_IN_TIER[number]:
             break
-    if not found:
+    if not by_rank:
         return None
-    rank = min(found)
-    return rank, found[rank]
+    rank = min(by_rank)
+    return rank, by_rank[rank]
 
 
-def _rank_of(
+def _target_rank(
     item: floor.Candidate, tier: int, demand: Demand, load: Load
 ) -> _Rank | None:
-    """The rank of one target for a request; None if it can't go there."""
+    """Ranks a target for a request; None if it can't take the request."""
     if item.id in demand.excluded or load.is_resting(item.id):
         return None
     free = load.in_use(item) < load.slots(item)
-    soon = free or 0 < load.wait(item) <= demand.patience
-    affordable = tier != _FAR or load.affords(item.region)
-    if not (soon and affordable):
+    can_start = free or 0 < load.wait(item) <= demand.patience
+    affordable = tier != _CROSS_REGION_TIER or load.affords(item.region)
+    if not (can_start and affordable):
         return None
     if not load.reaches(item.home):
-        # Where every path has failed, a doubtful one is better than none.
-        return _Rank.CUT if free else None
-    doubt = load.suspicion(item.id)
-    if doubt > demand.far_risk:
-        return _RISKY[tier]
-    if doubt > demand.risk:
-        return _DOUBTFUL[tier]
+        # If the paths to all homes have failed, trying one is better than
+        # refusing the request.
+        return _Rank.UNREACHABLE if free else None
+    risk = load.suspicion(item.id)
+    if risk > demand.far_risk:
+        return _UNHEALTHY[tier]
+    if risk > demand.risk:
+        return _SUSPECT[tier]
     return _FREE[tier] if free else _QUEUED[tier]
 
 
-def _probe(
+def _choose_probe(
     tier: tuple[floor.Candidate, ...],
     demand: Demand,
     load: Load,
     rng: random.Random,
 ) -> floor.Candidate | None:
-    """A doubtful target near by that needs a request to tell how it is.
-
-    Load: work that must not repeat avoids a target that failed once. Harm:
-    with nothing sent there nobody learns that it is well again, or was never
-    sick, and capacity stays unused. What may be repeated finds out, one at a
-    time, and is sent again elsewhere if it fails. The surer the sickness, the
-    longer the pause: such a question mostly costs a retry and tells nothing.
+    """Finds a suspect target of the zone to probe with this request.
+
+    Load: requests that are not idempotent avoid a target after one failure.
+    Harm: without requests nobody learns that it has recovered or was never
+    unhealthy, and its capacity stays unused. Idempotent requests probe it, one
+    at a time, and are retried elsewhere if they fail. The higher the suspicion
+    the longer the interval between probes, since a probe of a target that is
+    almost certainly unhealthy costs a retry and yields little information.
     """
-    for item in _in_random_order(tier, rng):
-        doubt = load.suspicion(item.id)
-        sure = max(0.0, doubt - PROBE_AT_ONCE)
-        gap = PROBE_GAP + PROBE_GAP_SURE * sure
-        if doubt < suspicion.DOUBTFUL or load.own(item.id):
+    for item in _shuffled(tier, rng):
+        risk = load.suspicion(item.id)
+        excess = max(0.0, risk - PROBE_AT_ONCE)
+        interval = PROBE_GAP + PROBE_GAP_SURE * excess
+        if risk < suspicion.DOUBTFUL or load.own(item.id):
             continue
-        if load.told_ago(item.id) < gap:
+        if load.told_ago(item.id) < interval:
             continue
-        rank = _rank_of(item, 0, demand, load)
+        rank = _target_rank(item, 0, demand, load)
         if rank in (
             _Rank.ZONE_FREE,
-            _Rank.NEAR_DOUBTFUL,
-            _Rank.NEAR_RISKY,
+            _Rank.REGION_SUSPECT,
+            _Rank.REGION_UNHEALTHY,
         ):
             return item
     return None
 
 
-def _trial(
+def _choose_trial(
     trials: tuple[floor.Candidate, ...],
     demand: Demand,
     load: Load,
     rng: random.Random,
 ) -> floor.Candidate | None:
-    """A target in trial that has no work of this entry yet."""
+    """Picks a random target in trial, if it is idle as far as is known."""
     item = rng.choice(trials)
     busy = load.in_use(item) or load.is_resting(item.id)
     return None if busy or item.id in demand.excluded else item
 
 
-def _in_random_order(
+def _shuffled(
     tier: tuple[floor.Candidate, ...], rng: random.Random
 ) -> collections.abc.Iterator[floor.Candidate]:
-    """Each target of a tier once."""
+    """Yields each target of a tier once, in a cheap random order."""
     size = len(tier)
     if not size:
         return
-    # A step that shares no factor with the size visits each target once.
+    # A step that is coprime to the size visits each target exactly once.
     start = rng.randrange(size)
-    step = _coprime(size, rng)
+    step = _random_coprime(size, rng)
     for number in range(size):
         yield tier[(start + number * step) % size]
 
 
-def _coprime(size: int, rng: random.Random) -> int:
+def _random_coprime(size: int, rng: random.Random) -> int:
     if size < 3:
         return 1
     while True:
@@ -350,18 +384,19 @@
             return step
 
 
-def _better(
+def _least_cost(
     items: list[floor.Candidate], demand: Demand, load: Load
 ) -> floor.Candidate:
-    """The less loaded one; of a clearly slower one, its latency counts too.
+    """Returns the target with the lower cost: load plus suspicion.
 
-    Small differences are noise, and a target that is never chosen for them
-    would keep its old latency for ever.
+    The cost is multiplied by the latency only if one target is clearly slower.
+    Small differences are noise, and a target that is avoided because of them
+    gets no requests that could update its latency.
     """
-    doubt = DOUBT_REPEATABLE if demand.may_fail else DOUBT_ONCE
+    weight = DOUBT_REPEATABLE if demand.may_fail else DOUBT_ONCE
     costs = [
         (load.in_use(item) + 1) / item.slots
-        + doubt * _doubt_above_usual(item, load)
+        + weight * _excess_suspicion(item, load)
         for item in items
     ]
     latencies = [load.latency(item.id) for item in items]
@@ -373,18 +408,18 @@
     return items[costs.index(min(costs))]
 
 
-def _doubt_above_usual(item: floor.Candidate, load: Load) -> float:
-    """How much likelier it is sick than a target that nothing is known of.
+def _excess_suspicion(item: floor.Candidate, load: Load) -> float:
+    """Returns the suspicion above that of a target without any reports.
 
-    Load: few requests, most targets idle, some of them proven by their
-    answers. Harm: if less doubt than the usual counted for a target, the
-    proven ones would always win over one that has just come or has long been
-    idle; it would get no work for ever, and so nothing to prove itself by.
+    Load: few requests, and most targets idle; some of them have recent
+    successes. Harm: if a suspicion below the prior counted in favour of a
+    target, those with successes would always win over one that has just joined
+    or has long been idle, which would never get a request to succeed with.
     """
     return max(0.0, load.suspicion(item.id) - suspicion.UNKNOWN)
 
 
-def _distance(place: Place, item: floor.Candidate) -> int:
+def _tier_number(place: Place, item: floor.Candidate) -> int:
     if item.region != place.region:
         return 2
     return 0 if item.zone == place.zone else 1
@@ -393,15 +428,17 @@
 def _subset(
     items: list[floor.Candidate], node: str
 ) -> tuple[floor.Candidate, ...]:
-    """The same few targets for an entry as long as they exist.
+    """Chooses a stable subset of targets for a node by rendezvous hashing.
 
-    Rendezvous hashing: a target that comes or goes changes the subsets by no
-    more than itself, and each target is in as many subsets as the others.
+    A target that joins or leaves changes each subset by one target at most,
+    and each target is in about as many subsets as any other.
     """
     if len(items) <= SUBSET:
         return tuple(items)
-    return tuple(sorted(items, key=lambda item: _rank(node, item.id))[:SUBSET])
+    return tuple(
+        sorted(items, key=lambda item: _rendezvous_hash(node, item.id))[:SUBSET]
+    )
 
 
-def _rank(node: str, target: str) -> bytes:
+def _rendezvous_hash(node: str, target: str) -> bytes:
     return hashlib.blake2b(f"{node} {target}".encode(), digest_size=8).digest()
