--- a/endivewind/decisions/admission.py
+++ b/endivewind/decisions/admission.py
@@ -1,4 +1,9 @@
-"""Who waits for a slot of a service at one entry, and who is refused."""
+"""Admission queue for requests that wait for a slot of a service.
+
+A bounded priority queue with weighted fair queueing between workspaces. Used
+by the nodes that callers reach (`callers/waiting.py`) and in front of targets
+(`targets/slots.py`).
+"""
 
 import dataclasses
 import datetime
@@ -6,14 +11,14 @@
 import heapq
 import itertools
 
-# Each completion moves the measured rate of completions by this part.
+# Weight of a new gap in the moving average of gaps between completions.
 _RATE_WEIGHT = 1 / 16
-# A gap longer than this says that the service was idle, not slow.
-_IDLE = datetime.timedelta(seconds=1)
+# After a longer gap the service was idle rather than slow.
+_MAX_COMPLETION_GAP = datetime.timedelta(seconds=1)
 
 
 class Reason(enum.Enum):
-    """Why a request is refused before any target sees it."""
+    """Why a request is rejected before it is sent to any target."""
 
     QUEUE_FULL = "the queue of the service is full"
     TOO_LATE = "the deadline would pass in the queue"
@@ -21,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """A refusal, and when coming back may help."""
+    """A rejection, and the time after which a retry may succeed."""
 
     reason: Reason
     retry_after: datetime.timedelta
@@ -29,12 +34,12 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Waiter:
-    """One request that waits.
+    """A request in the queue.
 
     Attributes:
-      workspace: whose it is.
-      weight: the workspace's share relative to others.
-      priority: higher goes first and is refused last.
+      workspace: the workspace that sent it.
+      weight: the workspace's share of the slots relative to others.
+      priority: higher priorities are served first and rejected last.
       deadline: when its caller stops waiting.
     """
 
@@ -45,44 +50,45 @@
 
 
 class ServiceQueue:
-    """A bounded queue: by priority, then fair between workspaces.
-
-    Load: more requests than slots, most of them from few workspaces. Harm:
-    first come, first served gives the slots to whoever sends most, and a
-    long queue makes every answer too late for its caller. Each workspace
-    has its own line, and the lines are served in proportion to their weights
-    (start-time fair queueing); a request that can't be served before its
-    deadline is refused when it comes and not when it is too late.
+    """A bounded queue, by priority, then fair between workspaces.
+
+    Load: more requests than slots, most of them from a few workspaces. Harm:
+    first come, first served gives the slots to whoever sends most, and a long
+    queue makes every response too late for its caller. Each workspace has its
+    own flow, and the flows are served in proportion to their weights
+    (start-time fair queueing). A request that can't be served before its
+    deadline is rejected on arrival instead of after waiting in vain.
     """
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
-        self._numbers = itertools.count()
-        # By priority, start tag and order of arrival.
+        self._sequence = itertools.count()
+        # Ordered by priority, start tag and arrival.
         self._heap: list[tuple[int, float, int, Waiter]] = []
         self._waiting: dict[Waiter, None] = {}
-        # The same by priority, so that nothing here depends on the length.
-        self._levels: dict[int, dict[Waiter, None]] = {}
-        self._finish: dict[str, float] = {}
-        self._virtual = 0.0
-        self._per_second = 0.0
-        self._ended: datetime.timedelta | None = None
+        # The same by priority, so that finding the request to replace does not
+        # take time in proportion to the queue length.
+        self._by_priority: dict[int, dict[Waiter, None]] = {}
+        self._finish_tags: dict[str, float] = {}
+        self._virtual_time = 0.0
+        self._completion_rate = 0.0
+        self._last_completion: datetime.timedelta | None = None
 
     def __len__(self) -> int:
         return len(self._waiting)
 
     def configure(self, limit: int) -> None:
-        """Takes another limit; those who wait stay."""
+        """Changes the limit; requests in the queue stay."""
         self._limit = limit
 
     def offer(
         self, waiter: Waiter, now: datetime.timedelta
     ) -> Refused | Waiter | None:
-        """Takes a request into the queue.
+        """Adds a request to the queue or rejects one.
 
         Returns:
-          None if it waits; why it is refused; or the waiter of a lower
-          priority that is refused in its place.
+          None if the request was queued; a rejection if it is refused; or the
+          waiter of a lower priority that was removed to make room for it.
         """
         wait = self.expected_wait(waiter.priority)
         if now + wait >= waiter.deadline:
@@ -90,69 +96,76 @@
         if len(self._waiting) < self._limit:
             self._push(waiter)
             return None
-        last = self._last_below(waiter.priority)
-        if last is None:
+        replaced = self._newest_below(waiter.priority)
+        if replaced is None:
             return Refused(Reason.QUEUE_FULL, wait)
-        self.remove(last)
+        self.remove(replaced)
         self._push(waiter)
-        return last
+        return replaced
 
     def first(self) -> Waiter | None:
-        """The one whose turn it is; it stays until it is removed."""
+        """Returns the next waiter to serve without removing it."""
         while self._heap and self._heap[0][3] not in self._waiting:
             heapq.heappop(self._heap)
         return self._heap[0][3] if self._heap else None
 
     def first_few(self, number: int) -> list[Waiter]:
-        """Those whose turn comes next, in order; they stay."""
-        found = heapq.nsmallest(2 * number, self._heap)
-        return [item[3] for item in found if item[3] in self._waiting][:number]
+        """Returns the next waiters in order without removing them."""
+        entries = heapq.nsmallest(2 * number, self._heap)
+        return [item[3] for item in entries if item[3] in self._waiting][
+            :number
+        ]
 
     def remove(self, waiter: Waiter) -> None:
-        """Takes out one that is served, or has left."""
+        """Removes a waiter that is served or has given up."""
         if self._heap and self._heap[0][3] is waiter:
-            self._virtual = max(self._virtual, heapq.heappop(self._heap)[1])
+            self._virtual_time = max(
+                self._virtual_time, heapq.heappop(self._heap)[1]
+            )
         self._waiting.pop(waiter, None)
-        self._levels.get(waiter.priority, {}).pop(waiter, None)
+        self._by_priority.get(waiter.priority, {}).pop(waiter, None)
         if not self._waiting:
             self._heap.clear()
-            self._finish.clear()
+            self._finish_tags.clear()
 
     def completed(self, now: datetime.timedelta) -> None:
-        """Takes note that the service has ended a request of this entry."""
-        before, self._ended = self._ended, now
-        if before is None or now - before > _IDLE:
+        """Updates the completion rate; called when a request has finished."""
+        previous, self._last_completion = self._last_completion, now
+        if previous is None or now - previous > _MAX_COMPLETION_GAP:
             return
-        gap = max((now - before).total_seconds(), 1e-4)
-        if not self._per_second:
-            self._per_second = 1 / gap
+        gap = max((now - previous).total_seconds(), 1e-4)
+        if not self._completion_rate:
+            self._completion_rate = 1 / gap
             return
-        # Averaged as a gap: a rate averaged over bursts would be too high.
-        usual = 1 / self._per_second
-        self._per_second = 1 / (usual + _RATE_WEIGHT * (gap - usual))
+        # Averages gaps, not rates: averaging rates over bursts would
+        # overestimate the rate.
+        mean_gap = 1 / self._completion_rate
+        self._completion_rate = 1 / (mean_gap + _RATE_WEIGHT * (gap - mean_gap))
 
     def expected_wait(self, priority: int) -> datetime.timedelta:
-        """How long one of this priority would wait if it came now."""
-        if not self._per_second:
+        """Estimates how long a new request of this priority would wait."""
+        if not self._completion_rate:
             return datetime.timedelta()
         ahead = sum(
-            len(level)
-            for number, level in self._levels.items()
-            if number >= priority
+            len(waiters)
+            for other, waiters in self._by_priority.items()
+            if other >= priority
         )
-        return datetime.timedelta(seconds=ahead / self._per_second)
+        return datetime.timedelta(seconds=ahead / self._completion_rate)
 
-    def _last_below(self, priority: int) -> Waiter | None:
-        """The latest of the lowest priority below this one."""
-        for number in sorted(self._levels):
-            if number < priority and self._levels[number]:
-                return next(reversed(self._levels[number]))
+    def _newest_below(self, priority: int) -> Waiter | None:
+        """Finds the newest waiter of the lowest priority below this one."""
+        for other in sorted(self._by_priority):
+            if other < priority and self._by_priority[other]:
+                return next(reversed(self._by_priority[other]))
         return None
 
     def _push(self, waiter: Waiter) -> None:
-        start = max(self._virtual, self._finish.get(waiter.workspace, 0.0))
-        self._finish[waiter.workspace] = start + 1 / waiter.weight
+        start = max(
+            self._virtual_time, self._finish_tags.get(waiter.workspace, 0.0)
+        )
+        self._finish_tags[waiter.workspace] = start + 1 / waiter.weight
         self._waiting[waiter] = None
-        self._levels.setdefault(waiter.priority, {})[waiter] = None
-        entry = (-waiter.priority, start, next(self._numbers), waiter)
+        self._by_priority.setdefault(waiter.priority, {})[waiter] = None
+        entry = (-waiter.priority, start, next(self._sequence), waiter)
         heapq.heappush(self._heap, entry)
--- a/endivewind/decisions/placing.py
+++ b/endivewind/decisions/placing.py
@@ -419,10 +419,10 @@
     return max(0.0, load.suspicion(item.id) - suspicion.UNKNOWN)
 
 
-def _tier_number(place: Place, item: floor.Candidate) -> int:
-    if item.region != place.region:
+def _tier_number(locality: Place, item: floor.Candidate) -> int:
+    if item.region != locality.region:
         return 2
-    return 0 if item.zone == place.zone else 1
+    return 0 if item.zone == locality.zone else 1
 
 
 def _subset(
--- a/endivewind/tests/decisions/admission_tests.py
+++ b/endivewind/tests/decisions/admission_tests.py
@@ -1,4 +1,4 @@
-"""Admission: who waits, who goes first, who is refused and when."""
+"""Tests of the admission queue: order, fairness and rejections."""
 
 import collections
 import datetime
@@ -18,7 +18,7 @@
 
 
 class _Service:
-    """Virtual time: slots, a queue, and what callers see."""
+    """A service with a queue and a number of slots, in virtual time."""
 
     def __init__(self, slots, limit=64):
         self.queue = admission.ServiceQueue(limit)
@@ -26,51 +26,51 @@
         self.served = []
         self.refused = []
         self._slots = slots
-        self._ends = []
-        self._started = {}
+        self._completion_times = []
+        self._arrivals = {}
 
     def arrive(self, waiter, seconds=0.1):
-        self._started[waiter] = (self.now, seconds)
-        if len(self._ends) < self._slots and not len(self.queue):
-            self._begin(waiter)
+        self._arrivals[waiter] = (self.now, seconds)
+        if len(self._completion_times) < self._slots and not len(self.queue):
+            self._start(waiter)
             return
-        offered = self.queue.offer(waiter, self.now)
-        if isinstance(offered, admission.Refused):
-            self.refused.append((waiter, offered, self.now))
-        elif offered is not None:
-            self.refused.append((offered, None, self.now))
+        outcome = self.queue.offer(waiter, self.now)
+        if isinstance(outcome, admission.Refused):
+            self.refused.append((waiter, outcome, self.now))
+        elif outcome is not None:
+            self.refused.append((outcome, None, self.now))
 
     def run(self, until):
-        while self._ends and min(self._ends) <= until:
-            self.now = min(self._ends)
-            self._ends.remove(self.now)
+        while self._completion_times and min(self._completion_times) <= until:
+            self.now = min(self._completion_times)
+            self._completion_times.remove(self.now)
             self.queue.completed(self.now)
             first = self.queue.first()
             if first is not None:
                 self.queue.remove(first)
-                self._begin(first)
+                self._start(first)
         self.now = until
 
     def waits(self):
-        """How long each served request waited, in seconds, by workspace."""
-        found = collections.defaultdict(list)
+        """Returns the seconds that served requests waited, by workspace."""
+        waits = collections.defaultdict(list)
         for waiter, wait in self.served:
-            found[waiter.workspace].append(wait.total_seconds())
-        return found
+            waits[waiter.workspace].append(wait.total_seconds())
+        return waits
 
-    def _begin(self, waiter):
-        arrived, seconds = self._started[waiter]
+    def _start(self, waiter):
+        arrived, seconds = self._arrivals[waiter]
         self.served.append((waiter, self.now - arrived))
-        self._ends.append(self.now + SECOND * seconds)
+        self._completion_times.append(self.now + SECOND * seconds)
 
 
 class LoadTest(unittest.TestCase):
-    """What callers see under load, in virtual time."""
+    """Tests what callers see under load, in virtual time."""
 
     def test_burst_of_one_workspace_does_not_delay_another(self):
-        """One workspace sends fifty at once; another sends one a second.
+        """One workspace sends fifty requests at once, another a few.
 
-        First come, first served would let the second wait behind the fifty.
+        First come, first served would make the second wait behind the fifty.
         """
         service = _Service(slots=3)
         for _ in range(50):
@@ -93,7 +93,7 @@
         )
         self.assertAlmostEqual(30, counts["large"], delta=2)
 
-    def test_payouts_go_before_browsing_at_saturation(self):
+    def test_payouts_have_priority_over_browsing_at_saturation(self):
         rng = random.Random(1)
         service = _Service(slots=3, limit=20)
         for step in range(400):
@@ -108,11 +108,11 @@
         self.assertLess(max(service.waits()["payout"]), 0.5)
         self.assertGreater(len(service.refused), 50)
 
-    def test_saturation_refuses_early_and_serves_the_rest_in_time(self):
-        """Twice the load that the slots can carry, deadlines of a second.
+    def test_saturation_rejects_early_and_serves_the_rest_in_time(self):
+        """Twice the load that the slots can carry, with deadlines of 1 s.
 
-        Without the look at the deadline every request would wait its second
-        out and fail; with it those that are admitted are served in time.
+        Without the check of the deadline on arrival every request would wait
+        for a second and fail; with it, admitted requests are served in time.
         """
         service = _Service(slots=3, limit=1_000)
         for step in range(600):
@@ -120,15 +120,17 @@
             now = service.now.total_seconds()
             service.arrive(_waiter(deadline=now + 1))
 
-        late = [wait for _, wait in service.served if wait > SECOND * 1.15]
-        self.assertLess(len(late), 0.01 * len(service.served))
+        late_waits = [
+            wait for _, wait in service.served if wait > SECOND * 1.15
+        ]
+        self.assertLess(len(late_waits), 0.01 * len(service.served))
         self.assertGreater(len(service.served), 0.9 * 300)
-        for waiter, refused, at in service.refused:
+        for waiter, rejection, at in service.refused:
             self.assertLess(at, waiter.deadline)
-            self.assertGreater(refused.retry_after, datetime.timedelta())
+            self.assertGreater(rejection.retry_after, datetime.timedelta())
 
-    def test_long_and_short_work_mixed(self):
-        """A tenth of the work takes ten times as long, from one workspace."""
+    def test_mix_of_long_and_short_requests(self):
+        """A tenth of the requests, all of one workspace, take ten times as long."""
         service = _Service(slots=6)
         for step in range(300):
             service.run(SECOND * step / 20)
@@ -155,18 +157,18 @@
         ),
         strategies.integers(0, 10),
     )
-    def test_is_bounded_and_loses_nobody(self, steps, limit):
-        """Each request waits, is served once, or is told of its refusal."""
+    def test_is_bounded_and_loses_no_request(self, steps, limit):
+        """Each request is waiting, served once, or reported as rejected."""
         queue = admission.ServiceQueue(limit)
         waiting = set()
         for workspace, priority, serve in steps:
             waiter = _waiter(workspace, 1, priority)
-            offered = queue.offer(waiter, datetime.timedelta())
-            if offered is None:
+            outcome = queue.offer(waiter, datetime.timedelta())
+            if outcome is None:
                 waiting.add(waiter)
-            elif isinstance(offered, admission.Waiter):
-                self.assertLess(offered.priority, priority)
-                waiting.remove(offered)
+            elif isinstance(outcome, admission.Waiter):
+                self.assertLess(outcome.priority, priority)
+                waiting.remove(outcome)
                 waiting.add(waiter)
             first = queue.first()
             if serve and first is not None:
@@ -177,11 +179,11 @@
             self.assertEqual(len(waiting), len(queue))
             self.assertLessEqual(len(queue), limit)
 
-    def test_one_who_leaves_frees_its_place(self):
+    def test_waiter_that_gives_up_frees_its_place(self):
         queue = admission.ServiceQueue(1)
-        gone = _waiter()
-        queue.offer(gone, datetime.timedelta())
-        queue.remove(gone)
+        cancelled = _waiter()
+        queue.offer(cancelled, datetime.timedelta())
+        queue.remove(cancelled)
 
         self.assertIsNone(queue.first())
         self.assertIsNone(queue.offer(_waiter(), datetime.timedelta()))
--- a/endivewind/tests/decisions/retries_tests.py
+++ b/endivewind/tests/decisions/retries_tests.py
@@ -1,4 +1,4 @@
-"""The retry budget bounds extra work whatever fails."""
+"""Tests that the retry budget bounds retries whatever fails."""
 
 import datetime
 import random
@@ -14,10 +14,11 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """Every target of a service fails, and every request wants three tries.
+    """Guards against retry storms: all targets of a service fail.
 
-    Without a bound the service would get three times its load when it can
-    take least; callers would see it stay down after the cause has gone.
+    With three attempts per request and no bound the service would get three
+    times its load when it can handle the least, and would stay down after the
+    cause has gone.
     """
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
@@ -34,10 +35,10 @@
         share = len(wants) * percent / 100
         self.assertLessEqual(taken, share + retries.RESERVE)
 
-    def test_a_quiet_hour_saves_up_no_storm(self):
-        """An hour without a failure, then everything fails at once.
+    def test_quiet_hour_saves_up_no_retries(self):
+        """Everything fails at once after an hour without a failure.
 
-        What may be retried is a share of the last window's requests only.
+        The budget is a share of the requests of the last window only.
         """
         budget = retries.RetryBudget(retries.RetryLimits(0.2))
         for second in range(3600):
@@ -51,8 +52,8 @@
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=50)
     @hypothesis.given(strategies.randoms(use_true_random=False))
-    def test_every_window_keeps_the_bound(self, rng):
-        """Traffic that swells and falls, and wants a retry each time."""
+    def test_every_window_stays_within_the_bound(self, rng):
+        """Traffic of varying rate in which every request needs a retry."""
         limits = retries.RetryLimits(0.2, reserve=2)
         budget = retries.RetryBudget(limits)
         asked, taken = [], []
@@ -70,13 +71,13 @@
             requests = sum(end - limits.window < at <= end for at in asked)
             self.assertLessEqual(within, 0.2 * requests + 2)
 
-    def test_a_node_uses_what_its_neighbours_have_left(self):
-        """Failures come in a bunch at one of six entries.
+    def test_node_uses_retries_that_neighbours_have_left(self):
+        """Failures come in a burst at one of six nodes.
 
-        Each has a part of two and a half retries and keeps half a one. Alone,
-        the third failure at one entry would reach its caller while ten
-        retries are left that the others share. Before its neighbours can
-        have heard, it uses no more than a sixth of them.
+        Each has a limit of two and a half retries and keeps half a retry.
+        Without sharing, the third failure at one node would reach its caller
+        although the other nodes have ten shared retries left. Before its
+        counts can have reached the others, it uses at most a sixth of them.
         """
         limits = retries.RetryLimits(0.2, reserve=0.5)
         budget = retries.RetryBudget(limits)
@@ -95,10 +96,10 @@
 
         self.assertEqual((2, 0, 1, 9), (alone, refused, at_once, soon))
 
-    def test_a_neighbour_that_tells_nothing_lends_its_reserve(self):
-        """A fleet has just started: a node has had one request, which failed.
+    def test_neighbour_without_counts_shares_its_reserve(self):
+        """A fleet has just started; a node's first request failed.
 
-        Its own part is less than one retry; the zone shares two and a half.
+        Its own limit is less than one retry; the zone shares two and a half.
         """
         limits = retries.RetryLimits(0.2, reserve=0.6, neighbours=4)
         budget = retries.RetryBudget(limits)
@@ -112,8 +113,8 @@
 
         self.assertEqual(2, taken)
 
-    def test_what_others_have_used_is_not_lent_and_ends_with_the_window(self):
-        """Others have used all that is shared; a node keeps its own fifth."""
+    def test_retries_used_by_others_are_not_shared_until_the_window_ends(self):
+        """The shared retries are spent; a node still has its own fifth."""
         limits = retries.RetryLimits(0.2, reserve=0.5)
         budget = retries.RetryBudget(limits)
         for _ in range(25):
@@ -139,36 +140,36 @@
             max_size=6,
         )
     )
-    def test_nodes_that_hear_each_other_keep_the_sum_of_their_parts(
+    def test_nodes_that_share_counts_stay_within_the_sum_of_their_limits(
         self, wants
     ):
-        """Failures come in any bunches, one node after the other.
+        """Failures come in bursts of any size, one node after the other.
 
         A node may use what others have left, and each keeps a fifth for
-        itself; lent and kept, the same retry must not be spent twice.
+        itself. No retry may be spent twice, as a shared one and a kept one.
         """
         limits = retries.RetryLimits(0.2, 0.5, neighbours=len(wants) - 1)
         nodes = [retries.RetryBudget(limits) for _ in wants]
-        parts, taken = 0.0, 0
+        bound, taken = 0.0, 0
         for number, (requests, _) in enumerate(wants):
-            parts += 0.2 * requests + 0.5
+            bound += 0.2 * requests + 0.5
             for _ in range(requests):
                 nodes[number].request(_NOW)
-            self._tell(nodes, number)
+            self._exchange_counts(nodes, number)
         for number, (_, wanted) in enumerate(wants):
             for _ in range(wanted):
                 taken += nodes[number].take(_NOW, may_borrow=True)
-            self._tell(nodes, number)
+            self._exchange_counts(nodes, number)
 
-        self.assertLessEqual(taken, parts)
+        self.assertLessEqual(taken, bound)
 
-    def _tell(self, nodes, number):
+    def _exchange_counts(self, nodes, number):
         for other, node in enumerate(nodes):
             if other != number:
                 node.hear(str(number), nodes[number].count(_NOW), _NOW)
 
-    def test_what_was_charged_is_paid_for_by_later_retries(self):
-        """Calls of a repeat count as retries, and can't be refused."""
+    def test_charged_retries_reduce_later_ones(self):
+        """Calls made by a retried request are charged, but never refused."""
         budget = retries.RetryBudget(retries.RetryLimits(0.2, reserve=3))
         for _ in range(4):
             budget.charge(_NOW)
@@ -176,21 +177,21 @@
         self.assertFalse(budget.take(_NOW, may_borrow=True))
         self.assertEqual(4, budget.count(_NOW).retries)
 
-    def test_a_storm_at_all_nodes_keeps_the_sum_of_the_parts(self):
+    def test_outage_at_all_nodes_stays_within_the_fleets_bound(self):
         """Every request of a zone fails from one moment on.
 
-        Counts arrive a quarter of a second late; in that time the nodes may
-        spend the same retries twice. The sum stays below the fleet's bound,
-        of which the nodes' parts are four fifths.
+        Counts arrive a quarter of a second late, and in that time nodes may
+        spend the same shared retries twice. The sum stays below the fleet's
+        bound; the nodes' limits add up to four fifths of it.
         """
         for seed in range(20):
             with self.subTest(seed):
-                asked, taken = self._storm(random.Random(seed))
+                asked, taken = self._run_outage(random.Random(seed))
                 self.assertLess(taken, 0.2 * asked + 16 * 2)
                 self.assertGreater(taken, 0.1 * asked)
 
-    def _storm(self, rng):
-        """Requests and retries of sixteen nodes in one window."""
+    def _run_outage(self, rng):
+        """Returns requests and retries of sixteen nodes in one window."""
         limits = retries.RetryLimits(0.16, reserve=1.6)
         nodes = [retries.RetryBudget(limits) for _ in range(16)]
         taken, asked = 0, 0
@@ -207,7 +208,7 @@
                             other.hear(str(number), node.count(now), now)
         return asked, taken
 
-    def test_zero_percent_means_no_retries(self):
+    def test_share_of_zero_disables_retries(self):
         budget = retries.RetryBudget(retries.RetryLimits(0))
 
         self.assertFalse(budget.take(_NOW))
--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -289,14 +289,14 @@
     Mutant(
         "retries that neighbours have used are used again",
         "decisions/retries.py",
-        "            left += (1 - KEPT_SHARE) * part - beyond\n",
-        "            left += (1 - KEPT_SHARE) * part\n",
+        "            left += (1 - KEPT_SHARE) * limit - used\n",
+        "            left += (1 - KEPT_SHARE) * limit\n",
         "decisions.retries_tests",
     ),
     Mutant(
         "all use at once what is left of the shared retries",
         "decisions/retries.py",
-        "        return self._turn >= 1\n",
+        "        return self._allowance >= 1\n",
         "        return True\n",
         "callers.budgets_tests",
     ),
@@ -331,7 +331,7 @@
     Mutant(
         "the retry budget never ends",
         "decisions/retries.py",
-        "            if not self._has_turn(now):\n",
+        "            if not self._has_allowance(now):\n",
         "            if not self._limits.share:\n",
         "decisions.retries_tests",
     ),
