--- a/endivewind/decisions/quotas.py
+++ b/endivewind/decisions/quotas.py
@@ -1,38 +1,39 @@
-"""One availability zone's share of the requests that a workspace may send.
+"""Distributed rate limiting: an availability zone's share of a quota.
 
-A quota holds for all nodes together. Each zone has an equal share of it, kept
-by one node of the zone for each workspace; zones that need more borrow from
-those that need less. What is lent is taken from the lender first, so that
-what all hold together never exceeds the quota and its tolerance.
+A workspace's quota holds for all nodes together. Each zone has an equal share
+of it as a token bucket, owned by one node of the zone per workspace; zones that
+need more tokens borrow them from zones that need fewer. Tokens are removed from
+the lender first, so that all zones together never hold more than the quota and
+its tolerance. `nodes/quotas.py` owns the buckets and does the messaging.
 """
 
 import dataclasses
 import datetime
 
-# Parts of the quota's tolerance in a window: what zones hold besides the burst,
-# and what comes in besides the rate. The rest is for shares that begin anew
-# where a keeper has ended.
+# Shares of the quota's tolerance in a window that are added to the burst and to
+# the rate. The rest covers buckets that start anew after an owner has ended.
 HELD_TOLERANCE = 0.5
 RATE_TOLERANCE = 0.35
-# What a new keeper holds at once, as a part of a full share: what its
-# predecessor has spent in the window is not known.
+# Tokens that a new owner starts with, as a share of the capacity: how many its
+# predecessor has spent in the window is unknown.
 START_SHARE = 0.1
-# The part of a full share that a zone keeps when others ask for some.
+# Share of the capacity that a zone keeps when other zones ask for tokens.
 KEPT_SHARE = 0.3
-# Below this part of a full share a zone asks others before it runs out.
+# A zone whose tokens are below this share of the capacity asks other zones
+# before it runs out.
 LOW_SHARE = 0.4
-# The part of a share's rate that a node has which stands in for its keeper.
+# Share of a zone's rate for a node that stands in for the owner.
 DEPUTY_SHARE = 0.25
-_NEVER = datetime.timedelta(minutes=1)
+_MAX_WAIT = datetime.timedelta(minutes=1)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Quota:
-    """What a workspace may send, over all nodes together.
+    """The requests that a workspace may send to all nodes together.
 
     Attributes:
-      rate: requests a second.
-      burst: requests besides, at once.
+      rate: requests per second.
+      burst: additional requests that may be sent at once.
     """
 
     rate: float
@@ -41,11 +42,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """An answer to a question for some requests.
+    """The response to a node that asks for tokens.
 
     Attributes:
-      count: how many may run.
-      wait: where none may, when to ask again.
+      count: number of requests that are admitted.
+      retry_after: if none are, the time after which to ask again.
     """
 
     count: int
@@ -54,12 +55,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tolerance:
-    """By how much a quota may be exceeded in any window.
+    """How far a quota may be exceeded in any window.
 
     Attributes:
-      window: the span in which requests are counted.
-      overage: as a share of what the quota allows in the window.
-      requests: besides.
+      window: the interval in which requests are counted.
+      overage: the excess, as a share of what the quota allows in the window.
+      requests: the number of further requests on top of that share.
     """
 
     window: datetime.timedelta = datetime.timedelta(seconds=5)
@@ -69,11 +70,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limit:
-    """A zone's share of a quota: a rate, and what may be held unused.
+    """A zone's share of a quota: the parameters of its token bucket.
 
     Attributes:
-      rate: requests a second.
-      capacity: requests that may be run at once.
+      rate: tokens added per second; each admits one request.
+      capacity: the most tokens that the bucket holds.
     """
 
     rate: float
@@ -83,90 +84,99 @@
     def of_zone(
         cls, rate: float, burst: float, zones: int, tolerance: Tolerance
     ) -> "Limit":
-        """The share that each of some zones has of a workspace's quota.
-
-        Load: 84 workspaces over a hundred entries, most of which send less
-        than a request a second. Harm: a part for each entry is a fraction of
-        a request, and refuses what is far below the quota. Of a few zones
-        each has whole requests, since a part of the tolerance is shared out:
-        no caller is refused for what the operator tolerates, as long as no
-        window can exceed it.
+        """Returns the limit of each zone for a workspace's quota.
+
+        Load: 84 workspaces over a hundred nodes, most of which send less than
+        one request per second. Harm: with a share for each node, that share is
+        a fraction of a request, and traffic far below the quota is refused.
+        With a share for each of a few zones, every zone has whole requests,
+        because part of the tolerance is distributed as well. No caller is
+        refused for an excess that the operator tolerates, as long as no window
+        can exceed the tolerance.
+
+        Args:
+          rate: the quota's requests per second.
+          burst: the quota's additional requests at once.
+          zones: the number of zones that share the quota.
+          tolerance: how far the quota may be exceeded.
         """
         window = tolerance.window.total_seconds()
         spare = tolerance.overage * (rate * window + burst) + tolerance.requests
         capacity = burst + HELD_TOLERANCE * spare
-        served = rate + RATE_TOLERANCE * spare / window
-        return cls(served / zones, max(1.0, capacity / zones))
+        tolerated_rate = rate + RATE_TOLERANCE * spare / window
+        return cls(tolerated_rate / zones, max(1.0, capacity / zones))
 
     def of_deputy(self) -> "Limit":
-        """What a node has that stands in for the share's keeper."""
+        """Returns the limit of a node that stands in for the owner."""
         return Limit(self.rate * DEPUTY_SHARE, self.capacity)
 
 
 class Share:
-    """A token bucket that can lend and borrow."""
+    """A token bucket that lends tokens to other zones and borrows theirs."""
 
     def __init__(
         self, limit: Limit, held: float, now: datetime.timedelta
     ) -> None:
         self._limit = limit
-        self._held = min(held, limit.capacity)
-        self._at = now
-        self._used = now
+        self._tokens = min(held, limit.capacity)
+        self._refilled_at = now
+        self._last_used = now
 
     @property
     def used(self) -> datetime.timedelta:
-        """When it was asked for something last."""
-        return self._used
+        """When tokens were last requested from it."""
+        return self._last_used
 
     def configure(self, limit: Limit, now: datetime.timedelta) -> None:
-        """Takes another limit from now on."""
+        """Changes the limit from now on."""
         if limit == self._limit:
             return
         self._refill(now)
         self._limit = limit
-        self._held = min(self._held, limit.capacity)
+        self._tokens = min(self._tokens, limit.capacity)
 
     def take(self, count: int, now: datetime.timedelta) -> int:
-        """Takes up to so many requests; returns how many."""
+        """Takes up to `count` tokens and returns how many it took."""
         self._refill(now)
-        self._used = now
-        found = min(count, int(self._held))
-        self._held -= found
-        return found
+        self._last_used = now
+        taken = min(count, int(self._tokens))
+        self._tokens -= taken
+        return taken
 
     def lend(self, count: int, now: datetime.timedelta) -> int:
-        """Takes what another zone may have, up to so many."""
+        """Takes up to `count` tokens for another zone; returns how many."""
         self._refill(now)
-        spare = self._held - KEPT_SHARE * self._limit.capacity
-        found = max(0, min(count, int(spare)))
-        self._held -= found
-        return found
+        spare = self._tokens - KEPT_SHARE * self._limit.capacity
+        lent = max(0, min(count, int(spare)))
+        self._tokens -= lent
+        return lent
 
     def borrow(self, count: int, now: datetime.timedelta) -> None:
-        """Adds what another zone has lent; no more is held than a share."""
-        self._held += count
+        """Adds tokens lent by another zone, up to the capacity."""
+        self._tokens += count
         self._refill(now)
 
     def wanted(self, now: datetime.timedelta) -> int:
-        """How many to borrow so that it is full, if it is low; else 0."""
+        """Returns how many tokens to borrow; 0 above the low watermark."""
         self._refill(now)
-        if self._held >= LOW_SHARE * self._limit.capacity:
+        if self._tokens >= LOW_SHARE * self._limit.capacity:
             return 0
-        return max(1, int(self._limit.capacity - self._held))
+        return max(1, int(self._limit.capacity - self._tokens))
 
     def wait(self, now: datetime.timedelta) -> datetime.timedelta:
-        """How long until it holds a whole request."""
+        """Returns the time until it holds a whole token, a minute at most."""
         self._refill(now)
-        missing = 1 - self._held
+        missing = 1 - self._tokens
         if missing <= 0:
             return datetime.timedelta()
         if not self._limit.rate:
-            return _NEVER
+            return _MAX_WAIT
         seconds = missing / self._limit.rate
-        return min(datetime.timedelta(seconds=seconds), _NEVER)
+        return min(datetime.timedelta(seconds=seconds), _MAX_WAIT)
 
     def _refill(self, now: datetime.timedelta) -> None:
-        gained = self._limit.rate * (now - self._at).total_seconds()
-        self._held = min(self._held + max(0.0, gained), self._limit.capacity)
-        self._at = now
+        gained = self._limit.rate * (now - self._refilled_at).total_seconds()
+        self._tokens = min(
+            self._tokens + max(0.0, gained), self._limit.capacity
+        )
+        self._refilled_at = now
--- a/endivewind/tests/decisions/quotas_tests.py
+++ b/endivewind/tests/decisions/quotas_tests.py
@@ -1,4 +1,4 @@
-"""A zone's share of a quota: what it holds, lends and borrows."""
+"""Tests of a zone's token bucket: taking, lending and borrowing."""
 
 import datetime
 import unittest
@@ -13,39 +13,39 @@
 NONE = quotas.Tolerance(5 * SECOND, 0, 0)
 
 
-class ShareTest(unittest.TestCase):
+class TokenBucketTest(unittest.TestCase):
     def setUp(self):
         self.limit = quotas.Limit(rate=2, capacity=3)
-        self.share = quotas.Share(self.limit, 3, 0 * SECOND)
+        self.bucket = quotas.Share(self.limit, 3, 0 * SECOND)
 
     def test_burst_then_rate(self):
-        taken = [self.share.take(1, 0 * SECOND) for _ in range(5)]
+        taken = [self.bucket.take(1, 0 * SECOND) for _ in range(5)]
 
         self.assertEqual([1, 1, 1, 0, 0], taken)
-        self.assertEqual(0, self.share.take(1, 0.1 * SECOND))
-        self.assertEqual(0.4 * SECOND, self.share.wait(0.1 * SECOND))
-        self.assertEqual(1, self.share.take(1, 0.5 * SECOND))
+        self.assertEqual(0, self.bucket.take(1, 0.1 * SECOND))
+        self.assertEqual(0.4 * SECOND, self.bucket.wait(0.1 * SECOND))
+        self.assertEqual(1, self.bucket.take(1, 0.5 * SECOND))
 
-    def test_it_lends_what_it_does_not_keep(self):
-        self.assertEqual(2, self.share.lend(5, 0 * SECOND))
-        self.assertEqual(1, self.share.take(5, 0 * SECOND))
+    def test_lends_all_but_the_kept_share(self):
+        self.assertEqual(2, self.bucket.lend(5, 0 * SECOND))
+        self.assertEqual(1, self.bucket.take(5, 0 * SECOND))
 
-    def test_it_holds_no_more_than_a_full_share(self):
-        """Guards against borrowing that adds up to more than the quota."""
-        self.share.borrow(50, 0 * SECOND)
+    def test_borrowing_does_not_exceed_the_capacity(self):
+        """Guards against borrowed tokens that add up to more than the quota."""
+        self.bucket.borrow(50, 0 * SECOND)
 
-        self.assertEqual(3, self.share.take(50, 0 * SECOND))
+        self.assertEqual(3, self.bucket.take(50, 0 * SECOND))
 
-    def test_a_lower_limit_binds_at_once(self):
-        self.share.configure(quotas.Limit(0.1, 1), 0 * SECOND)
+    def test_lower_limit_applies_at_once(self):
+        self.bucket.configure(quotas.Limit(0.1, 1), 0 * SECOND)
 
-        self.assertEqual(1, self.share.take(5, 0 * SECOND))
+        self.assertEqual(1, self.bucket.take(5, 0 * SECOND))
 
-    def test_it_borrows_before_it_is_empty(self):
-        self.assertEqual(0, self.share.wanted(0 * SECOND))
-        self.share.take(2, 0 * SECOND)
+    def test_borrows_before_it_is_empty(self):
+        self.assertEqual(0, self.bucket.wanted(0 * SECOND))
+        self.bucket.take(2, 0 * SECOND)
 
-        self.assertEqual(2, self.share.wanted(0 * SECOND))
+        self.assertEqual(2, self.bucket.wanted(0 * SECOND))
 
     @settings(derandomize=True, deadline=None)
     @given(
@@ -63,24 +63,24 @@
             max_size=60,
         ),
     )
-    def test_all_zones_together_keep_to_the_quota(
+    def test_all_zones_together_stay_within_the_quota(
         self, rate, burst, zones, steps
     ):
-        """The oracle is the users' bound, in every window of five seconds."""
+        """Checks the tolerated bound in every window of five seconds."""
         tolerance = quotas.Tolerance(5 * SECOND, 0.1, 20)
         limit = quotas.Limit.of_zone(rate, burst, zones, tolerance)
         now = 0 * SECOND
-        shares = [
+        buckets = [
             quotas.Share(limit, limit.capacity, now) for _ in range(zones)
         ]
         taken = []
-        for word, one, other, count, tenths in steps:
+        for action, first, second, count, tenths in steps:
             now += tenths * SECOND / 10
-            share = shares[one % zones]
-            if word == "take":
-                taken.append((now, share.take(count, now)))
-            elif one % zones != other % zones:
-                share.borrow(shares[other % zones].lend(count, now), now)
+            bucket = buckets[first % zones]
+            if action == "take":
+                taken.append((now, bucket.take(count, now)))
+            elif first % zones != second % zones:
+                bucket.borrow(buckets[second % zones].lend(count, now), now)
         allowed = (rate * 5 + burst) * 1.1 + 20
         for start, _ in taken:
             window = [
--- a/endivewind/tests/loads/quotas.py
+++ b/endivewind/tests/loads/quotas.py
@@ -1,7 +1,7 @@
-"""A fleet whose workspaces have quotas, in virtual time.
+"""Simulates a fleet whose workspaces have quotas, in virtual time.
 
-Entries, keepers and shares are the product's own; links are fakes that only
-take their time, and lose questions.
+The nodes run the real quota code. The links between them are fakes that only
+add latency and lose messages.
 """
 
 import asyncio
@@ -28,15 +28,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Traffic:
-    """What one workspace sends.
+    """The traffic of one workspace.
 
     Attributes:
-      workspace: its name.
-      per_second: over all entries.
-      quota: what it may send.
-      zone: where all of it enters; None spreads it over all zones.
-      busy: from when to when it sends so many times as much.
-      times: so many times.
+      workspace: the name of the workspace.
+      per_second: requests per second over all nodes.
+      quota: the quota of the workspace.
+      zone: the zone that receives all of it; None spreads it over all zones.
+      peak: start and end of the peak, in seconds.
+      peak_factor: the factor by which the rate grows during the peak.
     """
 
     workspace: str
@@ -49,18 +49,18 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What became of a workspace's requests.
+    """Results of a workspace's requests.
 
     Attributes:
-      asked: when each came.
-      ran: when each that was let through was.
+      arrivals: arrival times of all requests.
+      admissions: times at which requests were admitted.
     """
 
     asked: list[float] = dataclasses.field(default_factory=list)
     ran: list[float] = dataclasses.field(default_factory=list)
 
     def excess(self, quota: quotas.Quota) -> float:
-        """By how much the worst window goes beyond the users' bound."""
+        """Returns how far the worst window exceeds the tolerated bound."""
         allowed = (quota.rate * WINDOW_SECONDS + quota.burst) * (
             1 + TOLERANCE.overage
         ) + TOLERANCE.requests
@@ -74,30 +74,34 @@
         return worst - allowed
 
     def refused_below(self, quota: quotas.Quota) -> float:
-        """The share refused of what one bucket for all would let through."""
-        held, at, through = quota.burst, 0.0, 0
+        """Returns the share refused of what a single bucket would admit."""
+        tokens, at, admitted = quota.burst, 0.0, 0
         for now in self.asked:
-            held = min(quota.burst, held + quota.rate * (now - at))
+            tokens = min(quota.burst, tokens + quota.rate * (now - at))
             at = now
-            if held >= 1:
-                held -= 1
-                through += 1
-        return max(0.0, 1 - len(self.ran) / through) if through else 0.0
+            if tokens >= 1:
+                tokens -= 1
+                admitted += 1
+        return max(0.0, 1 - len(self.ran) / admitted) if admitted else 0.0
 
 
 class _Node:
     def __init__(self, fleet, number, zones):
         self.fleet = fleet
         self.zone = number % ZONES
-        place = zones(number)
+        quota_zone = zones(number)
         self.record = view.NodeRecord(
-            f"n{number}", number, f"n{number}", f"r{self.zone % REGIONS}", place
+            f"n{number}",
+            number,
+            f"n{number}",
+            f"r{self.zone % REGIONS}",
+            quota_zone,
         )
         self.alive = True
         self.start()
 
     def start(self):
-        """Begins anew, with nothing held."""
+        """Starts the node without any state."""
         clock = virtual.LoopClock(self.fleet.loop)
         self.peer = peers.QuotaPeer(
             self.record,
@@ -111,7 +115,7 @@
         self.allowances = allowances.Allowances(self.peer.grant, clock)
 
     async def ask(self, address, question, limit):
-        """Plays the links."""
+        """Sends a message; stands in for the pool of links."""
         self.fleet.questions += 1
         other = self.fleet.by_name[address]
         if not other.alive or self.fleet.rng.random() < LOST:
@@ -125,16 +129,17 @@
 
 
 class Fleet:
-    """Entries of six zones in three regions."""
+    """Nodes in six zones and three regions."""
 
     def __init__(self, size, traffic, seed=1, zones=None):
         """Builds a fleet.
 
         Args:
-          size: of nodes.
-          traffic: what the workspaces send.
-          seed: of arrivals and losses.
-          zones: the zone of each node for the shares; None for its own.
+          size: number of nodes.
+          traffic: the traffic of the workspaces.
+          seed: seed for arrivals and lost messages.
+          zones: returns the zone by which a node shares quotas, from its
+            number; None takes its own zone.
         """
         self.loop = virtual.VirtualLoop()
         self.rng = random.Random(seed)
@@ -143,50 +148,55 @@
         self.questions = 0
         self.requests = 0
         self.outcomes = collections.defaultdict(Outcome)
-        place_of = zones or (lambda number: number % ZONES)
-        self.zone_count = len({place_of(number) for number in range(size)})
+        zone_of = zones or (lambda number: number % ZONES)
+        self.zone_count = len({zone_of(number) for number in range(size)})
         self.nodes = {}
         self.by_name = {}
         for number in range(size):
-            node = _Node(self, number, place_of)
+            node = _Node(self, number, zone_of)
             self.by_name[node.record.name] = node
             self.nodes[node.record.name] = node.record
 
     def quota_of(self, workspace):
-        """The quota in force."""
+        """Returns the current quota of a workspace."""
         return self.quotas.get(workspace)
 
     def seconds(self, one, other):
-        """There and back."""
+        """Returns the round-trip time between two nodes."""
         if one.zone == other.zone:
             return NEAR_SECONDS
-        same = one.zone % REGIONS == other.zone % REGIONS
-        return REGION_SECONDS if same else FAR_SECONDS
+        is_same_region = one.zone % REGIONS == other.zone % REGIONS
+        return REGION_SECONDS if is_same_region else FAR_SECONDS
 
     def kill(self, name):
-        """Ends a node; the others still know it."""
+        """Stops a node; the other nodes still list it."""
         self.by_name[name].alive = False
 
     def forget(self, name):
-        """Lets the others know that a node has ended."""
+        """Removes a stopped node from the other nodes' view."""
         self.nodes.pop(name, None)
 
     def restart(self, name):
-        """Starts a node anew, known to all at once."""
+        """Restarts a node; the others see it at once."""
         node = self.by_name[name]
         node.alive = True
         node.start()
         self.nodes[name] = node.record
 
     def play(self, seconds, events=()):
-        """Lets all workspaces send; events are pairs of a time and a call."""
+        """Runs the traffic of all workspaces.
+
+        Args:
+          seconds: the duration of the traffic.
+          events: pairs of a time and a function to call with the fleet.
+        """
         try:
-            self.loop.run_until_complete(self._play(seconds, events))
+            self.loop.run_until_complete(self._run(seconds, events))
         finally:
             self.loop.close()
 
-    async def _play(self, seconds, events):
-        # Shares fill while no traffic comes yet.
+    async def _run(self, seconds, events):
+        # Lets the buckets fill before the traffic starts.
         await asyncio.sleep(10)
         for at, event in events:
             self.loop.call_later(at, event, self)
@@ -197,23 +207,25 @@
         await asyncio.gather(*tasks)
         await asyncio.sleep(2)
 
-    async def _send(self, traffic, began, seconds):
+    async def _send(self, traffic, started_at, seconds):
         running = set()
         while True:
-            elapsed = self.loop.time() - began
-            low, high = traffic.busy
-            times = traffic.times if low <= elapsed < high else 1
-            rate = traffic.per_second * times
+            elapsed = self.loop.time() - started_at
+            start, end = traffic.busy
+            factor = traffic.times if start <= elapsed < end else 1
+            rate = traffic.per_second * factor
             await asyncio.sleep(self.rng.expovariate(rate))
-            if self.loop.time() - began > seconds:
+            if self.loop.time() - started_at > seconds:
                 break
-            node = self._entry(traffic)
-            task = asyncio.create_task(self._one(node, traffic.workspace))
+            node = self._random_node(traffic)
+            task = asyncio.create_task(
+                self._send_request(node, traffic.workspace)
+            )
             running.add(task)
             task.add_done_callback(running.discard)
         await asyncio.gather(*running)
 
-    def _entry(self, traffic):
+    def _random_node(self, traffic):
         names = [
             name
             for name, node in self.by_name.items()
@@ -221,7 +233,7 @@
         ]
         return self.by_name[self.rng.choice(names)]
 
-    async def _one(self, node, workspace):
+    async def _send_request(self, node, workspace):
         self.requests += 1
         outcome = self.outcomes[workspace]
         outcome.asked.append(self.loop.time())
--- a/endivewind/tests/loads/quotas_tests.py
+++ b/endivewind/tests/loads/quotas_tests.py
@@ -1,8 +1,9 @@
-"""Quotas that all entries keep together, in virtual time.
+"""Load tests of quotas over all nodes, in virtual time.
 
-The pattern: many workspaces that each send less than a request a second to an
-entry, one that multiplies its traffic, and keepers that end. The oracle is the
-users' bound on what runs in any window of five seconds.
+The load: many workspaces that each send less than one request per second to a
+node, one that multiplies its traffic, and owners of buckets that are killed.
+Checked is the tolerated bound on requests admitted in any window of five
+seconds.
 """
 
 import unittest
@@ -14,27 +15,27 @@
 
 
 def workspaces(count, largest=20.0, headroom=1.6):
-    """Workspaces of falling size, each with a quota above what it sends."""
-    found = []
+    """Returns traffic of decreasing rate, each with a quota above it."""
+    traffic = []
     for number in range(count):
         rate = max(0.4, largest / (number + 1))
         quota = quotas.Quota(headroom * rate, max(1, round(headroom * rate)))
-        found.append(loads.Traffic(f"w{number}", rate, quota))
-    return found
+        traffic.append(loads.Traffic(f"w{number}", rate, quota))
+    return traffic
 
 
 class QuotaLoadTest(unittest.TestCase):
-    def check(self, fleet, most_refused=0.01):
-        """No window beyond the bound, and few refused below it."""
-        through = refused = 0
+    def check(self, fleet, max_refused_share=0.01):
+        """Checks that no window exceeds the bound, and refusals below it."""
+        admitted = refused = 0
         for name, outcome in fleet.outcomes.items():
             quota = fleet.quotas[name]
             self.assertLessEqual(outcome.excess(quota), 0, name)
             refused += outcome.refused_below(quota) * len(outcome.ran)
-            through += len(outcome.ran)
-        self.assertLessEqual(refused / through, most_refused)
+            admitted += len(outcome.ran)
+        self.assertLessEqual(refused / admitted, max_refused_share)
 
-    def test_usual_traffic_is_not_refused(self):
+    def test_normal_traffic_is_not_refused(self):
         for size in (3, SIZE, 102):
             with self.subTest(size):
                 fleet = loads.Fleet(size, workspaces(20))
@@ -43,55 +44,56 @@
 
                 self.check(fleet)
 
-    def test_one_workspace_sends_seven_times_its_usual(self):
+    def test_one_workspace_sends_over_seven_times_its_normal_rate(self):
         traffic = workspaces(12)
         for number in (0, 3, 11):
             with self.subTest(number):
-                given = list(traffic)
+                all_traffic = list(traffic)
                 item = traffic[number]
-                given[number] = loads.Traffic(
+                all_traffic[number] = loads.Traffic(
                     item.workspace,
                     item.per_second,
                     item.quota,
                     busy=(4, 14),
                     times=7.5,
                 )
-                fleet = loads.Fleet(SIZE, given)
+                fleet = loads.Fleet(SIZE, all_traffic)
 
                 fleet.play(18)
 
-                self.check(fleet, most_refused=0.05)
+                self.check(fleet, max_refused_share=0.05)
 
-    def test_all_of_a_workspace_enters_in_one_zone(self):
-        """Its zone has a sixth of the quota, and borrows the rest."""
+    def test_all_traffic_of_a_workspace_enters_in_one_zone(self):
+        """Its zone has a sixth of the quota and borrows the rest."""
         quota = quotas.Quota(32, 32)
-        given = [loads.Traffic("w", 20, quota, zone=2), *workspaces(5)]
-        fleet = loads.Fleet(SIZE, given)
+        traffic = [loads.Traffic("w", 20, quota, zone=2), *workspaces(5)]
+        fleet = loads.Fleet(SIZE, traffic)
 
         fleet.play(15)
 
-        self.check(fleet, most_refused=0.02)
+        self.check(fleet, max_refused_share=0.02)
 
-    def test_a_quota_is_lowered_far_below_the_traffic(self):
+    def test_quota_is_lowered_far_below_the_traffic(self):
         low = quotas.Quota(3, 3)
 
         def lower(fleet):
             fleet.quotas["w"] = low
 
-        given = [loads.Traffic("w", 40, quotas.Quota(64, 64))]
-        fleet = loads.Fleet(SIZE, given)
+        traffic = [loads.Traffic("w", 40, quotas.Quota(64, 64))]
+        fleet = loads.Fleet(SIZE, traffic)
 
         fleet.play(18, [(5, lower)])
 
-        # It binds whole windows; the first begins when it is in force.
+        # The bound applies to whole windows; the first starts once the new quota
+        # is in force.
         outcome = fleet.outcomes["w"]
-        began = outcome.asked[0]
-        outcome.ran = [at for at in outcome.ran if at - began > 5.1]
+        started_at = outcome.asked[0]
+        outcome.ran = [at for at in outcome.ran if at - started_at > 5.1]
         self.assertLessEqual(outcome.excess(low), 0)
         self.assertGreater(len(outcome.ran), 30)
 
-    def test_keepers_are_killed_and_come_back(self):
-        """Half of the nodes end at once, while one workspace sends too much."""
+    def test_bucket_owners_are_killed_and_restarted(self):
+        """Half of the nodes die at once while one workspace exceeds its quota."""
         names = [f"n{number}" for number in range(0, SIZE, 2)]
 
         def kill(fleet):
@@ -114,9 +116,9 @@
 
         fleet.play(20, [(6, kill), (9, forget), (10, restart)])
 
-        self.check(fleet, most_refused=0.2)
+        self.check(fleet, max_refused_share=0.2)
 
-    def test_nodes_restart_one_after_the_other(self):
+    def test_rolling_restart(self):
         events = []
         for number in range(SIZE):
             name = f"n{number}"
@@ -127,4 +129,4 @@
 
         fleet.play(20, events)
 
-        self.check(fleet, most_refused=0.02)
+        self.check(fleet, max_refused_share=0.02)
--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -79,9 +79,9 @@
     Mutant(
         "a zone holds more than its share by borrowing",
         "decisions/quotas.py",
-        "        self._held = min(self._held + max(0.0, gained), "
+        "        self._tokens = min(self._tokens + max(0.0, gained), "
         "self._limit.capacity)\n",
-        "        self._held += gained\n",
+        "        self._tokens += gained\n",
         "decisions.quotas_tests",
     ),
     Mutant(
