--- a/endivewind/decisions/placing.py
+++ b/endivewind/decisions/placing.py
@@ -24,7 +24,8 @@
 # One in this many idempotent requests goes to a target in trial, if any.
 TRIAL_EVERY = 20
 _CROSS_REGION_TIER = 2
-# A target counts as slower if its latency is this many times the other's.
+# A target counts as slower if its latency is at least this many times the
+# other's.
 CLEARLY = 2
 _CHOICE_COUNT = 2
 # Suspicion above which a target is passed over for the next tier. A request
--- a/endivewind/tests/loads/quotas_tests.py
+++ b/endivewind/tests/loads/quotas_tests.py
@@ -84,8 +84,8 @@
 
         fleet.play(18, [(5, lower)])
 
-        # The bound applies to whole windows; the first starts once the new quota
-        # is in force.
+        # The bound applies to whole windows; the first starts once the new
+        # quota is in force.
         outcome = fleet.outcomes["w"]
         started_at = outcome.asked[0]
         outcome.ran = [at for at in outcome.ran if at - started_at > 5.1]
@@ -93,7 +93,7 @@
         self.assertGreater(len(outcome.ran), 30)
 
     def test_bucket_owners_are_killed_and_restarted(self):
-        """Half of the nodes die at once while one workspace exceeds its quota."""
+        """Half of the nodes die at once; one workspace exceeds its quota."""
         names = [f"n{number}" for number in range(0, SIZE, 2)]
 
         def kill(fleet):
