--- a/endivewind/decisions/placing.py
+++ b/endivewind/decisions/placing.py
@@ -133,7 +133,7 @@
         region rather than go to the next tier.
       may_probe: whether enough of the retry budget is left to send it to a
         target that is likely to fail.
-      is_last_attempt: whether no other target may be tried after this one,
+      is_last: whether no other target may be tried after this one,
         because of its route or because the retry budget is spent.
     """
 
--- a/endivewind/tests/decisions/load_balancing_tests.py
+++ b/endivewind/tests/decisions/load_balancing_tests.py
@@ -66,11 +66,11 @@
         self.rng = random.Random(1)
 
     def count_choices(
-        self, candidates, number=1, repeatable=True, excluded=(), **demand
+        self, candidates, number=1, is_idempotent=True, excluded=(), **demand
     ):
         """Counts how often each target is chosen."""
         pool = placing.Pool.from_candidates(candidates, 0, LOCALITY)
-        demand = placing.Demand(repeatable, frozenset(excluded), **demand)
+        demand = placing.Demand(is_idempotent, frozenset(excluded), **demand)
         return collections.Counter(
             found.id if found else None
             for found in (
@@ -156,7 +156,7 @@
         ]
 
         few = self.count_choices(candidates, 1_000)
-        none = self.count_choices(candidates, 1_000, repeatable=False)
+        none = self.count_choices(candidates, 1_000, is_idempotent=False)
 
         self.assertTrue(20 <= few["sick"] <= 90, few)
         self.assertEqual(0, none["sick"])
@@ -177,7 +177,7 @@
         both = [_target("region", "andina-b"), _target("zone")]
 
         self.assertEqual(
-            {"region": 9}, self.count_choices(both, 9, repeatable=False)
+            {"region": 9}, self.count_choices(both, 9, is_idempotent=False)
         )
         self.assertEqual({"zone": 9}, self.count_choices(both, 9))
         self.assertEqual(
@@ -191,7 +191,7 @@
             with self.subTest(risk):
                 self.load.suspicions["zone"] = risk
 
-                found = self.count_choices(both, 9, repeatable=False)
+                found = self.count_choices(both, 9, is_idempotent=False)
 
                 self.assertEqual({chosen: 9}, found)
 
@@ -203,7 +203,7 @@
             _target("region", "andina-b"),
         ]
 
-        found = self.count_choices(candidates, 9, repeatable=False)
+        found = self.count_choices(candidates, 9, is_idempotent=False)
 
         self.assertEqual({"region": 9}, found)
 
@@ -211,7 +211,7 @@
         self.load.suspicions = {"a": 0.9, "b": 0.4, "c": 0.95}
         candidates = [_target(name) for name in "abc"]
 
-        found = self.count_choices(candidates, 9, repeatable=False)
+        found = self.count_choices(candidates, 9, is_idempotent=False)
 
         self.assertEqual({"b": 9}, found)
 
