--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -79,9 +79,10 @@
     Mutant(
         "a zone holds more than its share by borrowing",
         "decisions/quotas.py",
-        "        self._held = min(self._held + max(0.0, gained), "
-        "self._limit.capacity)\n",
-        "        self._held += gained\n",
+        "        self._tokens = min(\n"
+        "            self._tokens + max(0.0, gained), self._limit.capacity\n"
+        "        )\n",
+        "        self._tokens += gained\n",
         "decisions.quotas_tests",
     ),
     Mutant(
@@ -289,14 +290,14 @@
     Mutant(
         "retries that neighbours have used are used again",
         "decisions/retries.py",
-        "            left += (1 - KEPT_SHARE) * part - beyond\n",
-        "            left += (1 - KEPT_SHARE) * part\n",
+        "            left += (1 - KEPT_SHARE) * limit - used\n",
+        "            left += (1 - KEPT_SHARE) * limit\n",
         "decisions.retries_tests",
     ),
     Mutant(
         "all use at once what is left of the shared retries",
         "decisions/retries.py",
-        "        return self._turn >= 1\n",
+        "        return self._allowance >= 1\n",
         "        return True\n",
         "callers.budgets_tests",
     ),
@@ -331,7 +332,7 @@
     Mutant(
         "the retry budget never ends",
         "decisions/retries.py",
-        "            if not self._has_turn(now):\n",
+        "            if not self._has_allowance(now):\n",
         "            if not self._limits.share:\n",
         "decisions.retries_tests",
     ),
