--- a/endivewind/addresses.py
+++ b/endivewind/addresses.py
@@ -1,4 +1,7 @@
-"""The HTTP servers of a node, each at an address of the settings."""
+"""Starts and stops the HTTP servers of a node.
+
+The settings give the address of each.
+"""
 
 import ssl
 
@@ -6,7 +9,7 @@
 
 
 class HttpServers:
-    """Binds servers and ends them together."""
+    """A group of HTTP servers that are stopped together."""
 
     def __init__(self) -> None:
         self._runners: list[web.BaseRunner] = []
@@ -17,7 +20,7 @@
         address: str,
         context: ssl.SSLContext | None = None,
     ) -> str:
-        """Starts a server; returns the address that it has bound."""
+        """Starts a server and returns the address that it is bound to."""
         await runner.setup()
         self._runners.append(runner)
         host, port = split(address)
@@ -28,18 +31,18 @@
     async def serve_application(
         self, application: web.Application, address: str
     ) -> str:
-        """Starts a server of an application."""
+        """Starts a server for an application and returns its bound address."""
         return await self.serve(
             web.AppRunner(application, access_log=None), address
         )
 
     async def stop(self) -> None:
-        """Ends all servers, in the order of their start."""
+        """Stops all servers, in the order in which they were started."""
         for runner in self._runners:
             await runner.cleanup()
 
 
 def split(address: str) -> tuple[str, int]:
-    """Host and port of an address; an IPv6 host without its brackets."""
+    """Splits an address into host and port; strips brackets of IPv6 hosts."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
--- a/endivewind/clock.py
+++ b/endivewind/clock.py
@@ -1,4 +1,7 @@
-"""The clock as an interface, so that tests and benches own time."""
+"""Clock interface, so that tests and benchmarks can control time.
+
+Modules take a Clock rather than calling the time module.
+"""
 
 import datetime
 import time
@@ -6,56 +9,57 @@
 
 
 class Clock(Protocol):
-    """Source of time for every module that needs it."""
+    """Source of wall-clock and monotonic time."""
 
     def now(self) -> datetime.datetime:
-        """Wall clock in UTC; for records and expiry shown to people."""
+        """Returns the UTC wall-clock time, for records and displayed expiry."""
 
     def monotonic(self) -> datetime.timedelta:
-        """Time since an arbitrary start; never goes back."""
+        """Returns the time since an arbitrary start; never decreases."""
 
     def awake_or_asleep(self) -> datetime.timedelta:
-        """Like monotonic(), but counts time in which the VM slept as well."""
+        """Like monotonic(), but includes time while the VM was suspended."""
 
 
 class SystemClock:
-    """The machine's clock."""
+    """The operating system's clock."""
 
     def now(self) -> datetime.datetime:
-        """Wall clock in UTC."""
+        """Returns the UTC wall-clock time."""
         return datetime.datetime.now(datetime.UTC)
 
     def monotonic(self) -> datetime.timedelta:
-        """Time since an arbitrary start."""
-        # By position it takes half as long as by name; a request asks often.
+        """Returns the time since an arbitrary start."""
+        # Positional arguments take half the time of keyword arguments; each
+        # request reads the clock often.
         return datetime.timedelta(0, time.monotonic())
 
     def awake_or_asleep(self) -> datetime.timedelta:
-        """Time since an arbitrary start, time asleep included."""
+        """Returns the time since an arbitrary start, with suspended time."""
         return datetime.timedelta(0, time.clock_gettime(time.CLOCK_BOOTTIME))
 
 
 class ManualClock:
-    """A clock that moves only when told; for tests and benches."""
+    """A clock that only advance() moves; for tests and benchmarks."""
 
     def __init__(self) -> None:
         self._elapsed = datetime.timedelta()
         self._start = datetime.datetime(2026, 1, 1, tzinfo=datetime.UTC)
 
     def now(self) -> datetime.datetime:
-        """Wall clock: a fixed start plus the time advanced."""
+        """Returns a fixed start time plus the time advanced so far."""
         return self._start + self._elapsed
 
     def monotonic(self) -> datetime.timedelta:
-        """The time advanced so far."""
+        """Returns the time advanced so far."""
         return self._elapsed
 
     def awake_or_asleep(self) -> datetime.timedelta:
-        """The time advanced so far."""
+        """Returns the time advanced so far."""
         return self._elapsed
 
     def advance(self, by: datetime.timedelta) -> None:
-        """Moves time forward by a non-negative span."""
+        """Advances time by a non-negative duration."""
         if by < datetime.timedelta():
-            raise ValueError("a clock never goes back")
+            raise ValueError("cannot advance the clock by a negative duration")
         self._elapsed += by
--- a/endivewind/exceptions.py
+++ b/endivewind/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors shown to users without a traceback."""
+"""Errors that the command line shows to users without a traceback."""
 
 import collections.abc
 
@@ -6,38 +6,38 @@
 
 
 class EndivewindError(Exception):
-    """An error whose message is for the user; base of all of ours."""
+    """Base class of errors whose message is written for the user."""
 
     exit_code = 1
 
     @property
     def findings(self) -> tuple[finding_types.Finding, ...]:
-        """What was found in a file, where a file is the cause."""
+        """Findings of the file that caused the error; empty if none did."""
         return ()
 
 
 class UsageError(EndivewindError):
-    """The command line or an input file is wrong; nothing was done."""
+    """The command line or an input file is invalid; nothing was changed."""
 
     exit_code = 2
 
 
 class InvalidFileError(UsageError):
-    """An input file with findings."""
+    """An input file failed validation."""
 
     def __init__(
-        self, found: collections.abc.Iterable[finding_types.Finding]
+        self, findings: collections.abc.Iterable[finding_types.Finding]
     ) -> None:
-        self._findings = tuple(found)
+        self._findings = tuple(findings)
         super().__init__("\n".join(str(item) for item in self._findings))
 
     @property
     def findings(self) -> tuple[finding_types.Finding, ...]:
-        """Every finding of the file."""
+        """All findings of the file."""
         return self._findings
 
 
 class UnavailableError(EndivewindError):
-    """The platform or a node could not be reached or did not answer."""
+    """The platform or a node is unreachable or did not respond."""
 
     exit_code = 3
--- a/endivewind/exchange.py
+++ b/endivewind/exchange.py
@@ -1,4 +1,8 @@
-"""One request and its answer or refusal, as every package passes them on."""
+"""Data classes of one HTTP exchange: request, response and refusal.
+
+All packages pass these between the listener, placement, the links between
+nodes and the dispatch to targets.
+"""
 
 import collections.abc
 import dataclasses
@@ -10,7 +14,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """Whether the request's work ran at a target."""
+    """Whether a target executed the request."""
 
     NOT_RUN = "not-run"
     RAN = "ran"
@@ -18,7 +22,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why the system answered in place of a target."""
+    """Why the fleet refused a request instead of returning a response."""
 
     BAD_REQUEST = "bad-request"
     BODY_TOO_LARGE = "body-too-large"
@@ -50,19 +54,19 @@
     INTERNAL = "internal"
 
 
-# A home refuses work that must not repeat where its target is likelier sick
-# than this, unless the entry has no better one. At one in five the loss to be
-# expected is a sixth of the request's worth, more than a hop to another zone.
+# A home refuses non-idempotent requests when its target's suspicion is above
+# this, unless the entry node has no better target. At 0.2 the expected loss is
+# a sixth of the request's value, more than the cost of a hop to another zone.
 ACCEPTED_RISK = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Glance:
-    """What a home tells of its target with each answer.
+    """A target's status, which its home node attaches to each response.
 
     Attributes:
-      load: requests that are at the target or wait for it.
-      suspicion: how likely the target is sick, from 0 to 1.
+      load: requests that are running at the target or queued for it.
+      suspicion: probability that the target is unhealthy, from 0 to 1.
     """
 
     load: int
@@ -71,25 +75,25 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestHead:
-    """A request without its body; nobody changes one after it is built.
+    """A request without its body; must not be modified once built.
 
-    It is not frozen because one is built for each attempt, and setting the
-    attributes of a frozen class takes four times as long.
+    The class is not frozen because an instance is built for each attempt, and
+    setting the attributes of a frozen class takes four times as long.
 
     Attributes:
-      request_id: unique; in logs and in the answer.
+      request_id: unique; appears in logs and in the response.
       method: the HTTP method.
       path: path and query as the caller sent them, still encoded.
       headers: end-to-end headers, in order.
       service: the service that the route names.
       workspace: the caller's workspace; empty if none was given.
       remaining: time left until the deadline.
-      ticket: the ticket of work that must not repeat; else empty.
-      attempt: number of the hand-over under the ticket, from 1.
-      aim: time within which an answer is worth most; zero if unknown.
-      level: its place in queues; a higher one goes first.
-      risk: how likely the target may be sick for this request to go there.
-      repeat: whether a target may have had it before.
+      ticket: the ticket of a non-idempotent request; otherwise empty.
+      attempt: number of the attempt under the ticket, from 1.
+      latency_objective: the route's latency objective; zero if unknown.
+      queue_priority: priority in queues; higher values are served first.
+      max_suspicion: highest suspicion of a target that may get the request.
+      may_be_duplicate: whether a target may have received the request before.
     """
 
     request_id: str
@@ -114,7 +118,7 @@
         *,
         repeat: bool | None = None,
     ) -> "RequestHead":
-        """The same request for one attempt, with the time left to it."""
+        """Returns a copy of the request for one attempt."""
         return RequestHead(
             self.request_id,
             self.method,
@@ -134,29 +138,30 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestBody:
-    """A request's body: what is held, and the rest still to be read."""
+    """A request's body: the buffered part, and a stream of the remainder."""
 
     held: bytes = b""
     rest: collections.abc.AsyncIterator[bytes] | None = None
 
     @property
     def replayable(self) -> bool:
-        """Whether the whole body is held, so that it can be sent again."""
+        """Whether the whole body is buffered, so that it can be resent."""
         return self.rest is None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """The system's own answer.
+    """An error that the fleet itself returns in place of a response.
 
     Attributes:
-      outcome: whether the work ran.
-      reason: why there is no answer of a target.
-      detail: for people.
-      retry_after: when to come back; None where coming back is no use.
-      moved_to: the node to which the target has moved, where its former home
-        knows it; empty otherwise.
-      glance: what the home tells of the target, if it has one.
+      outcome: whether a target executed the request.
+      reason: why there is no response from a target.
+      detail: human-readable explanation.
+      retry_after: delay after which a retry may succeed; None if retrying is
+        pointless.
+      moved_to: the target's new home node, if its former home knows it;
+        otherwise empty.
+      target_status: the target's status, if the refusal comes from its home.
     """
 
     outcome: Outcome
@@ -168,38 +173,42 @@
 
     @property
     def is_not_run(self) -> bool:
-        """Whether no target has run it."""
+        """Whether no target has executed the request."""
         return self.outcome is Outcome.NOT_RUN
 
 
 class ByteStream(Protocol):
-    """The rest of an answer.
+    """The unread remainder of a response body.
 
-    Unlike a generator, it frees what it holds on aclose() also when nothing
-    was read: a generator that never started skips its finally block.
+    Unlike a generator, it releases its resources on aclose() even if nothing
+    was read: a generator that was never started skips its finally block.
     """
 
     def __aiter__(self) -> collections.abc.AsyncIterator[bytes]:
-        """The stream itself."""
+        """Returns the stream itself."""
 
     async def __anext__(self) -> bytes:
-        """The next bytes; raises TruncatedAnswerError on an early end."""
+        """Returns the next bytes.
+
+        Raises:
+          TruncatedResponseError: if the body ended early.
+        """
 
     async def aclose(self) -> None:
-        """Gives up what is unread; may be called again."""
+        """Discards the unread bytes; may be called more than once."""
 
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """A target's answer.
+    """A target's response.
 
     Attributes:
       status: the HTTP status.
       headers: end-to-end headers, in order.
-      body: the whole body, or its first bytes where rest is given.
-      rest: the bytes after those; raises TruncatedAnswerError if the target
-        stops before the end, so that no part passes for the whole.
-      glance: what the home tells of the target.
+      body: the whole body, or its first bytes if stream is set.
+      stream: the remaining bytes; raises TruncatedResponseError if the target
+        stops early, so that a partial body is never taken for a whole one.
+      target_status: the target's status, as its home node reports it.
     """
 
     status: int
@@ -210,11 +219,11 @@
 
 
 class TruncatedAnswerError(Exception):
-    """An answer ended before its announced end."""
+    """A response body ended before its announced end."""
 
 
 class TruncatedBodyError(Exception):
-    """A request's body ended before its announced end, or is too large."""
+    """A request body ended before its announced end, or is too large."""
 
 
 def not_run(
@@ -223,13 +232,13 @@
     retry_after: datetime.timedelta | None = None,
     glance: Glance | None = None,
 ) -> Refusal:
-    """A refusal of work that no target has seen."""
+    """Returns a refusal of a request that no target has received."""
     return Refusal(Outcome.NOT_RUN, reason, detail, retry_after, glance=glance)
 
 
 def broken_body(error: TruncatedBodyError) -> Refusal:
-    """The refusal where a target may have seen a part of the body."""
-    return unknown(Reason.BAD_REQUEST, f"the body broke off: {error}")
+    """Returns a refusal where a target may have received part of the body."""
+    return unknown(Reason.BAD_REQUEST, f"request body truncated: {error}")
 
 
 def unknown(
@@ -237,5 +246,5 @@
     detail: str = "",
     retry_after: datetime.timedelta | None = None,
 ) -> Refusal:
-    """A refusal where a target may or may not have run the work."""
+    """Returns a refusal of a request that a target may have executed."""
     return Refusal(Outcome.UNKNOWN, reason, detail, retry_after)
--- a/endivewind/headers.py
+++ b/endivewind/headers.py
@@ -13,20 +13,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Names:
-    """Headers whose names depend on where endivewind runs.
+    """Headers whose names depend on the platform.
 
     Attributes:
-      request_id: id of one request; callers may choose it.
-      timeout_ms: milliseconds that the sender will wait.
-      caller_service: service of the VM where the request entered; only the
-        system may say it. Empty where targets are not told.
-      expected_target: id of the target that a request is meant for; another
-        one refuses it unrun. Empty where targets don't know it.
-      not_run: in a target's answer, says that it did not run the request.
-        Empty where targets never say so.
-      workspace: the caller's workspace, as targets are told.
-      answer_mark: in a target's answer, what marks it as its own. Empty where
-        answers bear no mark.
+      request_id: the request's id; callers may choose it.
+      timeout_ms: the sender's time-out in milliseconds.
+      caller_service: service of the VM where the request entered the fleet;
+        only the fleet may set it. Empty if targets don't receive it.
+      expected_target: id of the target that a request is meant for; any other
+        target rejects it unexecuted. Empty if targets don't support it.
+      not_run: in a response, states that the target did not execute the
+        request. Empty if targets never send it.
+      workspace: the caller's workspace, as sent to targets.
+      response_marker: in a response, shows that the target itself wrote it.
+        Empty if targets don't send it.
     """
 
     request_id: str = REQUEST_ID
@@ -40,7 +40,7 @@
 
 OWN = Names()
 
-# RFC 9110, section 7.6.1: these belong to one connection and go no further.
+# RFC 9110, section 7.6.1: hop-by-hop headers, which a proxy does not forward.
 HOP_BY_HOP = frozenset(
     {
         "connection",
--- a/endivewind/names.py
+++ b/endivewind/names.py
@@ -1,10 +1,10 @@
-"""Finds the known name that a mistyped one was meant to be."""
+"""Suggests corrections of mistyped names in error messages."""
 
 import collections.abc
 import difflib
 
 
 def hint(name: str, known: collections.abc.Iterable[str]) -> str:
-    """A half sentence that names the nearest known name, or nothing."""
-    near = difflib.get_close_matches(name, list(known), 1)
-    return f"; did you mean {near[0]!r}?" if near else ""
+    """Returns a "did you mean" suffix for a message; empty if none is close."""
+    matches = difflib.get_close_matches(name, list(known), 1)
+    return f"; did you mean {matches[0]!r}?" if matches else ""
--- a/endivewind/targets/records.py
+++ b/endivewind/targets/records.py
@@ -1,11 +1,11 @@
-"""A target as the fleet knows it."""
+"""Records of targets, which home nodes announce to the fleet."""
 
 import dataclasses
 import enum
 
 
 class State(enum.StrEnum):
-    """What a target says of itself."""
+    """A target's state, as the target itself reports it."""
 
     COLD = "cold"
     READY = "ready"
@@ -13,7 +13,7 @@
 
 
 class Health(enum.StrEnum):
-    """What the home has judged of its target."""
+    """A target's health, as its home node determines it."""
 
     NORMAL = "normal"
     EJECTED = "ejected"
@@ -22,22 +22,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetRecord:
-    """One announced target; the same words as the thrift message Target.
+    """An announced target; field names match the thrift struct TargetChange.
 
     Attributes:
       id: unique in the fleet.
       service: the service it belongs to.
-      home: name of the node that holds its announcement.
-      home_incarnation: incarnation of that node.
-      sequence: grows with every change that the home makes to the record.
+      home: name of its home node, which announces it to the fleet.
+      home_incarnation: incarnation of the home node.
+      sequence: the home's change number at the record's last change.
       region: region of the home.
       zone: availability zone of the home.
-      slots: requests it takes at once.
-      weight: share of work relative to other targets.
-      state: what the target says.
-      health: what the home has judged.
-      target_incarnation: the target's own start, as it announced it.
-      moves: how often this start of the target has changed its home.
+      slots: maximum number of concurrent requests.
+      weight: load-balancing weight relative to other targets.
+      state: as the target reports it.
+      health: as the home determines it.
+      target_incarnation: the target's incarnation, as it announced it.
+      moves: number of home changes within this incarnation of the target.
     """
 
     id: str
@@ -57,7 +57,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetChange:
-    """One change that a home made: the record, or its removal."""
+    """A change of a target by its home node.
+
+    Attributes:
+      record: the target's new record.
+      is_removal: whether the target has been removed.
+    """
 
     record: TargetRecord
     gone: bool = False
@@ -67,11 +72,11 @@
 
 
 def claim_order(record: TargetRecord) -> ClaimOrder:
-    """Orders announcements of one target at several homes; the highest holds.
+    """Returns the sort key of announcements of a target at several homes.
 
-    The target alone counts its starts and moves, so the first two numbers
-    have a single writer. The rest only makes the order total for targets
-    that do not count their moves.
+    The announcement with the highest key is valid. Only the target itself
+    writes the first two numbers, its incarnation and its moves. The others
+    make the order total for targets that do not count their moves.
     """
     return (
         record.target_incarnation,
