--- a/endivewind/nodes/codec.py
+++ b/endivewind/nodes/codec.py
@@ -1,4 +1,7 @@
-"""Thrift messages between nodes: frames, and their data classes."""
+"""Encodes the thrift messages that nodes exchange over TCP links.
+
+A frame is a length of 4 bytes and a thrift struct Frame in binary form.
+"""
 
 import asyncio
 import pathlib
@@ -22,11 +25,11 @@
 
 
 class FrameError(Exception):
-    """A frame that is too long or that thrift can't read."""
+    """A frame is too long or can't be decoded."""
 
 
 def encode(frame: Any) -> bytes:
-    """A frame as bytes: its length in 4 bytes, then thrift's binary form."""
+    """Encodes a frame: its length in 4 bytes, then thrift's binary form."""
     buffer = transport.TCyMemoryBuffer()
     protocol.TCyBinaryProtocol(buffer).write_struct(frame)
     payload = buffer.getvalue()
@@ -34,45 +37,54 @@
 
 
 def decode(payload: bytes) -> Any:
-    """The frame in a payload without its length."""
+    """Decodes a frame from a payload without its length.
+
+    Raises:
+      FrameError: if the payload is not a valid frame.
+    """
     frame = messages.Frame()
     buffer = transport.TCyMemoryBuffer(payload)
     try:
         protocol.TCyBinaryProtocol(buffer).read_struct(frame)
     except Exception as error:
-        # thriftpy2 raises many types on bytes that are not a message; each
-        # of them means that the peer can't be understood.
+        # thriftpy2 raises many exception types on invalid bytes; each of them
+        # means that the peer's message can't be decoded.
         raise FrameError(str(error)) from error
     return frame
 
 
 async def read_frame(reader: asyncio.StreamReader) -> Any:
-    """Reads one frame; raises FrameError, or IncompleteReadError at the end."""
+    """Reads one frame.
+
+    Raises:
+      FrameError: if the frame is too long or can't be decoded.
+      asyncio.IncompleteReadError: if the stream has ended.
+    """
     (length,) = _LENGTH.unpack(await reader.readexactly(_LENGTH.size))
     if length > MAX_FRAME_BYTES:
-        raise FrameError(f"a frame of {length} bytes")
+        raise FrameError(f"frame too long: {length} bytes")
     return decode(await reader.readexactly(length))
 
 
-def glance_out(glance: exchange.Glance | None) -> Any:
-    """What a home tells of its target, as a thrift struct."""
-    if glance is None:
+def glance_out(status: exchange.Glance | None) -> Any:
+    """Converts a target status to a thrift struct."""
+    if status is None:
         return None
-    return messages.Glance(glance.load, round(100 * glance.suspicion))
+    return messages.TargetStatus(status.load, round(100 * status.suspicion))
 
 
-def glance_in(glance: Any) -> exchange.Glance | None:
-    """What a home tells of its target, from a thrift struct."""
-    if glance is None:
+def glance_in(status: Any) -> exchange.Glance | None:
+    """Converts a thrift struct to a target status."""
+    if status is None:
         return None
-    return exchange.Glance(glance.load or 0, (glance.suspicion or 0) / 100)
+    return exchange.Glance(status.load or 0, (status.suspicion or 0) / 100)
 
 
 def headers_out(headers: exchange.HeaderList) -> list[Any]:
-    """Headers as thrift structs."""
+    """Converts headers to thrift structs."""
     return [messages.Header(name, value) for name, value in headers]
 
 
 def headers_in(headers: list[Any]) -> exchange.HeaderList:
-    """Headers from thrift structs."""
+    """Converts thrift structs to headers."""
     return tuple((item.name, item.value) for item in headers)
--- a/endivewind/nodes/messages.thrift
+++ b/endivewind/nodes/messages.thrift
@@ -1,12 +1,13 @@
-// Messages between nodes. Fields are only ever added, each optional, so that
-// nodes of two releases understand each other.
+// Messages between nodes. For compatibility between releases, fields are only
+// added, never removed or renumbered, and each one is optional.
 
 struct Header {
   1: binary name
   2: binary value
 }
 
-// The head of a forwarded request; body holds it whole if body_complete.
+// The head of a request that is forwarded to a home node. If body_complete is
+// set, body is the whole body.
 struct Forward {
   1: i64 exchange
   2: string request_id
@@ -22,40 +23,43 @@
   12: bool body_complete
   13: string ticket
   14: i32 attempt
-  // The receiver is meant as the issuer of the ticket; home_incarnation is
-  // then the issuer's, and target is empty.
+  // Whether the receiver is addressed as the issuer of the ticket;
+  // home_incarnation is then the issuer's, and target is empty.
   15: bool to_issuer
   16: string priority
   17: i32 aim_ms
   18: i32 level
-  // How likely the target may be sick for this request, in percent.
+  // Highest suspicion of a target that may get the request, in percent.
   19: i32 risk
-  // Whether a target may have had the request before.
+  // Whether a target may have received the request before.
   20: bool repeat
 }
 
-// What a home tells of its target; suspicion in percent.
-struct Glance {
+// The status of a target that its home node attaches to each response.
+// suspicion: probability that the target is unhealthy, in percent.
+struct TargetStatus {
   1: i32 load
   2: i32 suspicion
 }
 
+// A part of a request or response body.
 struct Chunk {
   1: i64 exchange
   2: binary data
   3: bool last
 }
 
-// The head of an answer; body holds it whole if body_complete.
+// The head of a response. If body_complete is set, body is the whole body.
 struct Answer {
   1: i64 exchange
   2: i32 status
   3: list<Header> headers
   4: binary body
   5: bool body_complete
-  6: optional Glance glance
+  6: optional TargetStatus glance
 }
 
+// An error that a node returns in place of a response.
 struct Refusal {
   1: i64 exchange
   2: string outcome
@@ -63,11 +67,11 @@
   4: string detail
   5: i32 retry_after_ms
   6: optional string moved_to
-  7: optional Glance glance
+  7: optional TargetStatus glance
 }
 
-// A node as another tells of it. The higher (incarnation, refutation, state)
-// wins; state: 0 alive, 1 suspect, 2 dead, 3 left.
+// The state of a node as known to another one. The highest (incarnation,
+// refutation, state) wins; state: 0 alive, 1 suspect, 2 dead, 3 left.
 struct Member {
   1: string name
   2: i64 incarnation
@@ -78,8 +82,8 @@
   7: string zone
 }
 
-// One change that a home made to one of its targets. The (incarnation,
-// sequence) of a home orders its changes; region and zone are the home's.
+// A change of a target by its home node. A home's changes are ordered by
+// (home_incarnation, sequence). Region and zone are those of the home.
 struct TargetChange {
   1: string home
   2: i64 home_incarnation
@@ -95,13 +99,14 @@
   12: bool gone
 }
 
-// What gossip carries, one of the fields; unknown ones are passed over.
+// A change that gossip spreads. Exactly one field is set; receivers ignore
+// fields that they do not know.
 struct Change {
   1: optional Member member
   2: optional TargetChange target
 }
 
-// Which version of a node's records the sender knows.
+// The version of a node's records that the sender has.
 struct Version {
   1: string name
   2: i64 incarnation
@@ -111,28 +116,28 @@
   6: i64 sequence
 }
 
-// What a home tells the entries of its zone of a target; suspicion in
-// thousandths.
+// The status of a target that its home node pushes to the entry nodes of its
+// zone. suspicion: probability that the target is unhealthy, in thousandths.
 struct Condition {
   1: string target
   2: i32 load
   3: i32 suspicion
 }
 
-// What an entry has used of a service's retry budget in the present window.
+// An entry node's use of a service's retry budget in the current window.
 struct Tally {
   1: string service_name
   2: i32 requests
   3: i32 retries
 }
 
-// A way on which requests of callers come, not only calls of targets.
+// A route by which callers' requests enter the fleet, not only targets' calls.
 struct Way {
   1: string service_name
   2: string prefix
 }
 
-// One UDP datagram of gossip; every field but the sender is optional.
+// A UDP datagram of the gossip protocol. Only sender is required.
 struct Datagram {
   1: string sender
   2: i64 summary
@@ -148,7 +153,7 @@
   12: list<Way> ways
 }
 
-// All targets of one home: what is missing is gone.
+// The whole state of one home: targets that are not listed no longer exist.
 struct HomeState {
   1: string home
   2: i64 incarnation
@@ -156,14 +161,15 @@
   4: list<TargetChange> targets
 }
 
-// A target that has told its home that it leaves, up to which of its starts.
+// A target that has left its home, with its last incarnation that has left.
 struct Left {
   1: string target
   2: i64 incarnation
 }
 
-// Part of what the sender knows of the fleet; last ends an answer to a pull.
-// left tells the asking node what earlier starts of it have acknowledged.
+// A part of the sender's view of the fleet. last marks the end of the response
+// to a pull. left lists the departures of targets that earlier incarnations of
+// the requesting node have acknowledged.
 struct FleetState {
   1: string sender
   2: list<Member> members
@@ -172,14 +178,14 @@
   5: list<Left> left
 }
 
-// Asks for the records of some nodes, or of all where names is absent.
+// Requests the records of the named nodes, or of all if names is absent.
 struct Pull {
   1: string sender
   2: string address
   3: list<string> names
 }
 
-// An object of the configuration at a version; the fingerprint is the value's.
+// The version of a configuration object, and the fingerprint of its value.
 struct ConfigurationStamp {
   1: string kind
   2: string name
@@ -187,7 +193,7 @@
   4: i64 fingerprint
 }
 
-// A whole object of the configuration, compressed.
+// A configuration object with its value, compressed.
 struct ConfigurationObject {
   1: string kind
   2: string name
@@ -195,7 +201,7 @@
   4: binary packed
 }
 
-// What a node tells of its configuration; see config/spreading.py.
+// A message of configuration replication; see config/spreading.py.
 struct Configuration {
   1: string sender
   2: bool ready
@@ -207,14 +213,14 @@
   8: list<ConfigurationObject> objects
 }
 
-// Asks a node for what it has in force; an answer carries the same number.
+// Requests the versions that a node has in force. The reply repeats number.
 struct ConfigurationAsk {
   1: string sender
   2: i64 number
   3: list<ConfigurationStamp> keys
 }
 
-// What is in force at a node; known holds higher versions that it refused.
+// The versions in force at a node. known: higher versions that it has rejected.
 struct ConfigurationState {
   1: string sender
   2: i64 number
@@ -222,50 +228,52 @@
   4: list<ConfigurationStamp> in_force
 }
 
-// Asks a node for its proof that its configuration was the newest.
+// Requests a node's proof that its configuration is recent.
 struct FreshnessAsk {
 }
 
-// The proof: a version, and how long ago it was the newest; no version where
-// there is no proof. See config/freshness.py.
+// A proof of freshness: a version, and how long ago it was the newest one. The
+// version is absent if there is no proof. See config/freshness.py.
 struct FreshnessState {
   1: i64 version
   2: i32 age_ms
 }
 
-// Asks for requests of a workspace's quota. between: the sender shares out the
-// quota in another availability zone.
+// Requests part of a workspace's quota. between: the sender distributes the
+// quota within another availability zone.
 struct QuotaAsk {
   1: string workspace
   2: i32 count
   3: bool between
 }
 
-// Requests that the sender may run, taken from the answerer's share; where
-// they are none, when to ask again.
+// The granted part of a quota, as a count of requests, deducted from the
+// granting node's share. If it is zero, wait_ms says when to ask again.
 struct QuotaGrant {
   1: i32 count
   2: i32 wait_ms
 }
 
-// Sent by a home while an exchange goes on: silence means a broken path.
+// Sent by a home node during an exchange. If heartbeats stop, the connection is
+// broken.
 struct Heartbeat {
   1: i64 exchange
 }
 
+// A message on a TCP link. Exactly one field is set.
 struct Frame {
   1: optional Forward forward
   2: optional Chunk chunk
   3: optional Answer answer
   4: optional Refusal refusal
-  // 5 was the announcement that every home sent to every node.
+  // 5 is reserved: earlier releases announced targets in it.
   6: optional Heartbeat heartbeat
   20: optional Configuration configuration
   21: optional ConfigurationAsk configuration_ask
   22: optional ConfigurationState configuration_state
   30: optional FleetState fleet_state
   31: optional Pull pull
-  // A question and its answer on one link.
+  // Requests and replies on one link.
   40: optional FreshnessAsk freshness_ask
   41: optional FreshnessState freshness_state
   42: optional QuotaAsk quota_ask
--- a/endivewind/nodes/view.py
+++ b/endivewind/nodes/view.py
@@ -1,4 +1,8 @@
-"""What this node knows of the fleet: nodes, and targets by service."""
+"""This node's view of the fleet: nodes, and targets by service.
+
+Gossip and state repair write it; placement reads it. It is eventually
+consistent: each home node numbers its changes, and the highest version wins.
+"""
 
 import collections
 import collections.abc
@@ -7,11 +11,11 @@
 
 from endivewind.targets import records
 
-# A home whose changes have arrived with gaps holds their numbers until the
-# gap is filled; beyond this many the whole state is cheaper.
+# Changes of a home that are kept while earlier ones are missing. Beyond this
+# many, fetching the home's whole state is cheaper.
 MAX_AHEAD = 256
-# Targets of a home that have left are remembered for its next start, which
-# comes within seconds, and a home has few.
+# Departed targets remembered for each home, until it has restarted. A restart
+# takes seconds and a home has few targets, so a few entries suffice.
 MAX_LEFT = 8
 
 
@@ -21,8 +25,8 @@
 
     Attributes:
       name: the node's name.
-      incarnation: one start of the node; a later start has a higher one.
-      address: host and port of its listener for nodes.
+      incarnation: increases with each start of the node.
+      address: host and port of its listener for other nodes.
       region: region of its VM.
       zone: availability zone of its VM.
     """
@@ -36,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HomeVersion:
-    """How far a home's changes are known without a gap."""
+    """The last change of a home up to which all its changes are known."""
 
     incarnation: int = 0
     sequence: int = 0
@@ -44,65 +48,73 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HomeState:
-    """All targets of one home at a version."""
+    """A snapshot of all targets of one home at a version."""
 
     home: str
     version: HomeVersion
     targets: tuple[records.TargetRecord, ...]
 
 
-class _Home:
-    """One home's changes: the gapless part, and those ahead of it."""
+class _HomeTargets:
+    """The targets of one home.
 
-    __slots__ = ("ahead", "incarnation", "records", "sequence")
+    Attributes:
+      incarnation: the home node's incarnation.
+      sequence: number of the last change before the first missing one.
+      records: targets by id, with later changes applied.
+      pending: ids of the targets changed after a missing change, by number.
+    """
+
+    __slots__ = ("incarnation", "pending", "records", "sequence")
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation = incarnation
         self.sequence = 0
         self.records: dict[str, records.TargetRecord] = {}
-        self.ahead: dict[int, str] = {}
+        self.pending: dict[int, str] = {}
 
-    def copy(self) -> "_Home":
-        other = _Home(self.incarnation)
+    def copy(self) -> "_HomeTargets":
+        other = _HomeTargets(self.incarnation)
         other.sequence = self.sequence
         other.records = dict(self.records)
-        other.ahead = dict(self.ahead)
+        other.pending = dict(self.pending)
         return other
 
     def advance(self) -> None:
-        while self.sequence + 1 in self.ahead:
+        while self.sequence + 1 in self.pending:
             self.sequence += 1
-            del self.ahead[self.sequence]
+            del self.pending[self.sequence]
 
 
 class FleetView:
-    """Nodes and targets, each at the highest version seen.
+    """The known nodes and targets, each at the highest version seen.
 
-    At full size (760 nodes, 12,000 targets) a record's strings that repeat
-    (service, home, region, zone) are held once, and each target stands in
-    three dicts that share one record.
+    To save memory at full size (760 nodes, 12,000 targets), repeated strings
+    (service, home, region, zone) are interned, and the three dicts that hold
+    a target share one record.
     """
 
     def __init__(self) -> None:
         self._nodes: dict[str, NodeRecord] = {}
-        self._homes: dict[str, _Home] = {}
-        self._claims: dict[str, records.TargetRecord] = {}
+        self._homes: dict[str, _HomeTargets] = {}
+        self._announcements: dict[str, records.TargetRecord] = {}
         self._by_service: dict[str, dict[str, records.TargetRecord]] = {}
         self._revisions: collections.Counter[str] = collections.Counter()
-        self._left: dict[str, dict[str, int]] = {}
+        self._departed: dict[str, dict[str, int]] = {}
 
     def left(self, home: str) -> collections.abc.Mapping[str, int]:
-        """Targets that have told a home that they leave, and their starts.
+        """Returns the incarnations of a home's departed targets by id.
 
-        Failure: a home is ended after it has acknowledged that its target
-        leaves, and a heartbeat from before that is held up. Symptom: its next
-        start takes the target for ready, and sends it work past its drain
-        time. Its peers have heard of the leave, and remember it over starts.
+        Failure: a home is killed after it has acknowledged that its target
+        leaves, and a heartbeat sent before that is delayed. Symptom: after
+        its restart the home takes the target for ready and sends it requests
+        past its drain time. Its peers know of the departure and remember it
+        across restarts of the home.
         """
-        return self._left.get(home, {})
+        return self._departed.get(home, {})
 
-    def _note_left(self, record: records.TargetRecord) -> None:
-        known = self._left.setdefault(record.home, {})
+    def _remember_departure(self, record: records.TargetRecord) -> None:
+        known = self._departed.setdefault(record.home, {})
         known.pop(record.id, None)
         known[record.id] = record.target_incarnation
         if len(known) > MAX_LEFT:
@@ -116,31 +128,31 @@
     def targets(
         self, service: str
     ) -> collections.abc.Mapping[str, records.TargetRecord]:
-        """Known targets of a service by id."""
+        """Returns the known targets of a service by id."""
         return self._by_service.get(service, {})
 
     def revision(self, service: str) -> int:
-        """Grows with every change of a service's targets."""
+        """Returns a number that increases with each change of the targets."""
         return self._revisions[service]
 
     def all_targets(self) -> list[records.TargetRecord]:
-        """Every known target."""
-        return list(self._claims.values())
+        """Returns all known targets."""
+        return list(self._announcements.values())
 
     @property
     def target_count(self) -> int:
-        """How many targets are known."""
-        return len(self._claims)
+        """Number of known targets."""
+        return len(self._announcements)
 
     def claim(self, target: str) -> records.TargetRecord | None:
-        """The latest announcement of a target at any usable home."""
-        return self._claims.get(target)
+        """Returns a target's latest announcement by a live home, if any."""
+        return self._announcements.get(target)
 
     def copy(self) -> "FleetView":
-        """A view of its own that shares the records."""
+        """Returns an independent copy that shares the immutable records."""
         other = FleetView()
         other._nodes = dict(self._nodes)
-        other._claims = dict(self._claims)
+        other._announcements = dict(self._announcements)
         other._by_service = {
             name: dict(group) for name, group in self._by_service.items()
         }
@@ -149,14 +161,14 @@
         return other
 
     def home_version(self, home: str) -> HomeVersion:
-        """How far a home's changes are known."""
+        """Returns the version up to which all changes of a home are known."""
         known = self._homes.get(home)
         if known is None:
             return HomeVersion()
         return HomeVersion(known.incarnation, known.sequence)
 
     def home_state(self, home: str) -> HomeState | None:
-        """All targets of a home, without those ahead of a gap."""
+        """Returns a home's targets, except those changed after a missing change."""
         known = self._homes.get(home)
         if known is None:
             return None
@@ -168,7 +180,11 @@
         return HomeState(home, self.home_version(home), targets)
 
     def put_node(self, record: NodeRecord) -> bool:
-        """Takes a node unless a later start of it is known."""
+        """Stores a node unless a later incarnation of it is known.
+
+        Returns:
+          Whether the view has changed.
+        """
         known = self._nodes.get(record.name)
         if known and known.incarnation > record.incarnation:
             return False
@@ -181,30 +197,30 @@
         if home.incarnation < record.incarnation:
             for item in home.records.values():
                 if item.state is records.State.DRAINING:
-                    self._note_left(item)
+                    self._remember_departure(item)
             self.remove_home(record.name)
             return True
         for item in home.records.values():
-            self._index(item)
+            self._index_record(item)
         return True
 
     def remove_node(self, name: str) -> None:
-        """Takes a dead node's targets out of use.
+        """Removes a dead node and takes its targets out of use.
 
-        Its records are kept, so that a node which was only paused has its
-        targets back with its first sign of life and not after a repair.
+        The records of its targets are kept, so that they are usable again as
+        soon as a node that was only paused is back, without a state repair.
         """
         if self._nodes.pop(name, None) is None:
             return
         home = self._homes.get(name)
         if home is not None:
-            self._unindex(home)
+            self._unindex_home(home)
 
     def remove_home(self, name: str) -> None:
-        """Forgets all that is known of a home's targets."""
+        """Deletes all records of a home's targets."""
         home = self._homes.pop(name, None)
         if home is not None:
-            self._unindex(home)
+            self._unindex_home(home)
 
     def put_home(
         self,
@@ -213,100 +229,111 @@
         sequence: int,
         targets: collections.abc.Iterable[records.TargetRecord],
     ) -> bool:
-        """Takes all targets of a home unless a later state is known."""
+        """Stores the whole state of a home unless a later one is known.
+
+        Changes that are newer than the state stay applied.
+
+        Returns:
+          Whether the state was stored.
+        """
         known = self._homes.get(home)
         if known is not None:
             version = (known.incarnation, known.sequence)
             if version >= (incarnation, sequence):
                 return False
-        kept: dict[str, records.TargetRecord] = {}
-        fresh = _Home(incarnation)
-        fresh.sequence = sequence
+        previous: dict[str, records.TargetRecord] = {}
+        updated = _HomeTargets(incarnation)
+        updated.sequence = sequence
         if known is not None:
-            self._unindex(known)
+            self._unindex_home(known)
             if known.incarnation == incarnation:
-                fresh.ahead = {
+                updated.pending = {
                     number: name
-                    for number, name in known.ahead.items()
+                    for number, name in known.pending.items()
                     if number > sequence
                 }
-                kept = known.records
-        ahead = set(fresh.ahead.values())
-        fresh.records = {
-            item.id: item for item in targets if item.id not in ahead
+                previous = known.records
+        pending = set(updated.pending.values())
+        updated.records = {
+            item.id: item for item in targets if item.id not in pending
         }
-        for name in ahead & set(kept):
-            fresh.records[name] = kept[name]
-        self._homes[sys.intern(home)] = fresh
-        fresh.advance()
-        for record in fresh.records.values():
-            self._index(record)
+        for name in pending & set(previous):
+            updated.records[name] = previous[name]
+        self._homes[sys.intern(home)] = updated
+        updated.advance()
+        for record in updated.records.values():
+            self._index_record(record)
         return True
 
     def put_change(self, change: records.TargetChange) -> bool:
-        """Takes one change of a home; False if it is not news.
+        """Applies one change of a home.
+
+        Changes may arrive twice and out of order. A change is outdated if its
+        number is not above that of the last change without a gap before it,
+        or if it is already pending. Without this rule a delayed copy would
+        bring back a target that has been removed.
 
-        Changes may come twice and out of order. One that is at or below the
-        gapless part, or already held ahead of it, is old: without this rule
-        a late copy would bring back a target that has been withdrawn.
+        Returns:
+          False if the change is outdated, or if too many changes are pending.
         """
         record = change.record
         home = self._homes.get(record.home)
         if home is None or home.incarnation < record.home_incarnation:
             self.remove_home(record.home)
-            home = _Home(record.home_incarnation)
+            home = _HomeTargets(record.home_incarnation)
             self._homes[sys.intern(record.home)] = home
         if home.incarnation > record.home_incarnation:
             return False
-        if record.sequence <= home.sequence or record.sequence in home.ahead:
+        if record.sequence <= home.sequence or record.sequence in home.pending:
             return False
-        if len(home.ahead) >= MAX_AHEAD:
+        if len(home.pending) >= MAX_AHEAD:
             return False
-        later = any(
+        is_superseded = any(
             number > record.sequence and name == record.id
-            for number, name in home.ahead.items()
+            for number, name in home.pending.items()
         )
-        home.ahead[record.sequence] = record.id
+        home.pending[record.sequence] = record.id
         home.advance()
-        if later:
+        if is_superseded:
             return True
         known = home.records.pop(record.id, None)
         if known is not None:
-            self._unindex_one(known)
+            self._unindex_record(known)
         if change.gone:
-            self._note_left(record)
+            self._remember_departure(record)
         else:
             home.records[record.id] = record
-            self._index(record)
+            self._index_record(record)
         return True
 
-    def _index(self, record: records.TargetRecord) -> None:
-        """Puts a record in use if its home is, and no later claim is known.
+    def _index_record(self, record: records.TargetRecord) -> None:
+        """Makes a record usable if its home is live and none supersedes it.
 
-        A target that has moved stands at two homes until the first has heard
-        of it; taking the later claim keeps both from getting its work.
+        A target that has moved is announced by two homes until the first one
+        learns of the move. Using only the announcement with the higher
+        precedence keeps requests from being sent to both.
         """
         node = self._nodes.get(record.home)
         if node is None or node.incarnation != record.home_incarnation:
             return
-        record = self._placed(record, node)
-        rival = self._claims.get(record.id)
-        if rival is not None and rival.home != record.home:
-            if records.claim_order(rival) > records.claim_order(record):
+        record = self._with_location(record, node)
+        other = self._announcements.get(record.id)
+        if other is not None and other.home != record.home:
+            if records.claim_order(other) > records.claim_order(record):
                 return
-            self._drop(rival)
-        self._claims[record.id] = record
+            self._remove_usable(other)
+        self._announcements[record.id] = record
         group = self._by_service.setdefault(record.service, {})
         group[record.id] = record
         self._revisions[record.service] += 1
 
-    def _placed(
+    def _with_location(
         self, record: records.TargetRecord, node: NodeRecord
     ) -> records.TargetRecord:
-        """The record with its home's place and with shared strings."""
+        """Returns the record with its home's location and interned strings."""
         if record.region == node.region and record.zone == node.zone:
             return record
-        placed = dataclasses.replace(
+        located = dataclasses.replace(
             record,
             service=sys.intern(record.service),
             home=node.name,
@@ -314,26 +341,26 @@
             zone=node.zone,
         )
         home = self._homes[record.home]
-        home.records[record.id] = placed
-        return placed
+        home.records[record.id] = located
+        return located
 
-    def _drop(self, record: records.TargetRecord) -> None:
-        del self._claims[record.id]
+    def _remove_usable(self, record: records.TargetRecord) -> None:
+        del self._announcements[record.id]
         group = self._by_service[record.service]
         del group[record.id]
         self._revisions[record.service] += 1
         if not group:
             del self._by_service[record.service]
 
-    def _unindex(self, home: _Home) -> None:
+    def _unindex_home(self, home: _HomeTargets) -> None:
         for record in list(home.records.values()):
-            self._unindex_one(record)
+            self._unindex_record(record)
 
-    def _unindex_one(self, record: records.TargetRecord) -> None:
-        known = self._claims.get(record.id)
+    def _unindex_record(self, record: records.TargetRecord) -> None:
+        known = self._announcements.get(record.id)
         if known is None or known.home != record.home:
             return
-        self._drop(known)
+        self._remove_usable(known)
         for name, other in self._homes.items():
             if name != record.home and record.id in other.records:
-                self._index(other.records[record.id])
+                self._index_record(other.records[record.id])
