--- a/endivewind/decisions/crossing.py
+++ b/endivewind/decisions/crossing.py
@@ -1,27 +1,30 @@
-"""What an entry may send to other regions: a budget of bytes for each pair."""
+"""Budgets of bytes that an entry node may exchange with other regions.
+
+Placement consults them before it places a request in another region.
+"""
 
 import dataclasses
 import datetime
 
-# What a quiet time may save up: enough for a zone's work while its targets
-# restart, little beside a day's bill.
+# Capacity of a bucket, as the time to fill it: enough for the requests of a zone
+# while its targets restart, and small compared with a day's traffic costs.
 BURST = datetime.timedelta(seconds=30)
 
 
 @dataclasses.dataclass(slots=True)
 class _Bucket:
     tokens: float
-    at: datetime.timedelta
+    updated_at: datetime.timedelta
 
 
 class CrossRegionBudget:
     """A token bucket of bytes for each other region.
 
-    Load: the near targets are full or gone, so all work would go far. Harm:
-    links between regions are slow, shared and paid for by volume; one
-    service in trouble would fill them for all. A region is left alone while
-    its bucket is empty; sizes are known only afterwards, so a bucket may go
-    below zero, and the region then waits until it is filled again.
+    Load: nearby targets are full or gone, so all requests would go to other
+    regions. Harm: links between regions are slow, shared and billed by volume;
+    one service in trouble would saturate them for all. No request is sent to a
+    region while its bucket is empty. Sizes are known only afterwards, so a
+    bucket may become negative, and must then fill up above zero first.
     """
 
     def __init__(self, bytes_per_second: float) -> None:
@@ -29,19 +32,19 @@
         self._buckets: dict[str, _Bucket] = {}
 
     def allows(self, region: str, now: datetime.timedelta) -> bool:
-        """Whether work may be sent to a region now."""
+        """Whether requests may be sent to a region now."""
         return self._bucket(region, now).tokens > 0
 
     def spend(self, region: str, size: int, now: datetime.timedelta) -> None:
-        """Takes the bytes of a request or an answer."""
+        """Deducts the bytes of a request or a response."""
         self._bucket(region, now).tokens -= size
 
     def _bucket(self, region: str, now: datetime.timedelta) -> _Bucket:
-        most = self._rate * BURST.total_seconds()
+        capacity = self._rate * BURST.total_seconds()
         bucket = self._buckets.get(region)
         if bucket is None:
-            bucket = self._buckets[region] = _Bucket(most, now)
-        gained = self._rate * (now - bucket.at).total_seconds()
-        bucket.tokens = min(most, bucket.tokens + gained)
-        bucket.at = now
+            bucket = self._buckets[region] = _Bucket(capacity, now)
+        gained = self._rate * (now - bucket.updated_at).total_seconds()
+        bucket.tokens = min(capacity, bucket.tokens + gained)
+        bucket.updated_at = now
         return bucket
--- a/endivewind/decisions/paths.py
+++ b/endivewind/decisions/paths.py
@@ -1,66 +1,70 @@
-"""Judges the paths from this entry to other homes, for this entry only."""
+"""Circuit breakers for the connections from an entry node to home nodes.
+
+Placement consults them; their state is local to the entry node. An open
+circuit is tried again with a single request (half-open).
+"""
 
 import dataclasses
 import datetime
 
-# One failure may come from an old connection that something on the way has
-# forgotten; the pool drops its other idle connections to that home then, so
-# the second failure in a row was on a fresh one and speaks of the path.
+# A single failure may be due to a stale connection, which a middlebox has
+# dropped. The pool then closes its other idle connections to that home, so a
+# second failure in a row was on a new connection and concerns the network path.
 FAILURES_TO_CLOSE = 2
 FIRST_HOLD = datetime.timedelta(seconds=1)
-# A partition may last an hour; a trial every half minute costs one request
-# in thousands and finds the path open soon after.
+# A partition may last an hour. A trial every 30 s costs one request in
+# thousands and detects recovery soon.
 LAST_HOLD = datetime.timedelta(seconds=30)
 
 
 @dataclasses.dataclass(slots=True)
-class _Path:
+class _Circuit:
     failures: int = 0
-    hold: datetime.timedelta = FIRST_HOLD
-    closed_until: datetime.timedelta | None = None
+    open_time: datetime.timedelta = FIRST_HOLD
+    open_until: datetime.timedelta | None = None
 
 
 class Paths:
-    """Paths that failed are closed for a while, then tried with one request.
+    """A circuit breaker for each home node.
 
-    Load: a one-way partition or a forgotten connection between one entry and
-    one home, while others reach that home. Harm: each request placed there
-    waits out the silence, and blaming the target would take healthy capacity
-    from every entry. So the path is closed here and nowhere else.
+    Load: a one-way partition or a stale connection between one entry node and
+    one home, which other entries still reach. Harm: each request placed there
+    waits for its time-out, and ejecting the target would take healthy capacity
+    from all entries. So only this entry stops using the home.
     """
 
     def __init__(self) -> None:
-        self._paths: dict[str, _Path] = {}
+        self._circuits: dict[str, _Circuit] = {}
 
     def usable(self, home: str, now: datetime.timedelta) -> bool:
-        """Whether to place at the home's targets."""
-        path = self._paths.get(home)
+        """Whether requests may be placed at the home's targets."""
+        circuit = self._circuits.get(home)
         return (
-            path is None
-            or path.closed_until is None
-            or (now >= path.closed_until)
+            circuit is None
+            or circuit.open_until is None
+            or (now >= circuit.open_until)
         )
 
     def started(self, home: str, now: datetime.timedelta) -> None:
-        """Takes note of a request sent; a trial closes the path behind it.
+        """Records that a request was sent; a trial reopens the circuit.
 
-        Without that every waiting request would try a path together as soon
-        as its hold ends.
+        Otherwise all waiting requests would try the home at the same time as
+        soon as its open time ends.
         """
-        path = self._paths.get(home)
-        if path and path.closed_until is not None:
-            path.closed_until = now + path.hold
+        circuit = self._circuits.get(home)
+        if circuit and circuit.open_until is not None:
+            circuit.open_until = now + circuit.open_time
 
     def succeeded(self, home: str) -> None:
-        """Takes note of an answer: the path is open."""
-        self._paths.pop(home, None)
+        """Records a response, which closes the circuit."""
+        self._circuits.pop(home, None)
 
     def failed(self, home: str, now: datetime.timedelta) -> None:
-        """Takes note of an exchange that broke or stayed silent."""
-        path = self._paths.setdefault(home, _Path())
-        path.failures += 1
-        if path.failures < FAILURES_TO_CLOSE:
+        """Records an exchange that broke off or timed out."""
+        circuit = self._circuits.setdefault(home, _Circuit())
+        circuit.failures += 1
+        if circuit.failures < FAILURES_TO_CLOSE:
             return
-        if path.closed_until is not None:
-            path.hold = min(path.hold * 2, LAST_HOLD)
-        path.closed_until = now + path.hold
+        if circuit.open_until is not None:
+            circuit.open_time = min(circuit.open_time * 2, LAST_HOLD)
+        circuit.open_until = now + circuit.open_time
--- a/endivewind/decisions/silence.py
+++ b/endivewind/decisions/silence.py
@@ -1,94 +1,103 @@
-"""What it says of a target that a request there has no answer yet.
+"""Derives evidence of a target's health from its pending requests.
 
-No clock, input or output of its own.
+The longer a request has been pending, compared with the log-normal
+distribution of the target's response times, the likelier the target is
+unhealthy. Home nodes call it. Pure: no I/O, and the caller passes the time.
 """
 
 import datetime
 import math
 
-# Before anything is known, answers take about this part of their aim, with
-# this spread of their logarithm: operators set aims well above usual work.
+# Prior of the distribution: the median response time as a share of the latency
+# objective, and the standard deviation of its logarithm. Operators set
+# objectives well above usual response times.
 USUAL_SHARE = 0.33
 USUAL_SPREAD = 0.45
-# How many answers that guess counts for.
+# Number of responses that the prior counts for.
 GUESS_WEIGHT = 8.0
-# Each answer moves what is known by this part once there are many.
+# Weight of each new response once there are many.
 LEAST_WEIGHT = 1 / 64
-# Even a well target leaves so many requests unanswered for long: work has a
-# tail, and some answers are lost.
+# Share of requests that stay without a response for long even at a healthy
+# target: response times have a tail, and some responses are lost.
 TAIL = 0.02
-# How many requests a sick target never answers.
+# Share of requests to which an unhealthy target never responds.
 HANGS = 0.5
-# A stall of this process makes all answers seem late.
+# Younger pending requests are ignored: a stall of this process makes all
+# responses seem late.
 SHORTEST = datetime.timedelta(milliseconds=300)
-_LEAST_SECONDS = 0.001
+_MIN_SECONDS = 0.001
 
 
 class AnswerTimes:
-    """How long one target's answers take, by the aim of their route.
+    """Response time distributions of one target, by latency objective.
 
-    The aim tells kinds of work apart: routes that share one are of the same
-    kind, as far as their operators care.
+    The latency objective of the route tells kinds of requests apart: routes
+    with the same objective are taken to have similar response times.
     """
 
     def __init__(self) -> None:
-        self._known: dict[datetime.timedelta, _Logarithms] = {}
+        self._distributions: dict[datetime.timedelta, _LogNormal] = {}
 
     def take(
         self, aim: datetime.timedelta, latency: datetime.timedelta
     ) -> None:
-        """Takes the time of one good answer."""
+        """Records the latency of a successful response."""
         if aim:
-            self._of(aim).take(latency)
+            self._distribution(aim).observe(latency)
 
     def likelihood(
         self, aim: datetime.timedelta, age: datetime.timedelta
     ) -> float:
-        """How many times likelier a silence is at a sick target.
+        """Returns the likelihood ratio of a request still being pending.
 
-        Load: targets that take work and answer none of it for some seconds.
-        Harm: nothing ends, so nothing speaks against them until the first
-        request is overdue; six were handed to one target meanwhile. What is
-        open speaks by its age from the moment on at which most answers of its
-        kind have come.
+        The ratio says how many times likelier that is at an unhealthy target
+        than at a healthy one.
+
+        Load: targets that accept requests and respond to none of them for some
+        seconds. Harm: no request completes, so there is no evidence against
+        the target until the first one is overdue; meanwhile one target was
+        sent six requests. So a pending request counts as evidence from the age
+        at which most responses of its kind have arrived.
 
         Args:
-          aim: of the request's route; zero where none is known.
-          age: of the request.
+          aim: latency objective of the request's route; zero if unknown.
+          age: time since the request was sent.
         """
         if not aim or age < SHORTEST:
             return 1.0
-        silent = max(TAIL, self._of(aim).longer_than(age))
-        return (HANGS + (1 - HANGS) * silent) / silent
+        healthy = max(TAIL, self._distribution(aim).survival(age))
+        return (HANGS + (1 - HANGS) * healthy) / healthy
 
-    def _of(self, aim: datetime.timedelta) -> "_Logarithms":
-        known = self._known.get(aim)
-        if known is None:
-            usual = math.log(USUAL_SHARE * aim.total_seconds())
-            known = self._known[aim] = _Logarithms(usual)
-        return known
+    def _distribution(self, aim: datetime.timedelta) -> "_LogNormal":
+        found = self._distributions.get(aim)
+        if found is None:
+            mean = math.log(USUAL_SHARE * aim.total_seconds())
+            found = self._distributions[aim] = _LogNormal(mean)
+        return found
 
 
-class _Logarithms:
-    """Mean and spread of the logarithms of times, old ones fading."""
+class _LogNormal:
+    """A log-normal distribution with exponentially weighted moments."""
 
-    __slots__ = ("_mean", "_variance", "_weight")
+    __slots__ = ("_mean", "_variance", "_sample_count")
 
     def __init__(self, mean: float) -> None:
         self._mean = mean
         self._variance = USUAL_SPREAD**2
-        self._weight = GUESS_WEIGHT
-
-    def take(self, latency: datetime.timedelta) -> None:
-        """Takes one time."""
-        value = math.log(max(_LEAST_SECONDS, latency.total_seconds()))
-        self._weight += 1
-        part = max(LEAST_WEIGHT, 1 / self._weight)
-        off = value - self._mean
-        self._mean += part * off
-        self._variance = (1 - part) * (self._variance + part * off * off)
-
-    def longer_than(self, age: datetime.timedelta) -> float:
-        """The share of times that are longer than an age."""
-        above = math.log(age.total_seconds()) - self._mean
-        return 0.5 * math.erfc(above / math.sqrt(2 * self._variance))
+        self._sample_count = GUESS_WEIGHT
+
+    def observe(self, latency: datetime.timedelta) -> None:
+        """Adds one latency."""
+        value = math.log(max(_MIN_SECONDS, latency.total_seconds()))
+        self._sample_count += 1
+        weight = max(LEAST_WEIGHT, 1 / self._sample_count)
+        deviation = value - self._mean
+        self._mean += weight * deviation
+        self._variance = (1 - weight) * (
+            self._variance + weight * deviation * deviation
+        )
+
+    def survival(self, age: datetime.timedelta) -> float:
+        """Returns the share of latencies above an age."""
+        excess = math.log(age.total_seconds()) - self._mean
+        return 0.5 * math.erfc(excess / math.sqrt(2 * self._variance))
--- a/endivewind/decisions/suspicion.py
+++ b/endivewind/decisions/suspicion.py
@@ -1,33 +1,40 @@
-"""How likely a target is sick right now, from the ends of its requests.
+"""Estimates the probability that a target is unhealthy: its suspicion.
 
-A target is taken to be in one of two states, well or sick, and to change
-between them at any moment. Each end of a request moves the odds by how much
-likelier it is at a sick target (Bayes' rule); without news the odds drift
-back to what holds for any target. No clock, input or output of its own.
+Uses Bayes' rule on a two-state Markov model, in which a target changes between
+healthy and unhealthy at random. Each result of a request multiplies the odds
+by its likelihood ratio; without new results the estimate decays to the prior.
+Home nodes call it. Pure: no I/O, and the caller passes the time.
 """
 
 import datetime
 import enum
 import math
 
-# A well target turns sick about once in this time, and a sick one is well
-# again after this; from recorded days, where some seconds of trouble come to
-# each target every half minute or so. They set how fast news grows old.
+# Mean times until a healthy target becomes unhealthy, and until it recovers. In
+# recorded traffic each target has some seconds of failures about every half
+# minute. They determine how fast evidence becomes outdated.
 WELL_FOR = datetime.timedelta(seconds=40)
 SICK_FOR = datetime.timedelta(seconds=5)
-# However much has failed, a few good answers must bring a target back: its
-# trouble ends without a word, and healthy capacity must not stay unused.
+# Limits of the estimate. However many requests have failed, a few successful
+# responses must restore a target: its recovery is not announced, and healthy
+# capacity must not stay unused.
 MOST = 0.97
 LEAST = 0.001
 
 
 class Signal(enum.Enum):
-    """How a request ended, as evidence: its likelihood if sick, and if well.
-
-    GOOD: a whole answer that is no failure of the target. FAILED: an error,
-    a broken connection, a garbled answer; one in a hundred fails at a well
-    target. OVERDUE: no answer when most have come; the tail of long work
-    makes that common. SHED: the target refused although it had free slots.
+    """The result of a request, as evidence of its target's health.
+
+    The value holds the signal's probabilities at an unhealthy and at a healthy
+    target.
+
+    Attributes:
+      SUCCESS: a complete response that is no failure of the target.
+      FAILURE: an error, a broken connection or a malformed response; about one
+        request in a hundred fails at a healthy target.
+      OVERDUE: no response by the time when most have arrived; common at healthy
+        targets, too, because of the tail of the latency distribution.
+      SHED: the target rejected the request although it had free slots.
     """
 
     GOOD = (0.3, 0.98)
@@ -36,69 +43,82 @@
     SHED = (0.3, 0.02)
 
 
-_USUAL = SICK_FOR / (SICK_FOR + WELL_FOR)
-_DRIFT = 1 / SICK_FOR.total_seconds() + 1 / WELL_FOR.total_seconds()
-# What is believed of a target that nobody has told anything of.
-UNKNOWN = _USUAL
-# A target that is likelier sick than this is in doubt: just above UNKNOWN. It
-# is asked by what may repeat until it is clear, and told of to its zone.
+_PRIOR = SICK_FOR / (SICK_FOR + WELL_FOR)
+_DECAY_RATE = 1 / SICK_FOR.total_seconds() + 1 / WELL_FOR.total_seconds()
+# The suspicion of a target of which there is no evidence.
+UNKNOWN = _PRIOR
+# A target whose suspicion is at least this, just above PRIOR_SUSPICION, is
+# suspect. It is probed with idempotent requests until its health is clear, and
+# its status is pushed to its zone.
 DOUBTFUL = 0.13
 
 
 def drifted(probability: float, age: datetime.timedelta) -> float:
-    """What a probability has become after some time without news."""
-    kept = math.exp(-_DRIFT * max(0.0, age.total_seconds()))
-    return _USUAL + (probability - _USUAL) * kept
+    """Returns a suspicion as decayed after some time without evidence.
+
+    Args:
+      probability: the suspicion at the last evidence.
+      age: time since then; a negative one, from another node's clock, counts
+        as zero.
+    """
+    remaining = math.exp(-_DECAY_RATE * max(0.0, age.total_seconds()))
+    return _PRIOR + (probability - _PRIOR) * remaining
 
 
 class Suspicion:
-    """The probability that one target is sick.
-
-    Load: targets that answer their health checks and fail most of their work
-    for some seconds. Harm: fast failures look like an idle target and draw
-    more work; what must not repeat is lost with each. A test that waits for
-    several failures loses several requests to every such spell, at a few
-    requests a second and target; one failure after many successes makes it
-    about three in ten, and two in a row nearly sure.
+    """The suspicion of one target.
+
+    Load: targets that pass their health checks and fail most requests for some
+    seconds. Harm: fast failures make a target look idle, so that it attracts
+    more load, and each non-idempotent request that fails there is lost. At a
+    few requests per second and target, a detector that waits for several
+    failures loses several requests in each such period. Here one failure after
+    many successes gives a suspicion of about 0.3, and two in a row nearly 1.
     """
 
-    __slots__ = ("_at", "_probability", "_signals")
+    __slots__ = ("_updated_at", "_probability", "_signal_count")
 
     def __init__(self, now: datetime.timedelta) -> None:
-        self._probability = _USUAL
-        self._at = now
-        self._signals = 0
+        self._probability = _PRIOR
+        self._updated_at = now
+        self._signal_count = 0
 
     @property
     def signals(self) -> int:
-        """Ends of requests taken so far."""
-        return self._signals
+        """Number of signals observed so far."""
+        return self._signal_count
 
     def probability(
         self, now: datetime.timedelta, silence: float = 1.0
     ) -> float:
-        """How likely the target is sick at a moment.
+        """Returns the probability that the target is unhealthy.
 
         Args:
-          now: the moment.
-          silence: how many times likelier it is at a sick target that what is
-            there now has no answer yet.
+          now: the current monotonic time.
+          pending_ratio: likelihood ratio of the fact that the target's pending
+            requests have no response yet.
         """
-        ended = drifted(self._probability, now - self._at)
-        return _weighed(ended, silence)
+        completed = drifted(self._probability, now - self._updated_at)
+        return _posterior(completed, silence)
 
     def take(self, signal: Signal, now: datetime.timedelta) -> None:
-        """Takes the end of one request."""
-        sick, well = signal.value
-        self.weigh(sick / well, now)
+        """Updates the suspicion by the result of a request."""
+        unhealthy, healthy = signal.value
+        self.weigh(unhealthy / healthy, now)
 
     def weigh(self, likelihood: float, now: datetime.timedelta) -> None:
-        """Takes what is so many times likelier at a sick target."""
-        self._probability = _weighed(self.probability(now), likelihood)
-        self._at = now
-        self._signals += 1
+        """Updates the suspicion by evidence with the given likelihood ratio.
+
+        Args:
+          likelihood: how many times likelier the evidence is at an unhealthy
+            target than at a healthy one.
+          now: the current monotonic time.
+        """
+        self._probability = _posterior(self.probability(now), likelihood)
+        self._updated_at = now
+        self._signal_count += 1
 
 
-def _weighed(probability: float, likelihood: float) -> float:
+def _posterior(probability: float, likelihood: float) -> float:
     odds = probability * likelihood
     return min(max(odds / (odds + 1 - probability), LEAST), MOST)
--- a/endivewind/decisions/telling.py
+++ b/endivewind/decisions/telling.py
@@ -1,4 +1,9 @@
-"""What nodes near each other tell, and when. Pure."""
+"""Status updates that nodes of a zone or region push to each other.
+
+Gossip datagrams carry them. Home nodes push the status of suspect targets,
+and entry nodes push their use of retry budgets and their ingress routes.
+Pure: no I/O, and the caller passes the time.
+"""
 
 import collections.abc
 import dataclasses
@@ -8,37 +13,38 @@
 from endivewind.decisions import retries
 from endivewind.decisions import suspicion
 
-# Between two messages of a home. At most four a second to HEARERS nodes, each
-# of about 90 bytes, stay below 9 KB a second, also while a target is sick for
-# hours.
+# Minimum time between two updates of a home node. At most four updates per
+# second of about 90 bytes to MAX_PEERS nodes stay below 9 KB/s, even if a target
+# is unhealthy for hours.
 GAP = datetime.timedelta(milliseconds=250)
-# Nodes that are told, at most. Where a zone has more, its entries see enough
-# answers of their own to do without.
+# Maximum number of nodes that an update is sent to. In larger zones the entry
+# nodes see enough responses of their own to do without updates.
 HEARERS = 24
 
 
 def shares_region(others: int) -> bool:
-    """Whether entries share their retries with their whole region.
+    """Whether entry nodes share retry budgets with their whole region.
 
-    Load: few requests an entry, one in ten of which fails, in bunches. Harm: a
-    zone of six with a bound of nine retries in ten seconds has used them up
-    while the zone beside it has used none. Twice as many share twice as much,
-    and chance evens out better. Each count goes to every node that shares, so
-    only where these are few.
+    Load: few requests per entry node, of which one in ten fails, in bursts.
+    Harm: a zone of six nodes with a limit of nine retries in ten seconds uses
+    up its budget while the neighboring zone has used none. Sharing among twice
+    as many nodes doubles the budget and evens out the bursts. Since each
+    node's usage is sent to every other node that shares the budget, this is
+    limited to small regions.
 
     Args:
-      others: nodes of the region, this one not counted.
+      others: number of other nodes in the region.
     """
     return others <= HEARERS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Condition:
-    """What a home tells of one of its targets.
+    """The status of a target, which its home node pushes to its peers.
 
     Attributes:
       target: the target's id.
-      glance: the same that goes with each answer of it.
+      status: the same status as attached to each of its responses.
     """
 
     target: str
@@ -47,11 +53,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tally:
-    """What an entry has used of its retry budget in the present window.
+    """An entry node's use of a retry budget in the current window.
 
     Attributes:
-      service: whose budget.
-      count: of the entry.
+      service: the service that the budget belongs to.
+      count: the entry node's requests and retries.
     """
 
     service: str
@@ -60,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Way:
-    """Where requests go: a service, by a route's prefix."""
+    """A service and route prefix by which callers' requests enter the fleet."""
 
     service: str
     prefix: str
@@ -68,12 +74,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class News:
-    """One message to nodes near by; false if it is empty.
+    """An update pushed to nearby nodes; false in a boolean context if empty.
 
     Attributes:
-      conditions: of the sender's targets.
-      tallies: of the sender's retries.
-      ways: on which requests of callers come.
+      target_updates: status of the sender's targets.
+      retry_usages: the sender's use of retry budgets.
+      ingress_routes: routes by which the sender receives callers' requests.
     """
 
     conditions: tuple[Condition, ...] = ()
@@ -89,11 +95,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class State:
-    """A target as its home sees it.
+    """The current status of a target at its home node.
 
     Attributes:
-      condition: what would be told of it.
-      signals: ends of requests that the suspicion rests on.
+      update: the update that would be pushed.
+      signal_count: number of signals that the suspicion is based on.
     """
 
     condition: Condition
@@ -101,60 +107,65 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Told:
-    signals: int
+class _SentUpdate:
+    signal_count: int
     suspicion: float
-    at: datetime.timedelta
+    sent_at: datetime.timedelta
 
 
 class Teller:
-    """Chooses what a home tells now.
-
-    Load: many entries before a few targets, each with a request or two a
-    second. Harm: an entry hears of a target only by its own requests, so a
-    target that turns sick fails one request of every entry in turn, and what
-    must not repeat is lost with each. Its home sees all of them, and one
-    message to the entries of the zone, where nearly all of its work comes
-    from, saves the rest. While all is well nothing is told.
+    """Chooses the target updates that a home node pushes.
+
+    Load: many entry nodes in front of a few targets, each entry with one or
+    two requests per second. Harm: an entry learns of a target's health only
+    from its own requests, so a target that becomes unhealthy fails a request
+    of every entry in turn, and each non-idempotent one is lost. The home node
+    sees all requests, so one update to the entries of its zone, which send
+    nearly all of them, prevents the other failures. While all targets are
+    healthy, no updates are sent.
     """
 
     def __init__(self) -> None:
-        self._told: dict[str, _Told] = {}
-        self._last: datetime.timedelta | None = None
+        self._sent: dict[str, _SentUpdate] = {}
+        self._last_sent: datetime.timedelta | None = None
 
     def due(
         self, states: collections.abc.Iterable[State], now: datetime.timedelta
     ) -> tuple[Condition, ...]:
-        """Conditions to tell now; none where the last message is too recent.
+        """Returns the updates to push now; none if the last are too recent.
+
+        A suspect target's update is repeated after each new signal, and once
+        more when the target is no longer suspect.
 
-        A target is told of again with each new signal as long as it is in
-        doubt, and once more when it no longer is.
+        Args:
+          states: snapshots of all targets of the home.
+          now: the current monotonic time.
         """
-        if self._last is not None and now - self._last < GAP:
+        if self._last_sent is not None and now - self._last_sent < GAP:
             return ()
         states = list(states)
-        found = [item for item in states if self._is_news(item, now)]
-        for item in found:
+        due = [item for item in states if self._is_due(item, now)]
+        for item in due:
             condition = item.condition
-            self._told[condition.target] = _Told(
+            self._sent[condition.target] = _SentUpdate(
                 item.signals, condition.glance.suspicion, now
             )
-        if found:
-            self._last = now
-            self._forget(states)
-        return tuple(item.condition for item in found)
-
-    def _is_news(self, state: State, now: datetime.timedelta) -> bool:
-        doubt = state.condition.glance.suspicion
-        told = self._told.get(state.condition.target)
-        if told is None:
-            return doubt >= suspicion.DOUBTFUL
-        if state.signals == told.signals:
+        if due:
+            self._last_sent = now
+            self._remove_departed(states)
+        return tuple(item.condition for item in due)
+
+    def _is_due(self, state: State, now: datetime.timedelta) -> bool:
+        current = state.condition.glance.suspicion
+        sent = self._sent.get(state.condition.target)
+        if sent is None:
+            return current >= suspicion.DOUBTFUL
+        if state.signals == sent.signal_count:
             return False
-        believed = suspicion.drifted(told.suspicion, now - told.at)
-        return max(doubt, believed) >= suspicion.DOUBTFUL
+        expected = suspicion.drifted(sent.suspicion, now - sent.sent_at)
+        return max(current, expected) >= suspicion.DOUBTFUL
 
-    def _forget(self, states: list[State]) -> None:
-        held = {item.condition.target for item in states}
-        for gone in self._told.keys() - held:
-            del self._told[gone]
+    def _remove_departed(self, states: list[State]) -> None:
+        present = {item.condition.target for item in states}
+        for target in self._sent.keys() - present:
+            del self._sent[target]
