--- a/endivewind/decisions/silence.py
+++ b/endivewind/decisions/silence.py
@@ -39,14 +39,14 @@
         self._distributions: dict[datetime.timedelta, _LogNormal] = {}
 
     def take(
-        self, aim: datetime.timedelta, latency: datetime.timedelta
+        self, latency_objective: datetime.timedelta, latency: datetime.timedelta
     ) -> None:
         """Records the latency of a successful response."""
-        if aim:
-            self._distribution(aim).observe(latency)
+        if latency_objective:
+            self._distribution(latency_objective).observe(latency)
 
     def likelihood(
-        self, aim: datetime.timedelta, age: datetime.timedelta
+        self, latency_objective: datetime.timedelta, age: datetime.timedelta
     ) -> float:
         """Returns the likelihood ratio of a request still being pending.
 
@@ -60,19 +60,21 @@
         at which most responses of its kind have arrived.
 
         Args:
-          aim: latency objective of the request's route; zero if unknown.
+          latency_objective: latency objective of the request's route; zero if unknown.
           age: time since the request was sent.
         """
-        if not aim or age < SHORTEST:
+        if not latency_objective or age < SHORTEST:
             return 1.0
-        healthy = max(TAIL, self._distribution(aim).survival(age))
+        healthy = max(TAIL, self._distribution(latency_objective).survival(age))
         return (HANGS + (1 - HANGS) * healthy) / healthy
 
-    def _distribution(self, aim: datetime.timedelta) -> "_LogNormal":
-        found = self._distributions.get(aim)
+    def _distribution(
+        self, latency_objective: datetime.timedelta
+    ) -> "_LogNormal":
+        found = self._distributions.get(latency_objective)
         if found is None:
-            mean = math.log(USUAL_SHARE * aim.total_seconds())
-            found = self._distributions[aim] = _LogNormal(mean)
+            mean = math.log(USUAL_SHARE * latency_objective.total_seconds())
+            found = self._distributions[latency_objective] = _LogNormal(mean)
         return found
 
 
--- a/endivewind/decisions/suspicion.py
+++ b/endivewind/decisions/suspicion.py
@@ -89,7 +89,7 @@
         return self._signal_count
 
     def probability(
-        self, now: datetime.timedelta, silence: float = 1.0
+        self, now: datetime.timedelta, pending_ratio: float = 1.0
     ) -> float:
         """Returns the probability that the target is unhealthy.
 
@@ -99,26 +99,26 @@
             requests have no response yet.
         """
         completed = drifted(self._probability, now - self._updated_at)
-        return _posterior(completed, silence)
+        return _posterior(completed, pending_ratio)
 
     def take(self, signal: Signal, now: datetime.timedelta) -> None:
         """Updates the suspicion by the result of a request."""
         unhealthy, healthy = signal.value
         self.weigh(unhealthy / healthy, now)
 
-    def weigh(self, likelihood: float, now: datetime.timedelta) -> None:
+    def weigh(self, likelihood_ratio: float, now: datetime.timedelta) -> None:
         """Updates the suspicion by evidence with the given likelihood ratio.
 
         Args:
-          likelihood: how many times likelier the evidence is at an unhealthy
+          likelihood_ratio: how many times likelier the evidence is at an unhealthy
             target than at a healthy one.
           now: the current monotonic time.
         """
-        self._probability = _posterior(self.probability(now), likelihood)
+        self._probability = _posterior(self.probability(now), likelihood_ratio)
         self._updated_at = now
         self._signal_count += 1
 
 
-def _posterior(probability: float, likelihood: float) -> float:
-    odds = probability * likelihood
-    return min(max(odds / (odds + 1 - probability), LEAST), MOST)
+def _posterior(prior: float, likelihood_ratio: float) -> float:
+    odds = prior * likelihood_ratio
+    return min(max(odds / (odds + 1 - prior), LEAST), MOST)
--- a/endivewind/tests/decisions/crossing_tests.py
+++ b/endivewind/tests/decisions/crossing_tests.py
@@ -1,4 +1,4 @@
-"""The budget of bytes that an entry may send to other regions."""
+"""Tests of the budget of bytes for each other region."""
 
 import datetime
 import unittest
@@ -12,10 +12,10 @@
 
 
 class CrossRegionBudgetTest(unittest.TestCase):
-    """All near targets are gone, and every request asks to go far.
+    """All nearby targets are gone, so each request needs another region.
 
-    Without a bound one service in trouble would fill the links that all
-    share and that are paid for by volume.
+    Guards against one service in trouble saturating the links between regions,
+    which all services share and which are billed by volume.
     """
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
@@ -40,7 +40,7 @@
         bound = RATE * (now + crossing.BURST).total_seconds()
         self.assertLessEqual(sent, bound + 20_000)
 
-    def test_regions_have_budgets_of_their_own(self):
+    def test_regions_have_separate_budgets(self):
         budget = crossing.CrossRegionBudget(RATE)
         now = datetime.timedelta()
         budget.spend("caribe", 1_000_000, now)
@@ -48,7 +48,7 @@
         self.assertFalse(budget.allows("caribe", now))
         self.assertTrue(budget.allows("pacifico", now))
 
-    def test_an_empty_budget_fills_again(self):
+    def test_empty_budget_refills(self):
         budget = crossing.CrossRegionBudget(RATE)
         budget.spend("caribe", 31_000, datetime.timedelta())
 
--- a/endivewind/tests/decisions/paths_tests.py
+++ b/endivewind/tests/decisions/paths_tests.py
@@ -1,4 +1,4 @@
-"""Tests of the judgement of paths."""
+"""Tests of the circuit breakers for home nodes."""
 
 import datetime
 import unittest
@@ -8,54 +8,54 @@
 _SECOND = datetime.timedelta(seconds=1)
 
 
-class PathsTest(unittest.TestCase):
-    """A path is closed only for cause, and tried again with one request."""
+class CircuitBreakersTest(unittest.TestCase):
+    """A circuit opens after two failures; one request tries it again."""
 
     def setUp(self):
-        self.paths = paths.Paths()
+        self.breakers = paths.Paths()
 
-    def test_one_failure_leaves_the_path_open(self):
-        self.paths.failed("home", _SECOND)
+    def test_one_failure_leaves_the_circuit_closed(self):
+        self.breakers.failed("home", _SECOND)
 
-        self.assertTrue(self.paths.usable("home", _SECOND))
+        self.assertTrue(self.breakers.usable("home", _SECOND))
 
-    def test_two_failures_close_it_for_the_hold(self):
+    def test_two_failures_open_the_circuit_for_the_open_time(self):
         self._fail_twice(at=_SECOND)
 
-        self.assertFalse(self.paths.usable("home", _SECOND))
-        self.assertTrue(self.paths.usable("home", 2 * _SECOND))
+        self.assertFalse(self.breakers.usable("home", _SECOND))
+        self.assertTrue(self.breakers.usable("home", 2 * _SECOND))
 
-    def test_a_trial_keeps_others_away_until_it_ends(self):
-        """Callers see one slow request a hold, not all of them.
+    def test_half_open_circuit_allows_a_single_trial(self):
+        """Guards against many slow requests each time the open time ends.
 
-        The hold ends, one request is sent as a trial and stays silent; those
-        that come meanwhile must go elsewhere.
+        One request is sent as a trial and gets no response; requests that
+        arrive meanwhile must be placed at other homes.
         """
         self._fail_twice(at=_SECOND)
 
-        self.paths.started("home", 2 * _SECOND)
+        self.breakers.started("home", 2 * _SECOND)
 
-        self.assertFalse(self.paths.usable("home", 2 * _SECOND))
+        self.assertFalse(self.breakers.usable("home", 2 * _SECOND))
 
-    def test_a_failed_trial_lengthens_the_hold_up_to_the_limit(self):
+    def test_failed_trials_lengthen_the_open_time_up_to_the_limit(self):
         now = _SECOND
         self._fail_twice(at=now)
         for _ in range(10):
             now += paths.LAST_HOLD
-            self.paths.failed("home", now)
+            self.breakers.failed("home", now)
 
         self.assertFalse(
-            self.paths.usable("home", now + paths.LAST_HOLD - _SECOND)
+            self.breakers.usable("home", now + paths.LAST_HOLD - _SECOND)
         )
-        self.assertTrue(self.paths.usable("home", now + paths.LAST_HOLD))
+        self.assertTrue(self.breakers.usable("home", now + paths.LAST_HOLD))
 
-    def test_an_answer_opens_it(self):
+    def test_response_closes_the_circuit(self):
         self._fail_twice(at=_SECOND)
 
-        self.paths.succeeded("home")
+        self.breakers.succeeded("home")
 
-        self.assertTrue(self.paths.usable("home", _SECOND))
+        self.assertTrue(self.breakers.usable("home", _SECOND))
 
     def _fail_twice(self, at: datetime.timedelta):
-        self.paths.failed("home", at)
-        self.paths.failed("home", at)
+        self.breakers.failed("home", at)
+        self.breakers.failed("home", at)
--- a/endivewind/tests/decisions/suspicion_tests.py
+++ b/endivewind/tests/decisions/suspicion_tests.py
@@ -1,4 +1,4 @@
-"""How likely a target is sick, by what its requests have told."""
+"""Tests of the suspicion of a target after sequences of signals."""
 
 import datetime
 import unittest
@@ -13,51 +13,54 @@
 
 
 class SuspicionTest(unittest.TestCase):
-    """A target with five requests a second, as the users' targets have."""
+    """One target with five requests per second, the load in production."""
 
     def setUp(self):
         self.now = SECOND
         self.suspicion = suspicion.Suspicion(self.now)
 
-    def take(self, signal, count=1):
+    def observe(self, signal, count=1):
         for _ in range(count):
             self.now += SECOND / 5
             self.suspicion.take(signal, self.now)
         return self.suspicion.probability(self.now)
 
-    def test_one_failure_after_many_answers_is_a_doubt(self):
-        well = self.take(Signal.GOOD, 20)
-        doubted = self.take(Signal.FAILED)
+    def test_one_failure_after_many_successes_makes_target_suspect(self):
+        before = self.observe(Signal.GOOD, 20)
+        after = self.observe(Signal.FAILED)
 
-        self.assertLess(well, 0.02)
-        self.assertTrue(0.2 < doubted < 0.5, doubted)
+        self.assertLess(before, 0.02)
+        self.assertTrue(0.2 < after < 0.5, after)
 
-    def test_two_failures_in_a_row_are_near_certain(self):
-        self.take(Signal.GOOD, 20)
+    def test_two_failures_in_a_row_give_high_suspicion(self):
+        self.observe(Signal.GOOD, 20)
 
-        self.assertGreater(self.take(Signal.FAILED, 2), 0.9)
+        self.assertGreater(self.observe(Signal.FAILED, 2), 0.9)
 
-    def test_a_single_failure_is_forgotten_after_two_answers(self):
-        self.take(Signal.GOOD, 20)
-        self.take(Signal.FAILED)
+    def test_single_failure_is_outweighed_by_two_successes(self):
+        self.observe(Signal.GOOD, 20)
+        self.observe(Signal.FAILED)
 
-        self.assertLess(self.take(Signal.GOOD, 2), 0.15)
+        self.assertLess(self.observe(Signal.GOOD, 2), 0.15)
 
-    def test_a_target_that_failed_for_long_is_back_after_five_answers(self):
-        """Its spell ends without a word; capacity must not stay unused."""
-        self.take(Signal.FAILED, 100)
+    def test_target_recovers_after_five_successes(self):
+        """Recovery is not announced, and capacity must not stay unused.
 
-        self.assertLess(self.take(Signal.GOOD, 5), 0.15)
+        The target has failed a hundred requests before.
+        """
+        self.observe(Signal.FAILED, 100)
 
-    def test_without_news_the_doubt_fades(self):
-        self.take(Signal.FAILED, 10)
+        self.assertLess(self.observe(Signal.GOOD, 5), 0.15)
+
+    def test_suspicion_decays_to_the_prior_without_signals(self):
+        self.observe(Signal.FAILED, 10)
 
         later = self.suspicion.probability(self.now + 30 * SECOND)
 
         self.assertAlmostEqual(suspicion.UNKNOWN, later, delta=0.01)
 
-    def test_news_from_another_clock_does_no_harm(self):
-        """A probability that seems to come from the future is taken as new."""
+    def test_decay_ignores_a_negative_age(self):
+        """Clocks of nodes differ, so an update may seem to be from the future."""
         found = suspicion.drifted(0.9, -SECOND)
 
         self.assertAlmostEqual(0.9, found)
@@ -72,15 +75,15 @@
             max_size=50,
         )
     )
-    def test_it_stays_a_probability_from_which_there_is_a_way_back(self, news):
-        judged = suspicion.Suspicion(SECOND)
+    def test_suspicion_stays_within_limits_and_can_recover(self, signals):
+        estimator = suspicion.Suspicion(SECOND)
         now = SECOND
-        for signal, seconds in news:
+        for signal, seconds in signals:
             now += seconds * SECOND
-            judged.take(signal, now)
-            self.assertTrue(0 < judged.probability(now) <= suspicion.MOST)
+            estimator.take(signal, now)
+            self.assertTrue(0 < estimator.probability(now) <= suspicion.MOST)
 
         for _ in range(8):
-            judged.take(Signal.GOOD, now)
+            estimator.take(Signal.GOOD, now)
 
-        self.assertLess(judged.probability(now), 0.1)
+        self.assertLess(estimator.probability(now), 0.1)
--- a/endivewind/tests/decisions/telling_tests.py
+++ b/endivewind/tests/decisions/telling_tests.py
@@ -1,4 +1,4 @@
-"""What a home tells the entries of its zone, and how often."""
+"""Tests of which target updates a home node pushes, and how often."""
 
 import datetime
 import unittest
@@ -10,72 +10,72 @@
 SECOND = datetime.timedelta(seconds=1)
 
 
-class TellerTest(unittest.TestCase):
-    """One target, as its home sees it."""
+class TargetUpdatePublisherTest(unittest.TestCase):
+    """A home node with one target."""
 
     def setUp(self):
         self.now = SECOND
         self.suspicion = suspicion.Suspicion(self.now)
-        self.teller = telling.Teller()
+        self.publisher = telling.Teller()
 
-    def pause(self, span=telling.GAP):
-        self.now += span
+    def advance(self, duration=telling.GAP):
+        self.now += duration
 
-    def due(self):
-        glance = exchange.Glance(0, self.suspicion.probability(self.now))
-        condition = telling.Condition("t1", glance)
-        state = telling.State(condition, self.suspicion.signals)
-        return self.teller.due([state], self.now)
+    def due_updates(self):
+        status = exchange.Glance(0, self.suspicion.probability(self.now))
+        update = telling.Condition("t1", status)
+        snapshot = telling.State(update, self.suspicion.signals)
+        return self.publisher.due([snapshot], self.now)
 
-    def take(self, signal):
+    def observe(self, signal):
         self.suspicion.take(signal, self.now)
 
-    def test_a_target_that_is_well_costs_no_message(self):
+    def test_healthy_target_causes_no_updates(self):
         for _ in range(100):
-            self.take(suspicion.Signal.GOOD)
-            self.pause()
-            self.assertEqual((), self.due())
-
-    def test_a_failure_is_told_at_once_and_its_end_once(self):
-        self.take(suspicion.Signal.FAILED)
-        self.assertEqual(1, len(self.due()))
-        told = []
+            self.observe(suspicion.Signal.GOOD)
+            self.advance()
+            self.assertEqual((), self.due_updates())
+
+    def test_failure_is_pushed_at_once_and_recovery_once(self):
+        self.observe(suspicion.Signal.FAILED)
+        self.assertEqual(1, len(self.due_updates()))
+        updates = []
         for _ in range(20):
-            self.pause()
-            self.take(suspicion.Signal.GOOD)
-            told += self.due()
+            self.advance()
+            self.observe(suspicion.Signal.GOOD)
+            updates += self.due_updates()
 
-        self.assertLess(told[-1].glance.suspicion, suspicion.DOUBTFUL)
+        self.assertLess(updates[-1].glance.suspicion, suspicion.DOUBTFUL)
         self.assertEqual(
-            [], [item for item in told[:-1] if item.glance.suspicion < 0.11]
+            [], [item for item in updates[:-1] if item.glance.suspicion < 0.11]
         )
 
-    def test_silence_about_a_sick_target_is_no_news(self):
-        """Doubt fades by the same rule at both ends, without a message."""
-        self.take(suspicion.Signal.FAILED)
-        self.due()
-        self.pause(10 * SECOND)
+    def test_no_update_without_new_signals(self):
+        """Sender and receivers decay the suspicion in the same way."""
+        self.observe(suspicion.Signal.FAILED)
+        self.due_updates()
+        self.advance(10 * SECOND)
 
-        self.assertEqual((), self.due())
+        self.assertEqual((), self.due_updates())
 
-    def test_a_storm_of_failures_is_told_a_few_times_a_second(self):
+    def test_many_failures_are_pushed_a_few_times_a_second(self):
         count = 0
         for _ in range(1000):
-            self.pause(SECOND / 100)
-            self.take(suspicion.Signal.FAILED)
-            count += len(self.due())
+            self.advance(SECOND / 100)
+            self.observe(suspicion.Signal.FAILED)
+            count += len(self.due_updates())
 
         self.assertLessEqual(count, 10 * SECOND / telling.GAP)
         self.assertGreater(count, 20)
 
-    def test_a_target_that_has_left_is_forgotten(self):
-        self.take(suspicion.Signal.FAILED)
-        self.due()
-        self.pause()
+    def test_removed_target_is_pushed_again_when_it_is_back(self):
+        self.observe(suspicion.Signal.FAILED)
+        self.due_updates()
+        self.advance()
         other = telling.State(
             telling.Condition("t2", exchange.Glance(0, 0.9)), 1
         )
-        self.teller.due([other], self.now)
-        self.pause()
+        self.publisher.due([other], self.now)
+        self.advance()
 
-        self.assertEqual(1, len(self.due()))
+        self.assertEqual(1, len(self.due_updates()))
--- a/endivewind/tests/loads/silence_tests.py
+++ b/endivewind/tests/loads/silence_tests.py
@@ -1,7 +1,7 @@
-"""The pattern: targets that take work and do not answer it, for seconds.
+"""Load pattern: targets that accept requests and do not respond for seconds.
 
-Every nine seconds three targets in ten leave three quarters of their work
-unanswered for three seconds; nothing of it ends before its caller has given up.
+Every nine seconds, three targets in ten hang on three quarters of their
+requests for three seconds. None of these completes before its caller's time-out.
 """
 
 import datetime
@@ -13,34 +13,34 @@
 
 LOOKUP = fleet.Kind("lookup", 48, 0.66, 0.3, 2.15, 4.0, rank=2)
 ORDER = fleet.Kind("order", 48, 0.85, 0.8, 2.2, 4.0, once=True)
-SICK_SHARE = 0.3
-HANGS = 0.75
-SPELLS = 3
+UNHEALTHY_SHARE = 0.3
+HANG_SHARE = 0.75
+FAULT_PERIODS = 3
 
 
-def _play(seed, retries=(20, 60)):
-    played = fleet.Fleet(
+def _simulate(seed, retries=(20, 60)):
+    simulation = fleet.Fleet(
         seed, targets_per_zone=4, entries_per_zone=4, slots=8, retries=retries
     )
-    for _ in range(SPELLS):
-        sick = played.draw(SICK_SHARE)
-        for target in sick:
-            target.hangs = HANGS
-        played.play(3, (LOOKUP, ORDER))
-        for target in sick:
+    for _ in range(FAULT_PERIODS):
+        unhealthy = simulation.draw(UNHEALTHY_SHARE)
+        for target in unhealthy:
+            target.hangs = HANG_SHARE
+        simulation.play(3, (LOOKUP, ORDER))
+        for target in unhealthy:
             target.hangs = 0.0
-        played.play(6, (LOOKUP, ORDER))
-    return played.outcomes
+        simulation.play(6, (LOOKUP, ORDER))
+    return simulation.outcomes
 
 
-class SilenceTest(unittest.TestCase):
-    def test_what_is_open_speaks_before_it_ends(self):
-        """Guards against orders for a target that answers none of them."""
+class HangingTargetsTest(unittest.TestCase):
+    def test_pending_requests_count_as_evidence(self):
+        """Guards against sending orders to a target that hangs on all of them."""
         with mock.patch.object(
             silence.AnswerTimes, "likelihood", return_value=1.0
         ):
-            before = [_play(seed) for seed in (1, 2)]
-        after = [_play(seed) for seed in (1, 2)]
+            before = [_simulate(seed) for seed in (1, 2)]
+        after = [_simulate(seed) for seed in (1, 2)]
 
         for kind, share in (("order", 0.75), ("lookup", 0.75)):
             lost = [
@@ -49,50 +49,57 @@
             ]
             self.assertLess(lost[1], share * lost[0], kind)
 
-    def test_lookups_are_tried_elsewhere_with_most_retries_spent(self):
-        """Guards against look-ups that wait out their callers.
+    def test_lookups_are_retried_when_the_budget_is_nearly_spent(self):
+        """Guards against look-ups that hang until their callers time out.
 
-        What is silent past its aim has failed, and retries are for that.
+        A request without a response within its latency objective has failed,
+        and the retry budget exists for such requests.
         """
-        outcomes = _play(3, retries=(10, 24))
+        outcomes = _simulate(3, retries=(10, 24))
 
         self.assertLess(outcomes["lookup"].lost, 0.03)
 
 
-class AnswerTimesTest(unittest.TestCase):
-    aim = datetime.timedelta(seconds=2)
+class ResponseTimesTest(unittest.TestCase):
+    latency_objective = datetime.timedelta(seconds=2)
 
     def setUp(self):
         self.times = silence.AnswerTimes()
 
-    def likelihood(self, seconds):
+    def likelihood_ratio(self, seconds):
         age = datetime.timedelta(seconds=seconds)
-        return self.times.likelihood(self.aim, age)
+        return self.times.likelihood(self.latency_objective, age)
 
-    def test_silence_says_little_at_first_and_more_and_more(self):
-        found = [self.likelihood(at) for at in (0.2, 0.5, 1.0, 1.5, 3, 60)]
+    def test_likelihood_ratio_grows_with_age(self):
+        ratios = [
+            self.likelihood_ratio(at) for at in (0.2, 0.5, 1.0, 1.5, 3, 60)
+        ]
 
-        self.assertEqual(sorted(found), found)
-        self.assertEqual(1.0, found[0])
-        self.assertLess(found[1], 2)
-        self.assertGreater(found[3], 5)
+        self.assertEqual(sorted(ratios), ratios)
+        self.assertEqual(1.0, ratios[0])
+        self.assertLess(ratios[1], 2)
+        self.assertGreater(ratios[3], 5)
 
-    def test_no_silence_is_proof(self):
-        """Work has a tail; one long request must not condemn its target."""
-        self.assertLess(self.likelihood(600), 1 / silence.TAIL)
+    def test_likelihood_ratio_is_bounded(self):
+        """Latencies have a tail; one long request must not condemn a target."""
+        self.assertLess(self.likelihood_ratio(600), 1 / silence.TAIL)
 
-    def test_it_learns_how_long_work_takes(self):
-        before = self.likelihood(0.6)
+    def test_distribution_adapts_to_observed_latencies(self):
+        before = self.likelihood_ratio(0.6)
         for _ in range(40):
-            self.times.take(self.aim, datetime.timedelta(seconds=0.1))
-        quick = self.likelihood(0.6)
+            self.times.take(
+                self.latency_objective, datetime.timedelta(seconds=0.1)
+            )
+        after_fast_responses = self.likelihood_ratio(0.6)
         for _ in range(300):
-            self.times.take(self.aim, datetime.timedelta(seconds=1.5))
+            self.times.take(
+                self.latency_objective, datetime.timedelta(seconds=1.5)
+            )
 
-        self.assertGreater(quick, 3 * before)
-        self.assertLess(self.likelihood(1.5), 2)
+        self.assertGreater(after_fast_responses, 3 * before)
+        self.assertLess(self.likelihood_ratio(1.5), 2)
 
-    def test_without_an_aim_nothing_is_known(self):
+    def test_without_latency_objective_the_ratio_is_one(self):
         age = datetime.timedelta(seconds=9)
 
         self.assertEqual(1.0, self.times.likelihood(datetime.timedelta(), age))
--- a/endivewind/tests/nodes/view_tests.py
+++ b/endivewind/tests/nodes/view_tests.py
@@ -1,4 +1,4 @@
-"""The fleet view under changes that come late, twice and out of order."""
+"""Tests of the fleet view with delayed, duplicate and reordered changes."""
 
 import unittest
 
@@ -29,7 +29,7 @@
 
 
 class FleetViewTest(unittest.TestCase):
-    """Two homes, a and b."""
+    """A view with two home nodes, a and b."""
 
     def setUp(self):
         self.view = view.FleetView()
@@ -38,69 +38,68 @@
                 view.NodeRecord(name, 1, f"{name}:1", "andina", "andina-a")
             )
 
-    def _homes(self):
+    def _homes_by_target(self):
         return {
             name: record.home
             for name, record in self.view.targets("riders").items()
         }
 
-    def test_late_copy_brings_no_withdrawn_target_back(self):
-        """Callers are not sent to a target that has left.
+    def test_delayed_copy_does_not_restore_a_removed_target(self):
+        """Guards against requests to a target that has left.
 
-        The withdrawal arrives; a copy of the announcement before it was held
-        up on the way and comes last.
+        A copy of the announcement is delayed and arrives after the removal.
         """
         self.view.put_change(_change("a", 1))
         self.view.put_change(_change("a", 2, gone=True))
         self.assertFalse(self.view.put_change(_change("a", 1)))
-        self.assertEqual({}, self._homes())
+        self.assertEqual({}, self._homes_by_target())
 
     def test_order_of_arrival_does_not_matter(self):
         self.view.put_change(_change("a", 3, gone=True))
         self.assertTrue(self.view.put_change(_change("a", 1)))
         self.view.put_change(_change("a", 2, health="ejected"))
-        self.assertEqual({}, self._homes())
+        self.assertEqual({}, self._homes_by_target())
         self.assertEqual(3, self.view.home_version("a").sequence)
 
-    def test_later_announcement_wins_whatever_comes_first(self):
-        """A moved target's work goes to its new home alone."""
+    def test_announcement_with_more_moves_wins_in_any_order(self):
+        """Requests for a moved target go to its new home only."""
         for first, second in (("a", "b"), ("b", "a")):
             moves = {"a": 1, "b": 2}
             self.setUp()
             self.view.put_change(_change(first, 1, moves=moves[first]))
             self.view.put_change(_change(second, 1, moves=moves[second]))
-            self.assertEqual({"t1": "b"}, self._homes())
+            self.assertEqual({"t1": "b"}, self._homes_by_target())
 
-    def test_earlier_home_counts_again_when_the_later_lets_go(self):
+    def test_earlier_home_is_used_again_when_the_later_one_removes(self):
         self.view.put_change(_change("a", 1, moves=1))
         self.view.put_change(_change("b", 1, moves=2))
         self.view.put_change(_change("b", 2, moves=2, gone=True))
-        self.assertEqual({"t1": "a"}, self._homes())
+        self.assertEqual({"t1": "a"}, self._homes_by_target())
 
-    def test_dead_home_loses_its_targets_and_has_them_back(self):
+    def test_targets_of_a_dead_home_are_unusable_until_it_is_back(self):
         self.view.put_change(_change("a", 1))
         record = self.view.nodes["a"]
         self.view.remove_node("a")
-        self.assertEqual({}, self._homes())
+        self.assertEqual({}, self._homes_by_target())
         self.view.put_node(record)
-        self.assertEqual({"t1": "a"}, self._homes())
+        self.assertEqual({"t1": "a"}, self._homes_by_target())
 
-    def test_later_start_of_a_home_begins_with_nothing(self):
+    def test_new_incarnation_of_a_home_has_no_targets(self):
         self.view.put_change(_change("a", 1))
         self.view.put_node(view.NodeRecord("a", 2, "a:1", "andina", "andina-a"))
-        self.assertEqual({}, self._homes())
+        self.assertEqual({}, self._homes_by_target())
 
-    def test_targets_wait_for_their_home_to_be_known(self):
+    def test_targets_are_unusable_until_their_home_is_known(self):
         self.view.put_change(_change("c", 1))
-        self.assertEqual({}, self._homes())
+        self.assertEqual({}, self._homes_by_target())
         self.view.put_node(view.NodeRecord("c", 1, "c:1", "caribe", "caribe-a"))
         self.assertEqual("caribe", self.view.claim("t1").region)
 
-    def test_whole_state_replaces_what_is_older(self):
+    def test_whole_state_replaces_older_changes(self):
         self.view.put_change(_change("a", 1, target="t1"))
         self.view.put_change(_change("a", 4, target="t4"))
         self.view.put_home("a", 1, 3, [_record("a", 2, target="t2")])
-        self.assertEqual({"t2": "a", "t4": "a"}, self._homes())
+        self.assertEqual({"t2": "a", "t4": "a"}, self._homes_by_target())
         self.assertEqual(4, self.view.home_version("a").sequence)
 
 
