--- a/endivewind/decisions/crossing.py
+++ b/endivewind/decisions/crossing.py
@@ -6,8 +6,8 @@
 import dataclasses
 import datetime
 
-# Capacity of a bucket, as the time to fill it: enough for the requests of a zone
-# while its targets restart, and small compared with a day's traffic costs.
+# Capacity of a bucket, as the time to fill it: enough for the requests of a
+# zone while its targets restart, and small compared with a day's traffic costs.
 BURST = datetime.timedelta(seconds=30)
 
 
--- a/endivewind/decisions/silence.py
+++ b/endivewind/decisions/silence.py
@@ -8,8 +8,8 @@
 import datetime
 import math
 
-# Prior of the distribution: the median response time as a share of the latency
-# objective, and the standard deviation of its logarithm. Operators set
+# Prior distribution of response times: the median as a share of the latency
+# objective, and the standard deviation of the logarithm. Operators set
 # objectives well above usual response times.
 USUAL_SHARE = 0.33
 USUAL_SPREAD = 0.45
@@ -60,7 +60,7 @@
         at which most responses of its kind have arrived.
 
         Args:
-          latency_objective: latency objective of the request's route; zero if unknown.
+          latency_objective: that of the request's route; zero if unknown.
           age: time since the request was sent.
         """
         if not latency_objective or age < SHORTEST:
--- a/endivewind/decisions/suspicion.py
+++ b/endivewind/decisions/suspicion.py
@@ -110,8 +110,8 @@
         """Updates the suspicion by evidence with the given likelihood ratio.
 
         Args:
-          likelihood_ratio: how many times likelier the evidence is at an unhealthy
-            target than at a healthy one.
+          likelihood_ratio: how many times likelier the evidence is at an
+            unhealthy target than at a healthy one.
           now: the current monotonic time.
         """
         self._probability = _posterior(self.probability(now), likelihood_ratio)
--- a/endivewind/decisions/telling.py
+++ b/endivewind/decisions/telling.py
@@ -14,8 +14,8 @@
 from endivewind.decisions import suspicion
 
 # Minimum time between two updates of a home node. At most four updates per
-# second of about 90 bytes to MAX_PEERS nodes stay below 9 KB/s, even if a target
-# is unhealthy for hours.
+# second, of about 90 bytes each, to MAX_PEERS nodes stay below 9 KB/s, even if
+# a target is unhealthy for hours.
 GAP = datetime.timedelta(milliseconds=250)
 # Maximum number of nodes that an update is sent to. In larger zones the entry
 # nodes see enough responses of their own to do without updates.
@@ -57,7 +57,7 @@
 
     Attributes:
       service: the service that the budget belongs to.
-      count: the entry node's requests and retries.
+      counts: the entry node's requests and retries.
     """
 
     service: str
--- a/endivewind/nodes/view.py
+++ b/endivewind/nodes/view.py
@@ -61,8 +61,8 @@
     Attributes:
       incarnation: the home node's incarnation.
       sequence: number of the last change before the first missing one.
-      records: targets by id, with later changes applied.
-      pending: ids of the targets changed after a missing change, by number.
+      records: targets by id, with pending changes applied as well.
+      pending: target ids of the changes after a missing one, by number.
     """
 
     __slots__ = ("incarnation", "pending", "records", "sequence")
@@ -168,7 +168,7 @@
         return HomeVersion(known.incarnation, known.sequence)
 
     def home_state(self, home: str) -> HomeState | None:
-        """Returns a home's targets, except those changed after a missing change."""
+        """Returns a home's targets, except for those with pending changes."""
         known = self._homes.get(home)
         if known is None:
             return None
--- a/endivewind/tests/decisions/suspicion_tests.py
+++ b/endivewind/tests/decisions/suspicion_tests.py
@@ -60,7 +60,7 @@
         self.assertAlmostEqual(suspicion.UNKNOWN, later, delta=0.01)
 
     def test_decay_ignores_a_negative_age(self):
-        """Clocks of nodes differ, so an update may seem to be from the future."""
+        """Nodes' clocks differ, so an update may seem to be from the future."""
         found = suspicion.drifted(0.9, -SECOND)
 
         self.assertAlmostEqual(0.9, found)
--- a/endivewind/tests/loads/silence_tests.py
+++ b/endivewind/tests/loads/silence_tests.py
@@ -1,7 +1,8 @@
 """Load pattern: targets that accept requests and do not respond for seconds.
 
 Every nine seconds, three targets in ten hang on three quarters of their
-requests for three seconds. None of these completes before its caller's time-out.
+requests for three seconds. None of these completes before its caller times
+out.
 """
 
 import datetime
@@ -35,7 +36,7 @@
 
 class HangingTargetsTest(unittest.TestCase):
     def test_pending_requests_count_as_evidence(self):
-        """Guards against sending orders to a target that hangs on all of them."""
+        """Guards against sending orders to targets that hang on them."""
         with mock.patch.object(
             silence.AnswerTimes, "likelihood", return_value=1.0
         ):
