--- a/endivewind/decisions/suspicion.py
+++ b/endivewind/decisions/suspicion.py
@@ -3,7 +3,8 @@
 Uses Bayes' rule on a two-state Markov model, in which a target changes between
 healthy and unhealthy at random. Each result of a request multiplies the odds
 by its likelihood ratio; without new results the estimate decays to the prior.
-Home nodes call it. Pure: no I/O, and the caller passes the time.
+Home nodes estimate it; entry nodes decay what homes report. Pure: no I/O, and
+the caller passes the time.
 """
 
 import datetime
--- a/endivewind/exchange.py
+++ b/endivewind/exchange.py
@@ -90,7 +90,8 @@
       remaining: time left until the deadline.
       ticket: the ticket of a non-idempotent request; otherwise empty.
       attempt: number of the attempt under the ticket, from 1.
-      latency_objective: the route's latency objective; zero if unknown.
+      latency_objective: time within which a response is most useful; zero if
+        unknown.
       queue_priority: priority in queues; higher values are served first.
       max_suspicion: highest suspicion of a target that may get the request.
       may_be_duplicate: whether a target may have received the request before.
--- a/endivewind/nodes/messages.thrift
+++ b/endivewind/nodes/messages.thrift
@@ -161,7 +161,8 @@
   4: list<TargetChange> targets
 }
 
-// A target that has left its home, with its last incarnation that has left.
+// A target that has announced its departure to its home, and the highest of
+// its incarnations that did so.
 struct Left {
   1: string target
   2: i64 incarnation
@@ -228,7 +229,7 @@
   4: list<ConfigurationStamp> in_force
 }
 
-// Requests a node's proof that its configuration is recent.
+// Requests a node's proof that its configuration was the newest.
 struct FreshnessAsk {
 }
 
@@ -266,7 +267,7 @@
   2: optional Chunk chunk
   3: optional Answer answer
   4: optional Refusal refusal
-  // 5 is reserved: earlier releases announced targets in it.
+  // 5 is reserved: in it, earlier releases announced targets to every node.
   6: optional Heartbeat heartbeat
   20: optional Configuration configuration
   21: optional ConfigurationAsk configuration_ask
--- a/endivewind/tests/nodes/view_tests.py
+++ b/endivewind/tests/nodes/view_tests.py
@@ -24,8 +24,8 @@
     )
 
 
-def _change(*arguments, gone=False, **fields):
-    return records.TargetChange(_record(*arguments, **fields), gone)
+def _change(*arguments, is_removal=False, **fields):
+    return records.TargetChange(_record(*arguments, **fields), is_removal)
 
 
 class FleetViewTest(unittest.TestCase):
@@ -50,12 +50,12 @@
         A copy of the announcement is delayed and arrives after the removal.
         """
         self.view.put_change(_change("a", 1))
-        self.view.put_change(_change("a", 2, gone=True))
+        self.view.put_change(_change("a", 2, is_removal=True))
         self.assertFalse(self.view.put_change(_change("a", 1)))
         self.assertEqual({}, self._homes_by_target())
 
     def test_order_of_arrival_does_not_matter(self):
-        self.view.put_change(_change("a", 3, gone=True))
+        self.view.put_change(_change("a", 3, is_removal=True))
         self.assertTrue(self.view.put_change(_change("a", 1)))
         self.view.put_change(_change("a", 2, health="ejected"))
         self.assertEqual({}, self._homes_by_target())
@@ -73,7 +73,7 @@
     def test_earlier_home_is_used_again_when_the_later_one_removes(self):
         self.view.put_change(_change("a", 1, moves=1))
         self.view.put_change(_change("b", 1, moves=2))
-        self.view.put_change(_change("b", 2, moves=2, gone=True))
+        self.view.put_change(_change("b", 2, moves=2, is_removal=True))
         self.assertEqual({"t1": "a"}, self._homes_by_target())
 
     def test_targets_of_a_dead_home_are_unusable_until_it_is_back(self):
