--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -317,7 +317,7 @@
     Mutant(
         "peers forget the leaves that a home has acknowledged",
         "nodes/view.py",
-        "        return self._left.get(home, {})\n",
+        "        return self._departed.get(home, {})\n",
         "        return {}\n",
         "nodes.gossip_tests",
     ),
