--- a/endivewind/decisions/silence.py
+++ b/endivewind/decisions/silence.py
@@ -81,7 +81,7 @@
 class _LogNormal:
     """A log-normal distribution with exponentially weighted moments."""
 
-    __slots__ = ("_mean", "_variance", "_sample_count")
+    __slots__ = ("_mean", "_sample_count", "_variance")
 
     def __init__(self, mean: float) -> None:
         self._mean = mean
--- a/endivewind/decisions/suspicion.py
+++ b/endivewind/decisions/suspicion.py
@@ -77,7 +77,7 @@
     many successes gives a suspicion of about 0.3, and two in a row nearly 1.
     """
 
-    __slots__ = ("_updated_at", "_probability", "_signal_count")
+    __slots__ = ("_probability", "_signal_count", "_updated_at")
 
     def __init__(self, now: datetime.timedelta) -> None:
         self._probability = _PRIOR
