--- a/endivewind/decisions/telling.py
+++ b/endivewind/decisions/telling.py
@@ -130,7 +130,9 @@
         self._last_sent: datetime.timedelta | None = None
 
     def due(
-        self, states: collections.abc.Iterable[State], now: datetime.timedelta
+        self,
+        snapshots: collections.abc.Iterable[State],
+        now: datetime.timedelta,
     ) -> tuple[Condition, ...]:
         """Returns the updates to push now; none if the last are too recent.
 
@@ -138,34 +140,34 @@
         more when the target is no longer suspect.
 
         Args:
-          states: snapshots of all targets of the home.
+          snapshots: snapshots of all targets of the home.
           now: the current monotonic time.
         """
         if self._last_sent is not None and now - self._last_sent < GAP:
             return ()
-        states = list(states)
-        due = [item for item in states if self._is_due(item, now)]
+        snapshots = list(snapshots)
+        due = [item for item in snapshots if self._is_due(item, now)]
         for item in due:
-            condition = item.condition
-            self._sent[condition.target] = _SentUpdate(
-                item.signals, condition.glance.suspicion, now
+            update = item.condition
+            self._sent[update.target] = _SentUpdate(
+                item.signals, update.glance.suspicion, now
             )
         if due:
             self._last_sent = now
-            self._remove_departed(states)
+            self._remove_departed(snapshots)
         return tuple(item.condition for item in due)
 
-    def _is_due(self, state: State, now: datetime.timedelta) -> bool:
-        current = state.condition.glance.suspicion
-        sent = self._sent.get(state.condition.target)
+    def _is_due(self, snapshot: State, now: datetime.timedelta) -> bool:
+        current = snapshot.condition.glance.suspicion
+        sent = self._sent.get(snapshot.condition.target)
         if sent is None:
             return current >= suspicion.DOUBTFUL
-        if state.signals == sent.signal_count:
+        if snapshot.signals == sent.signal_count:
             return False
         expected = suspicion.drifted(sent.suspicion, now - sent.sent_at)
         return max(current, expected) >= suspicion.DOUBTFUL
 
-    def _remove_departed(self, states: list[State]) -> None:
-        present = {item.condition.target for item in states}
+    def _remove_departed(self, snapshots: list[State]) -> None:
+        present = {item.condition.target for item in snapshots}
         for target in self._sent.keys() - present:
             del self._sent[target]
