--- /dev/null
+++ b/endivewind/tests/decisions/peer_updates_tests.py
@@ -0,0 +1,81 @@
+"""Tests of which target updates a home node pushes, and how often."""
+
+import datetime
+import unittest
+
+from endivewind import exchange
+from endivewind.decisions import suspicion
+from endivewind.decisions import telling
+
+SECOND = datetime.timedelta(seconds=1)
+
+
+class TargetUpdatePublisherTest(unittest.TestCase):
+    """A home node with one target."""
+
+    def setUp(self):
+        self.now = SECOND
+        self.suspicion = suspicion.Suspicion(self.now)
+        self.publisher = telling.Teller()
+
+    def advance(self, duration=telling.GAP):
+        self.now += duration
+
+    def due_updates(self):
+        status = exchange.Glance(0, self.suspicion.probability(self.now))
+        update = telling.Condition("t1", status)
+        snapshot = telling.State(update, self.suspicion.signals)
+        return self.publisher.due([snapshot], self.now)
+
+    def observe(self, signal):
+        self.suspicion.take(signal, self.now)
+
+    def test_healthy_target_causes_no_updates(self):
+        for _ in range(100):
+            self.observe(suspicion.Signal.GOOD)
+            self.advance()
+            self.assertEqual((), self.due_updates())
+
+    def test_failure_is_pushed_at_once_and_recovery_once(self):
+        self.observe(suspicion.Signal.FAILED)
+        self.assertEqual(1, len(self.due_updates()))
+        updates = []
+        for _ in range(20):
+            self.advance()
+            self.observe(suspicion.Signal.GOOD)
+            updates += self.due_updates()
+
+        self.assertLess(updates[-1].glance.suspicion, suspicion.DOUBTFUL)
+        self.assertEqual(
+            [], [item for item in updates[:-1] if item.glance.suspicion < 0.11]
+        )
+
+    def test_no_update_without_new_signals(self):
+        """Sender and receivers decay the suspicion in the same way."""
+        self.observe(suspicion.Signal.FAILED)
+        self.due_updates()
+        self.advance(10 * SECOND)
+
+        self.assertEqual((), self.due_updates())
+
+    def test_many_failures_are_pushed_a_few_times_a_second(self):
+        count = 0
+        for _ in range(1000):
+            self.advance(SECOND / 100)
+            self.observe(suspicion.Signal.FAILED)
+            count += len(self.due_updates())
+
+        self.assertLessEqual(count, 10 * SECOND / telling.GAP)
+        self.assertGreater(count, 20)
+
+    def test_removed_target_is_pushed_again_when_it_is_back(self):
+        self.observe(suspicion.Signal.FAILED)
+        self.due_updates()
+        self.advance()
+        other = telling.State(
+            telling.Condition("t2", exchange.Glance(0, 0.9)), 1
+        )
+        self.publisher.due([other], self.now)
+        self.advance()
+
+        self.assertEqual(1, len(self.due_updates()))
--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -318,7 +318,7 @@
     Mutant(
         "peers forget the leaves that a home has acknowledged",
         "nodes/view.py",
-        "        return self._left.get(home, {})\n",
+        "        return self._departed.get(home, {})\n",
         "        return {}\n",
         "nodes.gossip_tests",
     ),
