--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -19,11 +19,11 @@
 from endivewind.callers import gateway
 from endivewind.callers import placement
 from endivewind.callers import routed
-from endivewind.decisions import crossing
-from endivewind.decisions import placing
+from endivewind.decisions import cross_region
+from endivewind.decisions import load_balancing
+from endivewind.decisions import peer_updates
 from endivewind.decisions import retries
 from endivewind.decisions import suspicion
-from endivewind.decisions import telling
 from endivewind.targets import slots
 from endivewind.tests.loads import fleet
 
@@ -112,18 +112,22 @@
 
 
 MECHANISMS = {
-    "suspicion": lambda: _off(suspicion.Suspicion, "take", lambda *_: None),
-    "telling": lambda: _off(telling.Teller, "due", lambda *_: ()),
-    "probing": lambda: _off(placing, "PROBE_SHARE", 0.0),
+    "suspicion": lambda: _off(
+        suspicion.SuspicionEstimator, "observe", lambda *_: None
+    ),
+    "telling": lambda: _off(
+        peer_updates.TargetUpdatePublisher, "due_updates", lambda *_: ()
+    ),
+    "probing": lambda: _off(load_balancing, "PROBE_SHARE", 0.0),
     "hedging": lambda: _off(gateway.Gateway, "_second", _no_hedging),
     "retry sharing": lambda: _off(budgets.RetryBudgets, "due", lambda self: ()),
     "sharing with the region": lambda: _off(
-        telling, "shares_region", lambda others: False
+        peer_updates, "shares_retries_in_region", lambda others: False
     ),
     "queue at the home": lambda: _off(slots, "QUEUE_PER_SLOT", 0),
     "patience": lambda: _off(routed, "PATIENCE_SHARE", 0.0),
     "resting": lambda: _off(
-        placement.Loads, "is_resting", lambda self, target: False
+        placement.Loads, "is_cooling_down", lambda self, target: False
     ),
     "told load": lambda: _off(
         placement._TargetLoad, "others_now", lambda *_: 0.0
@@ -132,7 +136,7 @@
     "refusal at half of the time": lambda: _off(gateway, "WAIT_SHARE", 1.0),
     "settling": lambda: _off(placement, "SETTLING", datetime.timedelta()),
     "crossing limit": lambda: _off(
-        crossing.CrossRegionBudget, "allows", lambda *_: True
+        cross_region.CrossRegionBudget, "allows", lambda *_: True
     ),
 }
 
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -21,7 +21,7 @@
 
 
 def _no_lending():
-    return mock.patch.object(quotas.Share, "wanted", return_value=0)
+    return mock.patch.object(quotas.TokenBucket, "wanted", return_value=0)
 
 
 def _told_late():
@@ -39,23 +39,23 @@
 
 
 def _usual():
-    return quotas_tests.workspaces(20)
+    return quotas_tests.skewed_traffic(20)
 
 
 def _one_zone():
     quota = quotas.Quota(32, 32)
     item = loads.Traffic("w", 20, quota, zone=2)
-    return [item, *quotas_tests.workspaces(5)]
+    return [item, *quotas_tests.skewed_traffic(5)]
 
 
 def _hot():
-    first, *rest = quotas_tests.workspaces(12)
+    first, *rest = quotas_tests.skewed_traffic(12)
     busy = loads.Traffic(
         first.workspace,
         first.per_second,
         first.quota,
-        busy=(4, 12),
-        times=7.5,
+        peak=(4, 12),
+        peak_factor=7.5,
     )
     return [busy, *rest]
 
@@ -72,15 +72,17 @@
             for seed in SEEDS:
                 with patched():
                     fleet = loads.Fleet(SIZE, traffic(), seed, zones)
-                    fleet.play(SECONDS)
+                    fleet.run(SECONDS)
                 for name, outcome in fleet.outcomes.items():
                     quota = fleet.quotas[name]
                     excess = max(excess, outcome.excess(quota))
-                    share = outcome.refused_below(quota)
-                    refused += share * len(outcome.ran) / max(1e-9, 1 - share)
-                    through += len(outcome.ran)
-                asked += fleet.questions
-                requests += fleet.requests
+                    share = outcome.refused_share(quota)
+                    refused += (
+                        share * len(outcome.admissions) / max(1e-9, 1 - share)
+                    )
+                    through += len(outcome.admissions)
+                asked += fleet.message_count
+                requests += fleet.request_count
             print(
                 f"{load:16} {way:22} excess {excess:7.1f}"
                 f"  refused below {refused / (through + refused):6.3f}"
--- a/endivewind/bench/experiment.py
+++ b/endivewind/bench/experiment.py
@@ -159,7 +159,7 @@
         repeatable = self._rng.random() < REPEATABLE
         request = _Request(work, repeatable, self._time.seconds)
         self._requests += 1
-        self._budget.request(self._time.monotonic())
+        self._budget.record_request(self._time.monotonic())
         if self._place(request):
             return
         if len(self._queue) >= QUEUE_LIMIT:
--- a/endivewind/bench/policies.py
+++ b/endivewind/bench/policies.py
@@ -12,7 +12,7 @@
 from endivewind.bench import virtual
 from endivewind.callers import placement
 from endivewind.config import objects
-from endivewind.decisions import placing
+from endivewind.decisions import load_balancing
 from endivewind.nodes import view
 from endivewind.targets import evidence
 from endivewind.targets import judge
@@ -29,11 +29,11 @@
 _REGION = "andina"
 _ZONE = "andina-a"
 _ANSWERS = {
-    evidence.Kind.SUCCESS: expression.Ok(exchange.Answer(200, ())),
-    evidence.Kind.ERROR: expression.Ok(exchange.Answer(500, ())),
-    evidence.Kind.SHED: expression.Ok(exchange.Answer(503, ())),
+    evidence.Kind.SUCCESS: expression.Ok(exchange.Response(200, ())),
+    evidence.Kind.ERROR: expression.Ok(exchange.Response(500, ())),
+    evidence.Kind.SHED: expression.Ok(exchange.Response(503, ())),
 }
-_LOST = expression.Error(exchange.unknown(exchange.Reason.TARGET_LOST))
+_LOST = expression.Error(exchange.outcome_unknown(exchange.Reason.TARGET_LOST))
 
 
 class Ejected(Protocol):
@@ -105,7 +105,7 @@
             self._registry, lambda service: profile, time, self._changed
         )
         self._placement = placement.Placement(
-            placing.Place("node-a", _REGION, _ZONE),
+            load_balancing.Locality("node-a", _REGION, _ZONE),
             self._fleet,
             lambda service: FLOOR_SLOTS,
             time,
@@ -121,7 +121,7 @@
     ) -> str | None:
         """A target with a free slot, or None."""
         found = self._placement.choose(
-            SERVICE, placing.Demand(repeatable, tried)
+            SERVICE, load_balancing.Demand(repeatable, tried)
         )
         return found.id if found else None
 
@@ -183,7 +183,7 @@
             self._ejected(target, health is records.Health.EJECTED)
 
     def _spread(self) -> None:
-        self._fleet.put_home(
+        self._fleet.put_home_state(
             "node-a", 1, self._registry.sequence, self._registry.announced()
         )
 
--- a/endivewind/bench/virtual.py
+++ b/endivewind/bench/virtual.py
@@ -32,7 +32,7 @@
             self._span = datetime.timedelta(seconds=self.seconds)
         return self._span
 
-    def awake_or_asleep(self) -> datetime.timedelta:
+    def boot_time(self) -> datetime.timedelta:
         """The same: nothing sleeps here."""
         return self.monotonic()
 
--- a/endivewind/callers/allowances.py
+++ b/endivewind/callers/allowances.py
@@ -75,7 +75,7 @@
             )
         granted = await place
         self._forget(workspace, account)
-        return None if granted.count else granted.wait
+        return None if granted.count else granted.retry_after
 
     def give_back(self, workspace: str) -> None:
         """Returns a request that has not run."""
@@ -118,7 +118,7 @@
         self, account: _Account, asked: int, granted: quotas.Grant
     ) -> None:
         left = granted.count
-        refusal = quotas.Grant(0, granted.wait)
+        refusal = quotas.Grant(0, granted.retry_after)
         for _ in range(asked):
             place = account.waiting.pop(0)
             if place.done():
@@ -128,7 +128,7 @@
             left = max(0, left - 1)
         now = self._clock.monotonic()
         if not granted.count:
-            wait = min(granted.wait, LONGEST_REFUSAL)
+            wait = min(granted.retry_after, LONGEST_REFUSAL)
             account.refused_until = now + wait
         for _ in range(left):
             account.returned.append(now + RETURNED_LIFE)
--- a/endivewind/callers/budgets.py
+++ b/endivewind/callers/budgets.py
@@ -6,9 +6,9 @@
 from endivewind import clock as clocks
 from endivewind.config import objects
 from endivewind.config import store
-from endivewind.decisions import placing
+from endivewind.decisions import load_balancing
+from endivewind.decisions import peer_updates
 from endivewind.decisions import retries
-from endivewind.decisions import telling
 from endivewind.nodes import view
 
 # How often the size of the fleet is noted for the window that ends now.
@@ -60,7 +60,7 @@
         self,
         configuration: store.ConfigurationStore,
         fleet: view.FleetView,
-        place: placing.Place,
+        place: load_balancing.Locality,
         clock: clocks.Clock,
     ) -> None:
         self._started = clock.monotonic()
@@ -70,7 +70,7 @@
         self._fleet = fleet
         self._clock = clock
         self._budgets: dict[str, retries.RetryBudget] = {}
-        self._told: dict[str, retries.Count] = {}
+        self._told: dict[str, retries.RequestCounts] = {}
         # Parts of a retry that are still to be charged.
         self._owed: collections.defaultdict[str, float] = (
             collections.defaultdict(float)
@@ -78,7 +78,7 @@
         self._neighbours = 0
         # For how many nodes they were counted, and when.
         self._counted = (0, -COUNT_PERIOD)
-        self._last = -telling.GAP
+        self._last = -peer_updates.MIN_UPDATE_INTERVAL
 
     def of(self, service: str) -> retries.RetryBudget:
         """The budget of a service, with its limits in force."""
@@ -97,7 +97,7 @@
             self._owed[service] -= 1
             self.of(service).charge(self._clock.monotonic())
 
-    def hear(self, node: str, tally: telling.Tally) -> None:
+    def hear(self, node: str, tally: peer_updates.RetryUsage) -> None:
         """Takes what another entry near by has used of its part.
 
         A later start of an entry counts from nothing; what the earlier one
@@ -107,9 +107,9 @@
         record = self._fleet.nodes.get(node)
         if known is not None:
             start = f"{node}/{record.incarnation if record else 0}"
-            known.hear(start, tally.count, self._clock.monotonic())
+            known.update_peer(start, tally.counts, self._clock.monotonic())
 
-    def due(self) -> tuple[telling.Tally, ...]:
+    def due(self) -> tuple[peer_updates.RetryUsage, ...]:
         """Tallies that the other entries near by must hear now.
 
         Call it often; how many there are is looked up here, too.
@@ -119,15 +119,15 @@
         if len(self._fleet.nodes) != nodes or now - counted_at >= COUNT_PERIOD:
             self._neighbours = self._count_neighbours()
             self._counted = (len(self._fleet.nodes), now)
-        if now - self._last < telling.GAP:
+        if now - self._last < peer_updates.MIN_UPDATE_INTERVAL:
             return ()
         found = []
         for service, budget in self._budgets.items():
-            count = budget.count(now)
-            told = self._told.get(service, retries.Count())
-            if _is_news(count, told) and budget.is_small(now):
+            count = budget.counts(now)
+            told = self._told.get(service, retries.RequestCounts())
+            if _is_news(count, told) and budget.is_small_share(now):
                 self._told[service] = count
-                found.append(telling.Tally(service, count))
+                found.append(peer_updates.RetryUsage(service, count))
         if found:
             self._last = now
         return tuple(found)
@@ -136,7 +136,7 @@
         """This node's part of what all nodes together may retry."""
         now = self._clock.monotonic()
         window = datetime.timedelta(milliseconds=service.retry_window_ms)
-        reserve = retries.RESERVE
+        reserve = retries.DEFAULT_RESERVE
         if service.retry_reserve:
             nodes = len(self._fleet.nodes)
             self._size.note(nodes, now, window)
@@ -151,13 +151,13 @@
         """Other nodes that hear each other's tallies."""
         nodes = self._fleet.nodes.values()
         region = sum(item.region == self._place.region for item in nodes)
-        if telling.shares_region(region - 1):
+        if peer_updates.shares_retries_in_region(region - 1):
             return max(0, region - 1)
         zone = sum(item.zone == self._place.zone for item in nodes)
-        return min(max(0, zone - 1), telling.HEARERS)
+        return min(max(0, zone - 1), peer_updates.MAX_PEERS)
 
 
-def _is_news(count: retries.Count, told: retries.Count) -> bool:
+def _is_news(count: retries.RequestCounts, told: retries.RequestCounts) -> bool:
     """Whether a count differs from what was told of it before."""
     more = abs(count.requests - told.requests)
     return count.retries != told.retries or more >= TOLD_REQUESTS
--- a/endivewind/callers/calls.py
+++ b/endivewind/callers/calls.py
@@ -32,7 +32,7 @@
         of each request names it.
     """
 
-    names: headers.Names = headers.OWN
+    names: headers.HeaderNames = headers.DEFAULT_NAMES
     caller_service: str = ""
     tickets: bool = True
 
@@ -165,7 +165,7 @@
 
 
 def headers_out(
-    answer: exchange.Answer, call: Call, names: headers.Names
+    answer: exchange.Response, call: Call, names: headers.HeaderNames
 ) -> multidict.CIMultiDict[str]:
     """The headers of an answer as the caller gets them."""
     fields = multidict.CIMultiDict(
@@ -193,7 +193,7 @@
     return host if colon else field
 
 
-def _request_id(request: web.BaseRequest, names: headers.Names) -> str:
+def _request_id(request: web.BaseRequest, names: headers.HeaderNames) -> str:
     given = request.headers.get(names.request_id, "")
     usable = 0 < len(given) <= _MAX_ID and given.isascii()
     return given if usable and given.isprintable() else new_request_id()
--- a/endivewind/callers/connections.py
+++ b/endivewind/callers/connections.py
@@ -31,7 +31,7 @@
 # a megabyte at most.
 MAX_AHEAD = 8
 
-AnswerResult = expression.Result[exchange.Answer, exchange.Refusal]
+AnswerResult = expression.Result[exchange.Response, exchange.Refusal]
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -175,7 +175,7 @@
             refusal = exchange.not_run(exchange.Reason.BAD_REQUEST, detail)
         else:
             log.error("request failed", exc_info=exc)
-            refusal = exchange.unknown(
+            refusal = exchange.outcome_unknown(
                 exchange.Reason.INTERNAL, "the node failed"
             )
         request_id = calls.new_request_id()
--- a/endivewind/callers/counts.py
+++ b/endivewind/callers/counts.py
@@ -37,7 +37,7 @@
     30.0,
 )
 
-Result = expression.Result[exchange.Answer, exchange.Refusal]
+Result = expression.Result[exchange.Response, exchange.Refusal]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/endivewind/callers/crashes.py
+++ b/endivewind/callers/crashes.py
@@ -5,10 +5,10 @@
 from endivewind import clock as clocks
 from endivewind import exchange
 from endivewind.callers import tickets
-from endivewind.decisions import poison
+from endivewind.decisions import poison_requests
 from endivewind.targets import records
 
-AnswerResult = expression.Result[exchange.Answer, exchange.Refusal]
+AnswerResult = expression.Result[exchange.Response, exchange.Refusal]
 
 
 class CrashWatch:
@@ -16,16 +16,16 @@
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._book = poison.PoisonBook()
+        self._book = poison_requests.PoisonRequestDetector()
 
     def refusal(
         self, head: exchange.RequestHead, body: exchange.RequestBody
     ) -> exchange.Refusal | None:
         """The refusal of a request that crashes targets; None lets it pass."""
-        if not self._book or not body.replayable:
+        if not self._book or not body.is_replayable:
             return None
-        left = self._book.refused_for(
-            tickets.fingerprint(head, body.held), self._clock.monotonic()
+        left = self._book.remaining_block(
+            tickets.fingerprint(head, body.buffered), self._clock.monotonic()
         )
         if left is None:
             return None
@@ -47,16 +47,16 @@
         A streamed body is gone by now, so such a request has no fingerprint;
         it is not placed again either.
         """
-        if not body.replayable:
+        if not body.is_replayable:
             return
         lost = result.is_error() and (
             result.error.reason is exchange.Reason.TARGET_LOST
         )
         if lost:
-            mark = tickets.fingerprint(head, body.held)
+            mark = tickets.fingerprint(head, body.buffered)
             # A target that came back and was lost again counts anew; one that
             # merely keeps failing has the same start.
             start = f"{record.id}@{record.target_incarnation}"
-            self._book.crashed(mark, start, self._clock.monotonic())
+            self._book.record_crash(mark, start, self._clock.monotonic())
         elif result.is_ok() and self._book:
-            self._book.answered(tickets.fingerprint(head, body.held))
+            self._book.record_answer(tickets.fingerprint(head, body.buffered))
--- a/endivewind/callers/gateway.py
+++ b/endivewind/callers/gateway.py
@@ -27,8 +27,8 @@
 from endivewind.config import objects
 from endivewind.config import store
 from endivewind.decisions import admission
-from endivewind.decisions import placing
-from endivewind.decisions import splitting
+from endivewind.decisions import load_balancing
+from endivewind.decisions import traffic_splitting
 from endivewind.nodes import links
 from endivewind.nodes import view
 from endivewind.targets import dispatch
@@ -106,7 +106,9 @@
         self._waiting = waiting.WaitingRoom(placement, self._queue_limit, clock)
         self._counts = counts.RequestCounts(clock)
         self._limits: objects.CallerLimits | None = None
-        self._splitters: dict[objects.Route, splitting.Splitter] = {}
+        self._splitters: dict[
+            objects.Route, traffic_splitting.TrafficSplitter
+        ] = {}
         self._open: set[routed.RoutedRequest] = set()
 
     @property
@@ -158,12 +160,12 @@
         splitter = self._splitters.get(route)
         if splitter is None:
             parts = [
-                splitting.Part(share.service, share.weight)
+                traffic_splitting.WeightedService(share.service, share.weight)
                 for share in route.split
             ]
-            splitter = splitting.Splitter(parts, self._rng)
+            splitter = traffic_splitting.TrafficSplitter(parts, self._rng)
             self._splitters[route] = splitter
-        return splitter.next()
+        return splitter.next_service()
 
     def limits(self) -> objects.CallerLimits | None:
         """What callers are held to by the configuration, if it says so."""
@@ -216,7 +218,7 @@
         Homes and targets refuse without one, since the entry may have others
         to ask. Its caller, told nothing, comes back at once or never.
         """
-        if told.is_ok() or not told.error.is_not_run:
+        if told.is_ok() or not told.error.was_not_run:
             return told
         if told.error.retry_after is not None:
             return told
@@ -245,7 +247,7 @@
                     break
                 last = await self._placed(call, call.demand(may_probe=False))
                 continue
-            self._placement.started(record, len(call.body.held))
+            self._placement.started(record, len(call.body.buffered))
             last = await self._attempt(call, record)
         return call.told(last)
 
@@ -253,7 +255,7 @@
         """Counts a request towards the retries of its service, or as one."""
         service, prefix = call.head.service, call.route.prefix
         if self._origins.is_caller(service, prefix):
-            self._budgets.of(service).request(call.started)
+            self._budgets.of(service).record_request(call.started)
         share = self._origins.repeat_share(service, prefix)
         if share:
             self._budgets.charge(service, share)
@@ -316,7 +318,7 @@
         and its failure is final. It is placed as carefully as an order.
         """
         budget = self._budgets.of(call.head.service)
-        spent = budget.spent(self._clock.monotonic())
+        spent = budget.spent_share(self._clock.monotonic())
         demand = call.demand(
             may_probe=spent <= CHOSEN_SPENT,
             is_last=spent >= CARE_SPENT and budget.has_any,
@@ -324,7 +326,7 @@
         return await self._placed(call, demand)
 
     async def _placed(
-        self, call: routed.RoutedRequest, demand: placing.Demand
+        self, call: routed.RoutedRequest, demand: load_balancing.Demand
     ) -> AnswerResult:
         """Waits for a slot within the fair order, and sends the request."""
         owner = self._workspaces.get(call.head.workspace)
@@ -336,10 +338,10 @@
                 admission.Waiter(
                     call.head.workspace,
                     weight,
-                    call.head.level,
+                    call.head.queue_priority,
                     self._wait_until(call),
                 ),
-                len(call.body.held),
+                len(call.body.buffered),
             )
         )
         if placed.is_error():
@@ -374,7 +376,9 @@
         tasks = {first}
         started = self._clock.monotonic()
         # A route may let its callers wait for less than its aim.
-        time = min(call.head.aim, HEDGE_SHARE * (call.deadline - started))
+        time = min(
+            call.head.latency_objective, HEDGE_SHARE * (call.deadline - started)
+        )
         try:
             for share, spent in _HEDGES:
                 wait = started + share * time - self._clock.monotonic()
@@ -399,19 +403,19 @@
         """
         if self._spent(call) > most_spent:
             return None
-        demand = placing.Demand(True, call.tried, is_last=True)
+        demand = load_balancing.Demand(True, call.tried, is_last=True)
         record = self._placement.choose(call.head.service, demand)
         if record is None:
             return None
         if not self._pays(call.head.service):
             return None
-        self._placement.started(record, len(call.body.held))
+        self._placement.started(record, len(call.body.buffered))
         return self._attempt(call, record)
 
     def _spent(self, call: routed.RoutedRequest) -> float:
         """The part of its service's retries that is spent."""
         budget = self._budgets.of(call.head.service)
-        return budget.spent(self._clock.monotonic())
+        return budget.spent_share(self._clock.monotonic())
 
     async def _over_quota(self, workspace: str) -> exchange.Refusal | None:
         """A refusal where the workspace has used up its quota."""
@@ -430,7 +434,7 @@
         """Gives the request back that no target has run."""
         if self._quota is None or self._workspaces.quota(workspace) is None:
             return
-        if told.is_error() and told.error.is_not_run:
+        if told.is_error() and told.error.was_not_run:
             self._quota.give_back(workspace)
 
     async def _attempt(
@@ -447,7 +451,7 @@
             call.tries,
             call.deadline - started,
             _risk(suspicion),
-            repeat=call.sent + call.under_way > 0,
+            may_be_duplicate=call.sent + call.under_way > 0,
         )
         call.under_way += 1
         result: AnswerResult | None = None
@@ -455,7 +459,7 @@
             result = await self._pass_on(record, head, call.body)
         except TimeoutError:
             result = expression.Error(
-                exchange.unknown(
+                exchange.outcome_unknown(
                     exchange.Reason.DEADLINE, "no answer before the deadline"
                 )
             )
@@ -468,7 +472,7 @@
             self._waiting.ended(call.head.service)
         if not routed.was_unseen(result):
             call.sent += 1
-        if result.is_ok() or not result.error.is_not_run:
+        if result.is_ok() or not result.error.was_not_run:
             call.reached = result
             self._crashes.ended(head, call.body, record, result)
         if self._witness is not None and record.home != self._node:
@@ -522,4 +526,4 @@
     It was chosen for want of a better one; its home refuses only what is
     clearly worse than the entry believed.
     """
-    return max(exchange.ACCEPTED_RISK, suspicion + RISK_MARGIN)
+    return max(exchange.DEFAULT_MAX_SUSPICION, suspicion + RISK_MARGIN)
--- a/endivewind/callers/listener.py
+++ b/endivewind/callers/listener.py
@@ -174,8 +174,8 @@
         begun.task.cancel()
         try:
             result = await begun.task
-            if result.is_ok() and result.ok.rest is not None:
-                await result.ok.rest.aclose()
+            if result.is_ok() and result.ok.stream is not None:
+                await result.ok.stream.aclose()
         except asyncio.CancelledError:
             return
         finally:
@@ -252,8 +252,8 @@
             workspace=call.workspace,
             remaining=call.remaining(),
             ticket=call.work_name if call.once else "",
-            aim=datetime.timedelta(milliseconds=route.aim_ms),
-            level=waiting.level(
+            latency_objective=datetime.timedelta(milliseconds=route.aim_ms),
+            queue_priority=waiting.level(
                 route, self._gateway.workspaces.get(call.workspace)
             ),
         )
@@ -414,10 +414,10 @@
             response.headers[headers.IDEMPOTENCY_KEY] = ticket
 
     async def _respond(
-        self, call: calls.Call, answer: exchange.Answer
+        self, call: calls.Call, answer: exchange.Response
     ) -> web.StreamResponse:
         fields = calls.headers_out(answer, call, self._dialect.names)
-        if answer.rest is None:
+        if answer.stream is None:
             if call.request.method != "HEAD":
                 fields.popall("Content-Length", None)
             response = web.Response(
@@ -427,14 +427,14 @@
             return response
         stream = web.StreamResponse(status=answer.status, headers=fields)
         self._add_ticket(call, stream)
-        async with contextlib.aclosing(answer.rest):
+        async with contextlib.aclosing(answer.stream):
             await stream.prepare(call.request)
             if answer.body:
                 await stream.write(answer.body)
             try:
-                async for data in answer.rest:
+                async for data in answer.stream:
                     await stream.write(data)
-            except exchange.TruncatedAnswerError as error:
+            except exchange.TruncatedResponseError as error:
                 # Closing without the end of the body is the only way left to
                 # tell the caller that this is not the whole answer.
                 log.warning("answer cut by the target: %s", error)
--- a/endivewind/callers/origins.py
+++ b/endivewind/callers/origins.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from endivewind import clock as clocks
-from endivewind.decisions import telling
+from endivewind.decisions import peer_updates
 
 # How often a node tells the callers' ways that it knows: a node that starts
 # has them from its neighbours soon.
@@ -53,7 +53,7 @@
         """
         self._clock = clock
         self._beside = beside
-        self._callers: set[telling.Way] = set()
+        self._callers: set[peer_updates.IngressRoute] = set()
         self._told_at = clock.monotonic()
 
     def is_caller(self, service: str, prefix: str) -> bool:
@@ -65,7 +65,7 @@
         """
         if self._beside is None:
             return True
-        way = telling.Way(service, prefix)
+        way = peer_updates.IngressRoute(service, prefix)
         if not self._beside.is_working:
             self._callers.add(way)
         return way in self._callers
@@ -74,15 +74,15 @@
         """How likely a request that begins now is a call of a repeat."""
         if self._beside is None:
             return 0.0
-        if telling.Way(service, prefix) in self._callers:
+        if peer_updates.IngressRoute(service, prefix) in self._callers:
             return 0.0
         return self._beside.repeat_share
 
-    def hear(self, way: telling.Way) -> None:
+    def hear(self, way: peer_updates.IngressRoute) -> None:
         """Takes a way that a neighbour knows to be callers'."""
         self._callers.add(way)
 
-    def due(self) -> tuple[telling.Way, ...]:
+    def due(self) -> tuple[peer_updates.IngressRoute, ...]:
         """Ways to tell the neighbours now; call it often."""
         now = self._clock.monotonic()
         if self._beside is None or now - self._told_at < TELL_PERIOD:
--- a/endivewind/callers/placement.py
+++ b/endivewind/callers/placement.py
@@ -8,18 +8,18 @@
 
 from endivewind import clock as clocks
 from endivewind import exchange
-from endivewind.decisions import crossing
+from endivewind.decisions import capacity_floor
+from endivewind.decisions import circuit_breakers
+from endivewind.decisions import cross_region
 from endivewind.decisions import ejection
-from endivewind.decisions import floor
-from endivewind.decisions import paths
-from endivewind.decisions import placing
-from endivewind.decisions import ramp
+from endivewind.decisions import load_balancing
+from endivewind.decisions import peer_updates
+from endivewind.decisions import slow_start
 from endivewind.decisions import suspicion
-from endivewind.decisions import telling
 from endivewind.nodes import view
 from endivewind.targets import records
 
-Place = placing.Place
+Place = load_balancing.Locality
 FloorOf = collections.abc.Callable[[str], int]
 ShareOf = collections.abc.Callable[[str], float]
 
@@ -71,11 +71,11 @@
 
 
 def _default_share(service: str) -> float:
-    return floor.DEFAULT_SHARE
+    return capacity_floor.DEFAULT_FLOOR_SHARE
 
 
 def _rest_after(
-    result: expression.Result[exchange.Answer, exchange.Refusal],
+    result: expression.Result[exchange.Response, exchange.Refusal],
     usual: float,
 ) -> datetime.timedelta | None:
     """How long a target gets nothing after a result; None if it may at once.
@@ -114,10 +114,12 @@
         self.rests_until = datetime.timedelta()
         self.others = 0
         self.slots = 0
-        self.suspicion = suspicion.UNKNOWN
+        self.suspicion = suspicion.PRIOR_SUSPICION
         self.told = -_GLANCE_LIFE
 
-    def tell(self, glance: exchange.Glance, now: datetime.timedelta) -> None:
+    def tell(
+        self, glance: exchange.TargetStatus, now: datetime.timedelta
+    ) -> None:
         """Takes what the home tells of the target."""
         self.others = max(0, glance.load - self.in_use)
         self.suspicion = glance.suspicion
@@ -165,15 +167,15 @@
         self.heard = now
 
 
-class Loads(placing.Load):
+class Loads(load_balancing.Load):
     """This entry's work by target; only targets that it has used."""
 
     def __init__(
         self,
         clock: clocks.Clock,
-        known: paths.Paths,
-        budget: crossing.CrossRegionBudget,
-        ramps: ramp.Ramps,
+        known: circuit_breakers.CircuitBreakers,
+        budget: cross_region.CrossRegionBudget,
+        ramps: slow_start.SlowStart,
     ) -> None:
         self._clock = clock
         self._ramps = ramps
@@ -183,12 +185,12 @@
         # Usual seconds of a service's answers.
         self._usual: dict[str, float] = {}
 
-    def own(self, target: str) -> int:
+    def own_in_use(self, target: str) -> int:
         """Requests of this entry that are there now."""
         known = self._loads.get(target)
         return known.in_use if known else 0
 
-    def in_use(self, item: floor.Candidate) -> float:
+    def in_use(self, item: capacity_floor.Candidate) -> float:
         """Requests that are there now: this entry's, and what it was told."""
         known = self._loads.get(item.id)
         if known is None:
@@ -197,7 +199,7 @@
         usual = self._usual.get(item.service, 0.0)
         return known.in_use + known.others_now(usual, self._clock.monotonic())
 
-    def wait(self, item: floor.Candidate) -> float:
+    def wait(self, item: capacity_floor.Candidate) -> float:
         """Seconds that a request would wait for one of its slots."""
         ahead = self.in_use(item) + 1 - item.slots
         usual = self.latency(item.id) or self._usual.get(item.service, 0.0)
@@ -207,11 +209,11 @@
         """How likely it is sick."""
         known = self._loads.get(target)
         if known is None:
-            return suspicion.UNKNOWN
+            return suspicion.PRIOR_SUSPICION
         age = self._clock.monotonic() - known.told
-        return suspicion.drifted(known.suspicion, age)
+        return suspicion.decay(known.suspicion, age)
 
-    def told_ago(self, target: str) -> float:
+    def seconds_since_report(self, target: str) -> float:
         """Seconds since its home has told of it; a day where it never did."""
         known = self._loads.get(target)
         if known is None or known.told < datetime.timedelta():
@@ -223,22 +225,24 @@
         known = self._loads.get(target)
         return known.usual_seconds(self._clock.monotonic()) if known else 0.0
 
-    def slots(self, item: floor.Candidate) -> int:
+    def slots(self, item: capacity_floor.Candidate) -> int:
         """Slots of it that this entry may use now."""
-        return self._ramps.slots(item.id, item.slots, self._clock.monotonic())
+        return self._ramps.usable_slots(
+            item.id, item.slots, self._clock.monotonic()
+        )
 
-    def affords(self, region: str) -> bool:
+    def has_traffic_budget(self, region: str) -> bool:
         """Whether the traffic budget allows work in another region."""
         return self._budget.allows(region, self._clock.monotonic())
 
-    def is_resting(self, target: str) -> bool:
+    def is_cooling_down(self, target: str) -> bool:
         """Whether it refused work a moment ago."""
         known = self._loads.get(target)
         return known is not None and known.rests_until > self._clock.monotonic()
 
-    def reaches(self, home: str) -> bool:
+    def is_reachable(self, home: str) -> bool:
         """Whether the path from this entry to a home is open."""
-        return self._paths.usable(home, self._clock.monotonic())
+        return self._paths.allows(home, self._clock.monotonic())
 
     def started(self, target: str) -> None:
         """Counts a request sent to a target."""
@@ -251,7 +255,7 @@
     def learn(
         self,
         record: records.TargetRecord,
-        result: expression.Result[exchange.Answer, exchange.Refusal],
+        result: expression.Result[exchange.Response, exchange.Refusal],
         latency: datetime.timedelta,
     ) -> None:
         """Takes how a request went, for the next choices.
@@ -263,7 +267,11 @@
         rest = _rest_after(result, usual)
         known = self._of(record.id)
         now = self._clock.monotonic()
-        glance = result.ok.glance if result.is_ok() else result.error.glance
+        glance = (
+            result.ok.target_status
+            if result.is_ok()
+            else result.error.target_status
+        )
         if glance is not None:
             known.tell(glance, now)
         if rest is not None:
@@ -275,10 +283,10 @@
             usual += _LATENCY_WEIGHT * (seconds - usual)
             self._usual[record.service] = usual
 
-    def hear(self, condition: telling.Condition) -> None:
+    def hear(self, condition: peer_updates.TargetUpdate) -> None:
         """Takes what a home has told without being asked."""
         now = self._clock.monotonic()
-        self._of(condition.target).tell(condition.glance, now)
+        self._of(condition.target).tell(condition.status, now)
 
     def forget(self, targets: collections.abc.Iterable[str]) -> None:
         """Drops targets that the fleet no longer has, once they are idle."""
@@ -326,10 +334,10 @@
         self._rng = rng
         self._clock = clock
         self._started = clock.monotonic()
-        self._pools: dict[str, tuple[tuple[int, int], placing.Pool]] = {}
-        self._paths = paths.Paths()
-        self._crossing = crossing.CrossRegionBudget(cross_region_bytes)
-        self._ramps = ramp.Ramps()
+        self._pools: dict[str, tuple[tuple[int, int], load_balancing.Pool]] = {}
+        self._paths = circuit_breakers.CircuitBreakers()
+        self._crossing = cross_region.CrossRegionBudget(cross_region_bytes)
+        self._ramps = slow_start.SlowStart()
         self._loads = Loads(clock, self._paths, self._crossing, self._ramps)
 
     @property
@@ -343,23 +351,23 @@
         return self._clock.monotonic() - self._started < SETTLING
 
     def choose(
-        self, service: str, demand: placing.Demand
+        self, service: str, demand: load_balancing.Demand
     ) -> records.TargetRecord | None:
         """A target that may take the request, or None."""
         pool = self._pool(service)
-        chosen = placing.choose(pool, demand, self._loads, self._rng)
+        chosen = load_balancing.choose(pool, demand, self._loads, self._rng)
         return self._fleet.targets(service)[chosen.id] if chosen else None
 
     def started(self, record: records.TargetRecord, size: int = 0) -> None:
         """Takes note of a request, with its bytes, sent to a target."""
         self._spend(record, size)
         self._loads.started(record.id)
-        self._paths.started(record.home, self._clock.monotonic())
+        self._paths.record_start(record.home, self._clock.monotonic())
 
     def ended(
         self,
         record: records.TargetRecord,
-        result: expression.Result[exchange.Answer, exchange.Refusal] | None,
+        result: expression.Result[exchange.Response, exchange.Refusal] | None,
         latency: datetime.timedelta,
     ) -> None:
         """Takes note of a request's end; None where its caller left."""
@@ -370,20 +378,22 @@
         if result.is_ok():
             self._spend(record, _size(result.ok))
         if result.is_error() and result.error.reason in _PATH_FAILURES:
-            self._paths.failed(record.home, self._clock.monotonic())
+            self._paths.record_failure(record.home, self._clock.monotonic())
         else:
-            self._paths.succeeded(record.home)
+            self._paths.record_success(record.home)
 
-    def hear(self, condition: telling.Condition) -> None:
+    def hear(self, condition: peer_updates.TargetUpdate) -> None:
         """Takes what a home tells of a target that the fleet has."""
-        if self._fleet.claim(condition.target) is not None:
+        if self._fleet.find_target(condition.target) is not None:
             self._loads.hear(condition)
 
     def suspicion(self, target: str) -> float:
         """How likely a target is sick, as far as this entry knows."""
         return self._loads.suspicion(target)
 
-    def has_candidate(self, service: str, demand: placing.Demand) -> bool:
+    def has_candidate(
+        self, service: str, demand: load_balancing.Demand
+    ) -> bool:
         """Whether any target could take the request once it has a slot."""
         return any(
             item.id not in demand.excluded
@@ -408,7 +418,7 @@
         """
         return least * self._rng.uniform(1, RETRY_SPREAD)
 
-    def _pool(self, service: str) -> placing.Pool:
+    def _pool(self, service: str) -> load_balancing.Pool:
         """The service's pool; made again only when something has changed.
 
         A request must not pay for the number of targets: at a service of
@@ -425,7 +435,7 @@
             for record in self._fleet.targets(service).values()
             if record.state is not records.State.DRAINING
         ]
-        pool = placing.Pool.from_candidates(
+        pool = load_balancing.Pool.from_candidates(
             candidates, floor_slots, self._place, self._share_of(service)
         )
         if known is not None:
@@ -436,7 +446,9 @@
         self._pools[service] = (version, pool)
         return pool
 
-    def _start_ramps(self, before: placing.Pool, pool: placing.Pool) -> None:
+    def _start_ramps(
+        self, before: load_balancing.Pool, pool: load_balancing.Pool
+    ) -> None:
         """Ramps targets that are new to the pool.
 
         Not where they are many, as after a node's start or a restart of most
@@ -448,12 +460,12 @@
         if len(fresh) > RAMP_SHARE * len(pool.targets()):
             return
         for target in fresh:
-            self._ramps.begin(target, now)
+            self._ramps.start(target, now)
 
 
-def _size(answer: exchange.Answer) -> int:
+def _size(answer: exchange.Response) -> int:
     """Bytes of an answer's body, as far as its head tells them."""
-    if answer.rest is None:
+    if answer.stream is None:
         return len(answer.body)
     for name, value in answer.headers:
         if name.lower() == b"content-length" and value.isdigit():
@@ -461,8 +473,8 @@
     return len(answer.body)
 
 
-def _candidate(record: records.TargetRecord) -> floor.Candidate:
-    return floor.Candidate(
+def _candidate(record: records.TargetRecord) -> capacity_floor.Candidate:
+    return capacity_floor.Candidate(
         record.id,
         record.region,
         record.zone,
--- a/endivewind/callers/routed.py
+++ b/endivewind/callers/routed.py
@@ -13,10 +13,10 @@
 
 from endivewind import exchange
 from endivewind.config import objects
-from endivewind.decisions import placing
+from endivewind.decisions import load_balancing
 from endivewind.targets import records
 
-AnswerResult = expression.Result[exchange.Answer, exchange.Refusal]
+AnswerResult = expression.Result[exchange.Response, exchange.Refusal]
 
 # Targets that one request may be sent to, where its route does not say.
 MAX_ATTEMPTS = 3
@@ -146,22 +146,22 @@
         """Whether it may be at two targets at once."""
         return (
             self.repeatable
-            and self.body.replayable
-            and bool(self.head.aim)
+            and self.body.is_replayable
+            and bool(self.head.latency_objective)
             and self.most_sends > self.sent + 1
         )
 
     def demand(
         self, *, may_probe: bool, is_last: bool = False
-    ) -> placing.Demand:
+    ) -> load_balancing.Demand:
         """Where it may be placed now.
 
         Args:
           may_probe: whether retries are left for one that is likely to fail.
           is_last: whether no retry is left for this one.
         """
-        patience = PATIENCE_SHARE * self.head.aim.total_seconds()
-        return placing.Demand(
+        patience = PATIENCE_SHARE * self.head.latency_objective.total_seconds()
+        return load_balancing.Demand(
             self.repeatable,
             self.tried,
             patience,
@@ -176,21 +176,21 @@
         to the latter is one target's trouble as long as the budget pays for
         asking another. What was refused before any target was chosen is final.
         """
-        if not self.body.replayable or self.given_up:
+        if not self.body.is_replayable or self.given_up:
             return False
         if result.is_ok():
             failed = result.ok.status in FAILED_STATUS
-            return failed and self.repeatable and result.ok.rest is None
+            return failed and self.repeatable and result.ok.stream is None
         if result.error.reason is exchange.Reason.DEADLINE:
             return False
-        return self.repeatable or result.error.is_not_run
+        return self.repeatable or result.error.was_not_run
 
     def told(self, last: AnswerResult) -> AnswerResult:
         """What the caller hears: never "not run" of work that a target had.
 
         A first try may have run and failed while a later one found no slot.
         """
-        if self.reached is None or last.is_ok() or not last.error.is_not_run:
+        if self.reached is None or last.is_ok() or not last.error.was_not_run:
             return last
         return self.reached
 
@@ -198,7 +198,9 @@
         """What the caller of a request that was broken off hears."""
         if self.is_open:
             detail = "the node ended before the answer came"
-            refusal = exchange.unknown(exchange.Reason.CUT_SHORT, detail)
+            refusal = exchange.outcome_unknown(
+                exchange.Reason.CUT_SHORT, detail
+            )
             return expression.Error(refusal)
         if self.reached is not None:
             return self.reached
--- a/endivewind/callers/ticket_book.py
+++ b/endivewind/callers/ticket_book.py
@@ -30,7 +30,7 @@
 FULL_RETRY = datetime.timedelta(seconds=5)
 
 Key = tuple[int, str]
-RunResult = expression.Result[exchange.Answer, exchange.Refusal]
+RunResult = expression.Result[exchange.Response, exchange.Refusal]
 
 
 class Step(enum.StrEnum):
@@ -48,7 +48,7 @@
     size: int = RECORD_BYTES
 
 
-ClaimResult = expression.Result[Step | exchange.Answer, exchange.Refusal]
+ClaimResult = expression.Result[Step | exchange.Response, exchange.Refusal]
 
 
 class TicketBook:
@@ -138,7 +138,7 @@
             return
         added = _answer_bytes(result.ok)
         fits = added <= self._kept_answer_bytes
-        if result.ok.rest is not None or not fits or self._over(added):
+        if result.ok.stream is not None or not fits or self._over(added):
             record.result = expression.Error(NOT_KEPT)
             return
         record.result = expression.Ok(result.ok)
@@ -152,7 +152,7 @@
         age = now - ticket.issued
         if age >= RETENTION:
             # Its record may have been dropped, so nothing is known of it.
-            return exchange.unknown(
+            return exchange.outcome_unknown(
                 exchange.Reason.TICKET_EXPIRED,
                 "the key is past its retention",
             )
@@ -233,7 +233,7 @@
     return exchange.Outcome.RAN
 
 
-def _answer_bytes(answer: exchange.Answer) -> int:
+def _answer_bytes(answer: exchange.Response) -> int:
     fields = sum(
         FIELD_BYTES + len(name) + len(value) for name, value in answer.headers
     )
--- a/endivewind/callers/ticketing.py
+++ b/endivewind/callers/ticketing.py
@@ -35,7 +35,7 @@
     """
 
     finished: asyncio.Future[AnswerResult]
-    stream: exchange.Answer | None = None
+    stream: exchange.Response | None = None
     waiting: int = 0
 
     async def discard_unwanted(self) -> None:
@@ -43,8 +43,8 @@
         if self.waiting or self.stream is None:
             return
         stream, self.stream = self.stream, None
-        if stream.rest is not None:
-            await stream.rest.aclose()
+        if stream.stream is not None:
+            await stream.stream.aclose()
 
 
 class Ticketing:
@@ -145,12 +145,12 @@
         if not self._issuer.verify(ticket, head.workspace):
             # It may be another workspace's ticket, under which work ran.
             return _error(
-                exchange.unknown(
+                exchange.outcome_unknown(
                     exchange.Reason.TICKET_INVALID,
                     "the key was not issued to this workspace",
                 )
             )
-        mark = tickets.fingerprint(head, body.held)
+        mark = tickets.fingerprint(head, body.buffered)
         claimed = self._book.claim(ticket, mark, self._clock.monotonic())
         match claimed:
             case expression.Result(
@@ -159,7 +159,7 @@
                 if claimed.ok is ticket_book.Step.START:
                     self._start(ticket, head, body, priority)
                 return await self._join(ticket, head)
-            case expression.Result(tag="ok", ok=exchange.Answer() as kept):
+            case expression.Result(tag="ok", ok=exchange.Response() as kept):
                 return expression.Ok(kept)
             case _:
                 return _error(claimed.error)
@@ -193,7 +193,9 @@
         body: exchange.RequestBody,
     ) -> None:
         result = _error(
-            exchange.unknown(exchange.Reason.TARGET_LOST, "the run was broken")
+            exchange.outcome_unknown(
+                exchange.Reason.TARGET_LOST, "the run was broken"
+            )
         )
         try:
             served = await self._gateway.serve(route, head, body)
@@ -201,7 +203,7 @@
         except Exception:
             log.exception("work under a ticket failed")
         finally:
-            if result.is_ok() and result.ok.rest is not None:
+            if result.is_ok() and result.ok.stream is not None:
                 execution.stream = result.ok
                 result = _error(ticket_book.NOT_KEPT)
             self._book.finish(ticket, result)
@@ -211,10 +213,10 @@
 
     async def _collect(self, result: AnswerResult) -> AnswerResult:
         """Reads a streamed answer to its end, if it is small enough to keep."""
-        if result.is_error() or result.ok.rest is None:
+        if result.is_error() or result.ok.stream is None:
             return result
         answer = result.ok
-        rest = result.ok.rest
+        rest = result.ok.stream
         held = bytearray(answer.body)
         try:
             async for data in rest:
@@ -222,12 +224,14 @@
                 if len(held) > self._kept_answer_bytes:
                     answer.body = bytes(held)
                     return expression.Ok(answer)
-        except exchange.TruncatedAnswerError as error:
+        except exchange.TruncatedResponseError as error:
             return _error(
-                exchange.unknown(exchange.Reason.TARGET_LOST, str(error))
+                exchange.outcome_unknown(
+                    exchange.Reason.TARGET_LOST, str(error)
+                )
             )
         return expression.Ok(
-            exchange.Answer(answer.status, answer.headers, bytes(held))
+            exchange.Response(answer.status, answer.headers, bytes(held))
         )
 
     async def _join(
@@ -242,7 +246,7 @@
             return result if stream is None else expression.Ok(stream)
         except TimeoutError:
             return _error(
-                exchange.unknown(
+                exchange.outcome_unknown(
                     exchange.Reason.DEADLINE,
                     "still running; send the same key again",
                     JOIN_RETRY,
@@ -268,7 +272,9 @@
     detail: str, retry_after: datetime.timedelta | None
 ) -> AnswerResult:
     return _error(
-        exchange.unknown(exchange.Reason.ISSUER_LOST, detail, retry_after)
+        exchange.outcome_unknown(
+            exchange.Reason.ISSUER_LOST, detail, retry_after
+        )
     )
 
 
--- a/endivewind/callers/waiting.py
+++ b/endivewind/callers/waiting.py
@@ -12,7 +12,7 @@
 from endivewind.callers import placement
 from endivewind.config import objects
 from endivewind.decisions import admission
-from endivewind.decisions import placing
+from endivewind.decisions import load_balancing
 from endivewind.targets import records
 
 # Slots also get free through the work of other entries, of which this one
@@ -48,7 +48,7 @@
     """
 
     service: str
-    demand: placing.Demand
+    demand: load_balancing.Demand
     waiter: admission.Waiter
     size: int
     placed: asyncio.Future[PlacedResult] | None = None
@@ -96,7 +96,7 @@
             return self._no_target(claim.service)
         now = self._clock.monotonic()
         offered = queue.offer(claim.waiter, now)
-        if isinstance(offered, admission.Refused):
+        if isinstance(offered, admission.Rejection):
             return self._refusal(
                 exchange.Reason.BUSY, offered.reason.value, offered.retry_after
             )
@@ -110,7 +110,7 @@
     def ended(self, service: str) -> None:
         """Takes note of a request's end: a slot may be free."""
         queue = self._queue(service)
-        queue.completed(self._clock.monotonic())
+        queue.record_completion(self._clock.monotonic())
         if len(queue):
             self._serve(service)
 
@@ -126,7 +126,7 @@
             self._release(claim)
             return self._refusal(
                 exchange.Reason.BUSY,
-                admission.Reason.TOO_LATE.value,
+                admission.Reason.DEADLINE_TOO_SOON.value,
                 datetime.timedelta(),
             )
         except asyncio.CancelledError:
--- a/endivewind/clock.py
+++ b/endivewind/clock.py
@@ -17,7 +17,7 @@
     def monotonic(self) -> datetime.timedelta:
         """Returns the time since an arbitrary start; never decreases."""
 
-    def awake_or_asleep(self) -> datetime.timedelta:
+    def boot_time(self) -> datetime.timedelta:
         """Like monotonic(), but includes time while the VM was suspended."""
 
 
@@ -34,7 +34,7 @@
         # request reads the clock often.
         return datetime.timedelta(0, time.monotonic())
 
-    def awake_or_asleep(self) -> datetime.timedelta:
+    def boot_time(self) -> datetime.timedelta:
         """Returns the time since an arbitrary start, with suspended time."""
         return datetime.timedelta(0, time.clock_gettime(time.CLOCK_BOOTTIME))
 
@@ -54,7 +54,7 @@
         """Returns the time advanced so far."""
         return self._elapsed
 
-    def awake_or_asleep(self) -> datetime.timedelta:
+    def boot_time(self) -> datetime.timedelta:
         """Returns the time advanced so far."""
         return self._elapsed
 
--- a/endivewind/commands/bench_decisions.py
+++ b/endivewind/commands/bench_decisions.py
@@ -130,7 +130,7 @@
     known = {item.name: item for item in scenarios.SCENARIOS}
     for name in wanted:
         if name not in known:
-            hint = names.hint(name, known)
+            hint = names.suggest(name, known)
             raise exceptions.UsageError(f"unknown scenario {name!r}{hint}")
     if wanted:
         return [known[name] for name in wanted]
--- a/endivewind/commands/bench_spreading.py
+++ b/endivewind/commands/bench_spreading.py
@@ -151,7 +151,7 @@
         for item in outgoing:
             wire = configuration.message_out(item.message)
             frame = codec.messages.Frame(configuration=wire)
-            self.sent[name] += len(codec.encode(frame))
+            self.sent[name] += len(codec.encode_frame(frame))
             sender, receiver = self.members[name], self.members[item.to]
             cut = (sender.zone, receiver.region) in self.cut
             if cut or self._rng.random() < self._loss:
--- a/endivewind/commands/control_fleet.py
+++ b/endivewind/commands/control_fleet.py
@@ -186,7 +186,7 @@
         for record in nodes:
             template.put_node(record)
         for number, node in enumerate(self.played):
-            template.put_home(
+            template.put_home_state(
                 node.name, 1, 1, self._records(node, self.targets_of(number))
             )
         for node in self.played:
@@ -225,7 +225,7 @@
 
     def count_in(self, frame: Any) -> None:
         """Counts a frame that came from the real node."""
-        self.link_bytes += len(codec.encode(frame))
+        self.link_bytes += len(codec.encode_frame(frame))
 
     async def change(self, per_second: float) -> None:
         """Makes changes at random nodes, at a rate, for ever."""
@@ -281,7 +281,7 @@
 
     async def _send(self, address: str, frame: Any) -> None:
         if address == self.real_address:
-            self.link_bytes += len(codec.encode(frame))
+            self.link_bytes += len(codec.encode_frame(frame))
         await self._pool.send(address, frame)
 
     async def _send_all(
--- a/endivewind/commands/running.py
+++ b/endivewind/commands/running.py
@@ -72,7 +72,7 @@
         if command is None:
             raise exceptions.UsageError("no command\n" + self._usage())
         if command not in self.commands:
-            hint = names.hint(command, self.commands)
+            hint = names.suggest(command, self.commands)
             raise exceptions.UsageError(
                 f"unknown command {command!r}{hint}\n{self._usage()}"
             )
--- a/endivewind/config/base.py
+++ b/endivewind/config/base.py
@@ -299,7 +299,7 @@
 
 def _unknown_key(location: Location, model: type[pydantic.BaseModel]) -> str:
     known = _field_names(location[:-1], model)
-    hint = names.hint(str(location[-1]), known)
+    hint = names.suggest(str(location[-1]), known)
     return f"unknown key{hint} Allowed: {', '.join(sorted(known))}"
 
 
--- a/endivewind/config/references.py
+++ b/endivewind/config/references.py
@@ -70,7 +70,7 @@
         for location, name in route.services():
             if name in known:
                 continue
-            hint = names.hint(name, known)
+            hint = names.suggest(name, known)
             allowed = ", ".join(sorted(known)) or "none is defined"
             yield base.Problem(
                 location,
--- a/endivewind/config/services.py
+++ b/endivewind/config/services.py
@@ -2,7 +2,7 @@
 
 from endivewind.config import objects
 from endivewind.config import store
-from endivewind.decisions import floor
+from endivewind.decisions import capacity_floor
 
 
 class ServiceSettings:
@@ -22,7 +22,7 @@
     def floor_share(self, service: str) -> float:
         """Share of a region's slots that stays in use."""
         percent = self._found(service).floor_percent
-        return percent / 100 if percent else floor.DEFAULT_SHARE
+        return percent / 100 if percent else capacity_floor.DEFAULT_FLOOR_SHARE
 
     def profile(self, service: str) -> objects.Profile:
         """How its targets are judged."""
--- a/endivewind/decisions/admission.py
+++ b/endivewind/decisions/admission.py
@@ -21,11 +21,11 @@
     """Why a request is rejected before it is sent to any target."""
 
     QUEUE_FULL = "the queue of the service is full"
-    TOO_LATE = "the deadline would pass in the queue"
+    DEADLINE_TOO_SOON = "the deadline would pass in the queue"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Refused:
+class Rejection:
     """A rejection, and the time after which a retry may succeed."""
 
     reason: Reason
@@ -83,7 +83,7 @@
 
     def offer(
         self, waiter: Waiter, now: datetime.timedelta
-    ) -> Refused | Waiter | None:
+    ) -> Rejection | Waiter | None:
         """Adds a request to the queue or rejects one.
 
         Returns:
@@ -92,13 +92,13 @@
         """
         wait = self.expected_wait(waiter.priority)
         if now + wait >= waiter.deadline:
-            return Refused(Reason.TOO_LATE, wait)
+            return Rejection(Reason.DEADLINE_TOO_SOON, wait)
         if len(self._waiting) < self._limit:
             self._push(waiter)
             return None
         replaced = self._newest_below(waiter.priority)
         if replaced is None:
-            return Refused(Reason.QUEUE_FULL, wait)
+            return Rejection(Reason.QUEUE_FULL, wait)
         self.remove(replaced)
         self._push(waiter)
         return replaced
@@ -128,7 +128,7 @@
             self._heap.clear()
             self._finish_tags.clear()
 
-    def completed(self, now: datetime.timedelta) -> None:
+    def record_completion(self, now: datetime.timedelta) -> None:
         """Updates the completion rate; called when a request has finished."""
         previous, self._last_completion = self._last_completion, now
         if previous is None or now - previous > _MAX_COMPLETION_GAP:
--- a/endivewind/decisions/baseline.py
+++ b/endivewind/decisions/baseline.py
@@ -13,8 +13,8 @@
 import datetime
 import statistics
 
-from endivewind.decisions import latency
-from endivewind.decisions import sequential
+from endivewind.decisions import latency_histogram
+from endivewind.decisions import sequential_test
 
 # Multiples of the median latency. Callers notice twice the median, and the
 # latencies of similar requests vary by less. A target that is merely busy stays
@@ -22,39 +22,39 @@
 SLOW_FACTOR = 2
 STALLED_FACTOR = 5
 # Differences of a few milliseconds are caused by the scheduler of the machine.
-LEAST_SLOW = datetime.timedelta(milliseconds=10)
-LEAST_STALLED = datetime.timedelta(milliseconds=100)
+MIN_SLOW_LATENCY = datetime.timedelta(milliseconds=10)
+MIN_STALLED_LATENCY = datetime.timedelta(milliseconds=100)
 # With fewer requests the median is too uncertain to call a request slow.
-MIN_HISTORY = 200
+MIN_HISTORY_REQUESTS = 200
 # Weights of a request in the moving averages of a target's signal shares: the
 # first follows a change within a few requests, the second is precise enough to
 # serve as a baseline.
 FAST_WEIGHT = 1 / 8
 RECENT_WEIGHT = 1 / 64
 # Factor for the error of a share that is measured over few requests.
-MARGIN = 1.25
+EXPECTED_SHARE_MARGIN = 1.25
 # Above one half, so that noise does not decide, and low enough that the loss of
 # one availability zone out of three does not change the typical peer.
-TYPICAL = 0.6
+TYPICAL_PEER_QUANTILE = 0.6
 # Weight of a request in the moving averages of the service's signal shares.
 HISTORY_WEIGHT = 1 / 4096
 # A peer without requests for longer than this tells nothing about the present.
-FRESH = datetime.timedelta(seconds=5)
-REFRESH = datetime.timedelta(milliseconds=50)
+MAX_SUMMARY_AGE = datetime.timedelta(seconds=5)
+REFRESH_INTERVAL = datetime.timedelta(milliseconds=50)
 # If the typical peer has accumulated this share of the ejection threshold, the
 # fault is common to the service.
-SHARED_TROUBLE = 0.1
+SHARED_FAULT_EVIDENCE = 0.1
 # A signal that fewer of the service's requests show is significant even if it
 # occurs once.
-UNUSUAL = 0.1
+MAX_UNUSUAL_SHARE = 0.1
 
-_SIGNAL_COUNT = len(sequential.Signal)
-_TEST_COUNT = len(sequential.ALTERNATIVES)
+_SIGNAL_COUNT = len(sequential_test.FaultSignal)
+_TEST_COUNT = len(sequential_test.ALTERNATIVES)
 _UNKNOWN_LATENCY = datetime.timedelta.max
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sketch:
+class TargetSummary:
     """State of one target, as input for the baseline of its service.
 
     Attributes:
@@ -67,45 +67,46 @@
     """
 
     target: str
-    at: datetime.timedelta
-    shares: tuple[float, ...]
+    updated_at: datetime.timedelta
+    signal_shares: tuple[float, ...]
     evidence: tuple[float, ...]
-    median: datetime.timedelta
+    median_latency: datetime.timedelta
 
 
 class Baseline:
     """Expected share of each signal, and latency limits, of one service."""
 
     def __init__(self) -> None:
-        self._history = latency.LatencyHistory()
+        self._history = latency_histogram.LatencyHistogram()
         self._mean_shares = [0.0] * _SIGNAL_COUNT
         self._request_counts = [0] * _SIGNAL_COUNT
         self._expected_shares = [0.0] * _SIGNAL_COUNT
         self._typical_evidence = [0.0] * _TEST_COUNT
         self._steps = [
-            sequential.step(item, 0.0) for item in sequential.ALTERNATIVES
+            sequential_test.evidence_step(item, 0.0)
+            for item in sequential_test.ALTERNATIVES
         ]
-        self._refreshed_at = -REFRESH
+        self._refreshed_at = -REFRESH_INTERVAL
         self._slow_latency = _UNKNOWN_LATENCY
         self._stalled_latency = _UNKNOWN_LATENCY
 
     @property
-    def slow(self) -> datetime.timedelta:
+    def slow_latency(self) -> datetime.timedelta:
         """Latency above which a request shows the signal SLOW."""
         return self._slow_latency
 
     @property
-    def stalled(self) -> datetime.timedelta:
+    def stalled_latency(self) -> datetime.timedelta:
         """Latency above which a request shows the signal STALLED."""
         return self._stalled_latency
 
     @property
-    def steps(self) -> list[sequential.Step]:
+    def steps(self) -> list[sequential_test.EvidenceStep]:
         """Evidence that a request adds to each test now."""
         return self._steps
 
     @property
-    def median(self) -> datetime.timedelta:
+    def median_latency(self) -> datetime.timedelta:
         """Median latency of this node's targets."""
         return self._history.median()
 
@@ -114,16 +115,16 @@
     ) -> None:
         """Adds one request of a target that is not ejected."""
         self._history.add(request_latency)
-        self._update_mean_share(sequential.Signal.FAILED, signals)
+        self._update_mean_share(sequential_test.FaultSignal.FAILED, signals)
         if self._slow_latency == _UNKNOWN_LATENCY:
             # No request can be called slow yet. Errors need no latency limit;
             # otherwise a node that has just started would miss them until then.
             return
-        self._update_mean_share(sequential.Signal.SLOW, signals)
-        self._update_mean_share(sequential.Signal.STALLED, signals)
+        self._update_mean_share(sequential_test.FaultSignal.SLOW, signals)
+        self._update_mean_share(sequential_test.FaultSignal.STALLED, signals)
 
     def _update_mean_share(
-        self, signal: sequential.Signal, signals: list[bool]
+        self, signal: sequential_test.FaultSignal, signals: list[bool]
     ) -> None:
         self._request_counts[signal] += 1
         weight = max(HISTORY_WEIGHT, 1 / self._request_counts[signal])
@@ -133,28 +134,32 @@
         )
 
     @property
-    def is_shared(self) -> bool:
+    def is_shared_fault(self) -> bool:
         """Whether the typical target has evidence in any test, too.
 
         One fault can show several signals: if all targets are three times as
         slow, a few requests of some target stall.
         """
-        return max(self._typical_evidence) >= SHARED_TROUBLE
+        return max(self._typical_evidence) >= SHARED_FAULT_EVIDENCE
 
     def is_unusual(self, signal: int) -> bool:
         """Returns whether few of the service's requests show the signal now."""
-        return self._expected_shares[signal] < UNUSUAL
+        return self._expected_shares[signal] < MAX_UNUSUAL_SHARE
 
-    def due(self, now: datetime.timedelta) -> bool:
+    def is_refresh_due(self, now: datetime.timedelta) -> bool:
         """Returns whether `refresh` should be called again."""
-        return now - self._refreshed_at >= REFRESH
+        return now - self._refreshed_at >= REFRESH_INTERVAL
 
     def refresh(
-        self, peers: collections.abc.Sequence[Sketch], now: datetime.timedelta
+        self,
+        peers: collections.abc.Sequence[TargetSummary],
+        now: datetime.timedelta,
     ) -> None:
         """Computes the baseline from the summaries of the service's targets."""
         self._refreshed_at = now
-        fresh_peers = [peer for peer in peers if now - peer.at <= FRESH]
+        fresh_peers = [
+            peer for peer in peers if now - peer.updated_at <= MAX_SUMMARY_AGE
+        ]
         self._update_latency_limits(fresh_peers)
         # A signal that none of n requests showed may still have a share of 1/n.
         # Otherwise the first long request of a service that has just started
@@ -169,7 +174,7 @@
         # A single target would be compared with itself and never be ejected.
         if len(fresh_peers) > 1:
             for signal in range(_SIGNAL_COUNT):
-                shares = [peer.shares[signal] for peer in fresh_peers]
+                shares = [peer.signal_shares[signal] for peer in fresh_peers]
                 expected[signal] = max(expected[signal], _typical_value(shares))
             self._typical_evidence = [
                 _typical_value([peer.evidence[test] for peer in fresh_peers])
@@ -177,20 +182,26 @@
             ]
         self._expected_shares = expected
         self._steps = [
-            sequential.step(item, MARGIN * expected[item.signal])
-            for item in sequential.ALTERNATIVES
+            sequential_test.evidence_step(
+                item, EXPECTED_SHARE_MARGIN * expected[item.signal]
+            )
+            for item in sequential_test.ALTERNATIVES
         ]
 
-    def _update_latency_limits(self, fresh_peers: list[Sketch]) -> None:
-        medians = [peer.median for peer in fresh_peers if peer.median]
-        if self._history.total >= MIN_HISTORY:
+    def _update_latency_limits(self, fresh_peers: list[TargetSummary]) -> None:
+        medians = [
+            peer.median_latency for peer in fresh_peers if peer.median_latency
+        ]
+        if self._history.request_count >= MIN_HISTORY_REQUESTS:
             medians.append(self._history.median())
         if not medians:
             return
         median = statistics.median_low(medians)
-        self._slow_latency = max(median * SLOW_FACTOR, LEAST_SLOW)
-        self._stalled_latency = max(median * STALLED_FACTOR, LEAST_STALLED)
+        self._slow_latency = max(median * SLOW_FACTOR, MIN_SLOW_LATENCY)
+        self._stalled_latency = max(
+            median * STALLED_FACTOR, MIN_STALLED_LATENCY
+        )
 
 
 def _typical_value(values: list[float]) -> float:
-    return sorted(values)[int(TYPICAL * (len(values) - 1))]
+    return sorted(values)[int(TYPICAL_PEER_QUANTILE * (len(values) - 1))]
--- a/endivewind/decisions/floor.py
+++ b/endivewind/decisions/capacity_floor.py
@@ -11,7 +11,7 @@
 from endivewind.decisions import ejection
 
 # Share of a region's slots that stays in use if operators set no floor.
-DEFAULT_SHARE = 0.5
+DEFAULT_FLOOR_SHARE = 0.5
 
 _STATUS_ORDER = {
     ejection.Status.NORMAL: 0,
@@ -45,10 +45,10 @@
     service: str = ""
 
 
-def admitted(
+def select_targets(
     candidates: collections.abc.Iterable[Candidate],
     floor_slots: int,
-    share: float = DEFAULT_SHARE,
+    share: float = DEFAULT_FLOOR_SHARE,
 ) -> list[Candidate]:
     """Returns the targets that may get normal requests, region by region.
 
--- a/endivewind/decisions/paths.py
+++ b/endivewind/decisions/circuit_breakers.py
@@ -10,21 +10,21 @@
 # A single failure may be due to a stale connection, which a middlebox has
 # dropped. The pool then closes its other idle connections to that home, so a
 # second failure in a row was on a new connection and concerns the network path.
-FAILURES_TO_CLOSE = 2
-FIRST_HOLD = datetime.timedelta(seconds=1)
+FAILURES_TO_OPEN = 2
+INITIAL_OPEN_TIME = datetime.timedelta(seconds=1)
 # A partition may last an hour. A trial every 30 s costs one request in
 # thousands and detects recovery soon.
-LAST_HOLD = datetime.timedelta(seconds=30)
+MAX_OPEN_TIME = datetime.timedelta(seconds=30)
 
 
 @dataclasses.dataclass(slots=True)
 class _Circuit:
     failures: int = 0
-    open_time: datetime.timedelta = FIRST_HOLD
+    open_time: datetime.timedelta = INITIAL_OPEN_TIME
     open_until: datetime.timedelta | None = None
 
 
-class Paths:
+class CircuitBreakers:
     """A circuit breaker for each home node.
 
     Load: a one-way partition or a stale connection between one entry node and
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self._circuits: dict[str, _Circuit] = {}
 
-    def usable(self, home: str, now: datetime.timedelta) -> bool:
+    def allows(self, home: str, now: datetime.timedelta) -> bool:
         """Whether requests may be placed at the home's targets."""
         circuit = self._circuits.get(home)
         return (
@@ -45,7 +45,7 @@
             or (now >= circuit.open_until)
         )
 
-    def started(self, home: str, now: datetime.timedelta) -> None:
+    def record_start(self, home: str, now: datetime.timedelta) -> None:
         """Records that a request was sent; a trial reopens the circuit.
 
         Otherwise all waiting requests would try the home at the same time as
@@ -55,16 +55,16 @@
         if circuit and circuit.open_until is not None:
             circuit.open_until = now + circuit.open_time
 
-    def succeeded(self, home: str) -> None:
+    def record_success(self, home: str) -> None:
         """Records a response, which closes the circuit."""
         self._circuits.pop(home, None)
 
-    def failed(self, home: str, now: datetime.timedelta) -> None:
+    def record_failure(self, home: str, now: datetime.timedelta) -> None:
         """Records an exchange that broke off or timed out."""
         circuit = self._circuits.setdefault(home, _Circuit())
         circuit.failures += 1
-        if circuit.failures < FAILURES_TO_CLOSE:
+        if circuit.failures < FAILURES_TO_OPEN:
             return
         if circuit.open_until is not None:
-            circuit.open_time = min(circuit.open_time * 2, LAST_HOLD)
+            circuit.open_time = min(circuit.open_time * 2, MAX_OPEN_TIME)
         circuit.open_until = now + circuit.open_time
--- a/endivewind/decisions/crossing.py
+++ b/endivewind/decisions/cross_region.py
@@ -8,7 +8,7 @@
 
 # Capacity of a bucket, as the time to fill it: enough for the requests of a
 # zone while its targets restart, and small compared with a day's traffic costs.
-BURST = datetime.timedelta(seconds=30)
+BURST_DURATION = datetime.timedelta(seconds=30)
 
 
 @dataclasses.dataclass(slots=True)
@@ -40,7 +40,7 @@
         self._bucket(region, now).tokens -= size
 
     def _bucket(self, region: str, now: datetime.timedelta) -> _Bucket:
-        capacity = self._rate * BURST.total_seconds()
+        capacity = self._rate * BURST_DURATION.total_seconds()
         bucket = self._buckets.get(region)
         if bucket is None:
             bucket = self._buckets[region] = _Bucket(capacity, now)
--- a/endivewind/decisions/ejection.py
+++ b/endivewind/decisions/ejection.py
@@ -7,18 +7,18 @@
 import datetime
 import enum
 
-from endivewind.decisions import bounds
+from endivewind.decisions import ejection_settings
 
 # Each such interval in normal state takes one from the count of recent
 # ejections, so that the ejection time of a flapping target does not grow
 # forever.
-FORGIVE = datetime.timedelta(minutes=5)
+FORGIVENESS_INTERVAL = datetime.timedelta(minutes=5)
 
 
 # Successes in trial that offset one failure. A recovered target is slow now and
 # then like any other; without the offset one in twenty trials of a healthy
 # target would fail.
-GOOD_FOR_POOR = 4
+SUCCESSES_TO_OFFSET_FAILURE = 4
 
 
 class Status(enum.StrEnum):
@@ -29,7 +29,7 @@
     TRIAL = "trial"
 
 
-class Ejection:
+class EjectionState:
     """Ejection state of one target.
 
     Load: a target that flaps every few seconds. Harm: after each return
@@ -49,7 +49,7 @@
         "_successes",
     )
 
-    def __init__(self, settings: bounds.ErrorBounds) -> None:
+    def __init__(self, settings: ejection_settings.EjectionSettings) -> None:
         self._settings = settings
         self._status = Status.NORMAL
         self._recent_ejections = 0
@@ -63,20 +63,20 @@
         return self._status
 
     @property
-    def strikes(self) -> int:
+    def recent_ejections(self) -> int:
         """Number of ejections that count towards the ejection time."""
         return self._recent_ejections
 
-    def configure(self, settings: bounds.ErrorBounds) -> None:
+    def configure(self, settings: ejection_settings.EjectionSettings) -> None:
         """Replaces the settings; they apply to a current ejection, too."""
         self._settings = settings
 
-    def hold(self) -> datetime.timedelta:
+    def ejection_time(self) -> datetime.timedelta:
         """Returns the time from the current ejection to its trial."""
-        ejection_time = self._settings.hold * 2 ** min(
+        ejection_time = self._settings.base_ejection_time * 2 ** min(
             self._recent_ejections - 1, 16
         )
-        return min(ejection_time, self._settings.max_hold)
+        return min(ejection_time, self._settings.max_ejection_time)
 
     def eject(self, now: datetime.timedelta) -> None:
         """Ejects the target.
@@ -86,7 +86,8 @@
         """
         if self._status is Status.NORMAL:
             self._recent_ejections -= min(
-                self._recent_ejections, (now - self._status_since) // FORGIVE
+                self._recent_ejections,
+                (now - self._status_since) // FORGIVENESS_INTERVAL,
             )
             self._recent_ejections += 1
         self._set_status(Status.EJECTED, now)
@@ -97,13 +98,13 @@
         Returns:
           Whether the status changed.
         """
-        has_expired = now - self._status_since >= self.hold()
+        has_expired = now - self._status_since >= self.ejection_time()
         if self._status is not Status.EJECTED or not has_expired:
             return False
         self._set_status(Status.TRIAL, now)
         return True
 
-    def tried(self, is_success: bool, now: datetime.timedelta) -> bool:
+    def record_trial(self, is_success: bool, now: datetime.timedelta) -> bool:
         """Records the outcome of a trial request.
 
         Returns:
@@ -111,7 +112,9 @@
         """
         if is_success:
             self._successes += 1
-            self._failures = max(0.0, self._failures - 1 / GOOD_FOR_POOR)
+            self._failures = max(
+                0.0, self._failures - 1 / SUCCESSES_TO_OFFSET_FAILURE
+            )
             if self._successes < self._settings.trial_successes:
                 return False
             self._set_status(Status.NORMAL, now)
--- a/endivewind/decisions/bounds.py
+++ b/endivewind/decisions/ejection_settings.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ErrorBounds:
+class EjectionSettings:
     """When a service's targets are ejected and when they return.
 
     Attributes:
@@ -24,26 +24,26 @@
       trial_failures: failures after which a target in trial is ejected again.
     """
 
-    false_alarm: float
-    hold: datetime.timedelta
-    max_hold: datetime.timedelta
+    false_alarm_probability: float
+    base_ejection_time: datetime.timedelta
+    max_ejection_time: datetime.timedelta
     trial_successes: int
     trial_failures: int
 
     @property
     def threshold(self) -> float:
         """Evidence at which a target is ejected (upper SPRT threshold)."""
-        return -math.log(self.false_alarm)
+        return -math.log(self.false_alarm_probability)
 
 
 # For services whose users notice every slow second (Camerino). Four consecutive
 # failures eject a target, and one that was ejected by mistake is back within
 # seconds. Three failures would occur by chance whenever one workspace begins
 # to send requests that fail at every target.
-DETECTION = ErrorBounds(
-    false_alarm=1e-6,
-    hold=datetime.timedelta(seconds=3),
-    max_hold=datetime.timedelta(minutes=5),
+DETECTION = EjectionSettings(
+    false_alarm_probability=1e-6,
+    base_ejection_time=datetime.timedelta(seconds=3),
+    max_ejection_time=datetime.timedelta(minutes=5),
     trial_successes=8,
     trial_failures=2,
 )
@@ -51,10 +51,10 @@
 # (Saltline). At ten requests per second a target has about a million chances
 # of a false alarm per day; this bound keeps each test below one false alarm in
 # a thousand days.
-CAPACITY = ErrorBounds(
-    false_alarm=1e-10,
-    hold=datetime.timedelta(seconds=3),
-    max_hold=datetime.timedelta(minutes=2),
+CAPACITY = EjectionSettings(
+    false_alarm_probability=1e-10,
+    base_ejection_time=datetime.timedelta(seconds=3),
+    max_ejection_time=datetime.timedelta(minutes=2),
     trial_successes=8,
     trial_failures=3,
 )
--- a/endivewind/decisions/latency.py
+++ b/endivewind/decisions/latency_histogram.py
@@ -20,7 +20,7 @@
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
-class LatencyHistory:
+class LatencyHistogram:
     """A histogram with buckets 10% wide, from 0.1 ms to about 17 minutes.
 
     Takes 170 floats, whatever the number of requests. All counts are halved
@@ -35,7 +35,7 @@
         self._max_count = max_count
 
     @property
-    def total(self) -> float:
+    def request_count(self) -> float:
         """Weighted number of requests; less than all after a halving."""
         return self._request_count
 
--- a/endivewind/decisions/placing.py
+++ b/endivewind/decisions/load_balancing.py
@@ -14,34 +14,34 @@
 import random
 from typing import Protocol
 
+from endivewind.decisions import capacity_floor
 from endivewind.decisions import ejection
-from endivewind.decisions import floor
 from endivewind.decisions import suspicion
 
 # Targets of a service that a node uses in each tier. Bounds the work per
 # request and the number of connections for services of any size.
-SUBSET = 24
+SUBSET_SIZE = 24
 # One in this many idempotent requests goes to a target in trial, if any.
-TRIAL_EVERY = 20
+REQUESTS_PER_TRIAL = 20
 _CROSS_REGION_TIER = 2
 # A target counts as slower if its latency is at least this many times the
 # other's.
-CLEARLY = 2
+SLOW_LATENCY_RATIO = 2
 _CHOICE_COUNT = 2
 # Suspicion above which a target is passed over for the next tier. A request
 # that is not idempotent is lost if it fails, which costs more than the bytes
 # to the next zone from a probability of about one in seven. An idempotent one
 # costs a retry, which is worth it up to about even odds.
-RISK_ONCE = 0.15
-RISK_REPEATABLE = 0.5
+MAX_SUSPICION_NON_IDEMPOTENT = 0.15
+MAX_SUSPICION_IDEMPOTENT = 0.5
 # A request that is not idempotent leaves its region only where it would more
 # likely than not be lost: traffic between regions is billed by volume, and such
 # a request carries a body in addition to its response.
-RISK_FAR = 0.6
+MAX_SUSPICION_CROSS_REGION = 0.6
 # Cost of a suspicion of 1 when two targets of the same rank are compared, as
 # a multiple of the load of a full target.
-DOUBT_ONCE = 3.0
-DOUBT_REPEATABLE = 0.5
+SUSPICION_COST_NON_IDEMPOTENT = 3.0
+SUSPICION_COST_IDEMPOTENT = 0.5
 # Share of its zone's idempotent requests that may probe a suspect target, one
 # at a time, until its state is clear.
 PROBE_SHARE = 0.5
@@ -49,13 +49,13 @@
 # otherwise all nodes of a zone that suspect it would probe it at once. Above
 # PROBE_BACKOFF_THRESHOLD the interval grows with the suspicion to about one
 # second, a fifth of the mean time that a target stays unhealthy.
-PROBE_GAP = 0.15
-PROBE_AT_ONCE = 0.4
-PROBE_GAP_SURE = 1.5
+PROBE_INTERVAL_SECONDS = 0.15
+PROBE_BACKOFF_THRESHOLD = 0.4
+PROBE_BACKOFF_SECONDS = 1.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class Locality:
     """The location of a node, used to prefer targets near it."""
 
     node: str
@@ -77,20 +77,20 @@
         node's subset.
     """
 
-    tiers: tuple[tuple[floor.Candidate, ...], ...]
-    trials: tuple[floor.Candidate, ...]
+    tiers: tuple[tuple[capacity_floor.Candidate, ...], ...]
+    trials: tuple[capacity_floor.Candidate, ...]
     slots: int
 
     @classmethod
     def from_candidates(
         cls,
-        candidates: collections.abc.Sequence[floor.Candidate],
+        candidates: collections.abc.Sequence[capacity_floor.Candidate],
         floor_slots: int,
-        place: Place,
-        share: float = floor.DEFAULT_SHARE,
+        locality: Locality,
+        share: float = capacity_floor.DEFAULT_FLOOR_SHARE,
     ) -> "Pool":
         """Applies the capacity floor and takes this node's subset."""
-        admitted = floor.admitted(candidates, floor_slots, share)
+        admitted = capacity_floor.select_targets(candidates, floor_slots, share)
         admitted_ids = {item.id for item in admitted}
         trials = [
             item
@@ -98,12 +98,12 @@
             if item.status is ejection.Status.TRIAL
             and item.id not in admitted_ids
         ]
-        tiers: tuple[list[floor.Candidate], ...] = ([], [], [])
+        tiers: tuple[list[capacity_floor.Candidate], ...] = ([], [], [])
         for item in admitted:
-            tiers[_tier_number(place, item)].append(item)
+            tiers[_tier_number(locality, item)].append(item)
         return cls(
-            tuple(_subset(tier, place.node) for tier in tiers),
-            _subset(trials, place.node),
+            tuple(_subset(tier, locality.node) for tier in tiers),
+            _subset(trials, locality.node),
             sum(item.slots for item in admitted),
         )
 
@@ -137,59 +137,67 @@
         because of its route or because the retry budget is spent.
     """
 
-    repeatable: bool
+    is_idempotent: bool
     excluded: collections.abc.Set[str] = frozenset()
-    patience: float = 0.0
+    max_wait: float = 0.0
     may_probe: bool = False
     is_last: bool = False
 
     @property
-    def may_fail(self) -> bool:
+    def can_retry(self) -> bool:
         """Whether it can be retried at another target if it fails."""
-        return self.repeatable and not self.is_last
+        return self.is_idempotent and not self.is_last
 
     @property
-    def risk(self) -> float:
+    def max_suspicion(self) -> float:
         """The highest suspicion at which a target still counts as healthy."""
-        return RISK_REPEATABLE if self.may_fail else RISK_ONCE
+        return (
+            MAX_SUSPICION_IDEMPOTENT
+            if self.can_retry
+            else MAX_SUSPICION_NON_IDEMPOTENT
+        )
 
     @property
-    def far_risk(self) -> float:
+    def cross_region_suspicion(self) -> float:
         """Suspicion of targets in the region above which it leaves it."""
-        return self.risk if self.repeatable else RISK_FAR
+        return (
+            self.max_suspicion
+            if self.is_idempotent
+            else MAX_SUSPICION_CROSS_REGION
+        )
 
 
 class Load(Protocol):
     """What the node knows of the load and health of its targets."""
 
-    def in_use(self, item: floor.Candidate) -> float:
+    def in_use(self, item: capacity_floor.Candidate) -> float:
         """Estimates the number of requests running at a target."""
 
-    def own(self, target: str) -> int:
+    def own_in_use(self, target: str) -> int:
         """Returns the number of this node's requests running at a target."""
 
     def latency(self, target: str) -> float:
         """Returns the usual latency in seconds; 0 if it is unknown."""
 
-    def wait(self, item: floor.Candidate) -> float:
+    def wait(self, item: capacity_floor.Candidate) -> float:
         """Estimates the seconds that a request would wait for a slot."""
 
     def suspicion(self, target: str) -> float:
         """Returns the probability that a target is unhealthy."""
 
-    def told_ago(self, target: str) -> float:
+    def seconds_since_report(self, target: str) -> float:
         """Returns the seconds since a target's home last reported on it."""
 
-    def reaches(self, home: str) -> bool:
+    def is_reachable(self, home: str) -> bool:
         """Whether the circuit breaker lets this node send to a home."""
 
-    def slots(self, item: floor.Candidate) -> int:
+    def slots(self, item: capacity_floor.Candidate) -> int:
         """Returns how many of a target's slots this node may use now."""
 
-    def affords(self, region: str) -> bool:
+    def has_traffic_budget(self, region: str) -> bool:
         """Whether the cross-region traffic budget allows another request."""
 
-    def is_resting(self, target: str) -> bool:
+    def is_cooling_down(self, target: str) -> bool:
         """Whether a target refused a request a moment ago."""
 
 
@@ -232,7 +240,7 @@
 
 def choose(
     pool: Pool, demand: Demand, load: Load, rng: random.Random
-) -> floor.Candidate | None:
+) -> capacity_floor.Candidate | None:
     """Chooses the better of two random targets of the best rank.
 
     Load: many nodes choose among the same targets at the same time. Harm: if
@@ -250,7 +258,11 @@
     Returns:
       The target, or None if no target can take the request now.
     """
-    if demand.repeatable and pool.trials and not rng.randrange(TRIAL_EVERY):
+    if (
+        demand.is_idempotent
+        and pool.trials
+        and not rng.randrange(REQUESTS_PER_TRIAL)
+    ):
         tried = _choose_trial(pool.trials, demand, load, rng)
         if tried:
             return tried
@@ -268,17 +280,17 @@
 
 
 def _best_rank(
-    tiers: tuple[tuple[floor.Candidate, ...], ...],
+    tiers: tuple[tuple[capacity_floor.Candidate, ...], ...],
     demand: Demand,
     load: Load,
     rng: random.Random,
-) -> tuple[_Rank, list[floor.Candidate]] | None:
+) -> tuple[_Rank, list[capacity_floor.Candidate]] | None:
     """Finds the lowest rank of any target, and targets that have it.
 
     Stops at the first tier that no later tier can improve on, and stops
     scanning a tier once it has two targets with a free slot to choose from.
     """
-    by_rank: dict[_Rank, list[floor.Candidate]] = {}
+    by_rank: dict[_Rank, list[capacity_floor.Candidate]] = {}
     for number, tier in enumerate(tiers):
         for item in _shuffled(tier, rng):
             rank = _target_rank(item, number, demand, load)
@@ -295,34 +307,36 @@
 
 
 def _target_rank(
-    item: floor.Candidate, tier: int, demand: Demand, load: Load
+    item: capacity_floor.Candidate, tier: int, demand: Demand, load: Load
 ) -> _Rank | None:
     """Ranks a target for a request; None if it can't take the request."""
-    if item.id in demand.excluded or load.is_resting(item.id):
+    if item.id in demand.excluded or load.is_cooling_down(item.id):
         return None
     free = load.in_use(item) < load.slots(item)
-    can_start = free or 0 < load.wait(item) <= demand.patience
-    affordable = tier != _CROSS_REGION_TIER or load.affords(item.region)
+    can_start = free or 0 < load.wait(item) <= demand.max_wait
+    affordable = tier != _CROSS_REGION_TIER or load.has_traffic_budget(
+        item.region
+    )
     if not (can_start and affordable):
         return None
-    if not load.reaches(item.home):
+    if not load.is_reachable(item.home):
         # If the paths to all homes have failed, trying one is better than
         # refusing the request.
         return _Rank.UNREACHABLE if free else None
     risk = load.suspicion(item.id)
-    if risk > demand.far_risk:
+    if risk > demand.cross_region_suspicion:
         return _UNHEALTHY[tier]
-    if risk > demand.risk:
+    if risk > demand.max_suspicion:
         return _SUSPECT[tier]
     return _FREE[tier] if free else _QUEUED[tier]
 
 
 def _choose_probe(
-    tier: tuple[floor.Candidate, ...],
+    tier: tuple[capacity_floor.Candidate, ...],
     demand: Demand,
     load: Load,
     rng: random.Random,
-) -> floor.Candidate | None:
+) -> capacity_floor.Candidate | None:
     """Finds a suspect target of the zone to probe with this request.
 
     Load: requests that are not idempotent avoid a target after one failure.
@@ -334,11 +348,11 @@
     """
     for item in _shuffled(tier, rng):
         risk = load.suspicion(item.id)
-        excess = max(0.0, risk - PROBE_AT_ONCE)
-        interval = PROBE_GAP + PROBE_GAP_SURE * excess
-        if risk < suspicion.DOUBTFUL or load.own(item.id):
+        excess = max(0.0, risk - PROBE_BACKOFF_THRESHOLD)
+        interval = PROBE_INTERVAL_SECONDS + PROBE_BACKOFF_SECONDS * excess
+        if risk < suspicion.SUSPECT_THRESHOLD or load.own_in_use(item.id):
             continue
-        if load.told_ago(item.id) < interval:
+        if load.seconds_since_report(item.id) < interval:
             continue
         rank = _target_rank(item, 0, demand, load)
         if rank in (
@@ -351,20 +365,20 @@
 
 
 def _choose_trial(
-    trials: tuple[floor.Candidate, ...],
+    trials: tuple[capacity_floor.Candidate, ...],
     demand: Demand,
     load: Load,
     rng: random.Random,
-) -> floor.Candidate | None:
+) -> capacity_floor.Candidate | None:
     """Picks a random target in trial, if it is idle as far as is known."""
     item = rng.choice(trials)
-    busy = load.in_use(item) or load.is_resting(item.id)
+    busy = load.in_use(item) or load.is_cooling_down(item.id)
     return None if busy or item.id in demand.excluded else item
 
 
 def _shuffled(
-    tier: tuple[floor.Candidate, ...], rng: random.Random
-) -> collections.abc.Iterator[floor.Candidate]:
+    tier: tuple[capacity_floor.Candidate, ...], rng: random.Random
+) -> collections.abc.Iterator[capacity_floor.Candidate]:
     """Yields each target of a tier once, in a cheap random order."""
     size = len(tier)
     if not size:
@@ -386,22 +400,28 @@
 
 
 def _least_cost(
-    items: list[floor.Candidate], demand: Demand, load: Load
-) -> floor.Candidate:
+    items: list[capacity_floor.Candidate], demand: Demand, load: Load
+) -> capacity_floor.Candidate:
     """Returns the target with the lower cost: load plus suspicion.
 
     The cost is multiplied by the latency only if one target is clearly slower.
     Small differences are noise, and a target that is avoided because of them
     gets no requests that could update its latency.
     """
-    weight = DOUBT_REPEATABLE if demand.may_fail else DOUBT_ONCE
+    weight = (
+        SUSPICION_COST_IDEMPOTENT
+        if demand.can_retry
+        else SUSPICION_COST_NON_IDEMPOTENT
+    )
     costs = [
         (load.in_use(item) + 1) / item.slots
         + weight * _excess_suspicion(item, load)
         for item in items
     ]
     latencies = [load.latency(item.id) for item in items]
-    if min(latencies) > 0 and max(latencies) >= CLEARLY * min(latencies):
+    if min(latencies) > 0 and max(latencies) >= SLOW_LATENCY_RATIO * min(
+        latencies
+    ):
         costs = [
             cost * seconds
             for cost, seconds in zip(costs, latencies, strict=True)
@@ -409,7 +429,7 @@
     return items[costs.index(min(costs))]
 
 
-def _excess_suspicion(item: floor.Candidate, load: Load) -> float:
+def _excess_suspicion(item: capacity_floor.Candidate, load: Load) -> float:
     """Returns the suspicion above that of a target without any reports.
 
     Load: few requests, and most targets idle; some of them have recent
@@ -417,27 +437,29 @@
     target, those with successes would always win over one that has just joined
     or has long been idle, which would never get a request to succeed with.
     """
-    return max(0.0, load.suspicion(item.id) - suspicion.UNKNOWN)
+    return max(0.0, load.suspicion(item.id) - suspicion.PRIOR_SUSPICION)
 
 
-def _tier_number(locality: Place, item: floor.Candidate) -> int:
+def _tier_number(locality: Locality, item: capacity_floor.Candidate) -> int:
     if item.region != locality.region:
         return 2
     return 0 if item.zone == locality.zone else 1
 
 
 def _subset(
-    items: list[floor.Candidate], node: str
-) -> tuple[floor.Candidate, ...]:
+    items: list[capacity_floor.Candidate], node: str
+) -> tuple[capacity_floor.Candidate, ...]:
     """Chooses a stable subset of targets for a node by rendezvous hashing.
 
     A target that joins or leaves changes each subset by one target at most,
     and each target is in about as many subsets as any other.
     """
-    if len(items) <= SUBSET:
+    if len(items) <= SUBSET_SIZE:
         return tuple(items)
     return tuple(
-        sorted(items, key=lambda item: _rendezvous_hash(node, item.id))[:SUBSET]
+        sorted(items, key=lambda item: _rendezvous_hash(node, item.id))[
+            :SUBSET_SIZE
+        ]
     )
 
 
--- a/endivewind/decisions/judging.py
+++ b/endivewind/decisions/outlier_detection.py
@@ -13,13 +13,15 @@
 import math
 
 from endivewind.decisions import baseline
-from endivewind.decisions import bounds
 from endivewind.decisions import ejection
-from endivewind.decisions import sequential
+from endivewind.decisions import ejection_settings
+from endivewind.decisions import sequential_test
 
 # Evidence added each time the age of a stalled request has doubled. It is
 # limited because the request has already been counted once as stalled.
-_REPEATED_OVERDUE_STEP = sequential.Step(hit=2.2, miss=0.0)
+_REPEATED_OVERDUE_STEP = sequential_test.EvidenceStep(
+    with_signal=2.2, without_signal=0.0
+)
 _MAX_OVERDUE_STEPS = 4
 # Time for which a target whose evidence was dismissed still counts as unhealthy
 # in the comparison with its peers.
@@ -28,8 +30,8 @@
 _MAX_HEALTHY_FAILURE_SHARE = 0.05
 _MAX_TRACKED_WORKSPACES = 16
 
-_TEST_COUNT = len(sequential.ALTERNATIVES)
-_SIGNAL_COUNT = len(sequential.Signal)
+_TEST_COUNT = len(sequential_test.ALTERNATIVES)
+_SIGNAL_COUNT = len(sequential_test.FaultSignal)
 _STALLED_TEST_INDEX = _TEST_COUNT - 1
 
 
@@ -44,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Change:
+class StatusChange:
     """A change of a target's ejection status.
 
     Attributes:
@@ -162,8 +164,8 @@
         "workspace_failures",
     )
 
-    def __init__(self, settings: bounds.ErrorBounds) -> None:
-        self.ejection = ejection.Ejection(settings)
+    def __init__(self, settings: ejection_settings.EjectionSettings) -> None:
+        self.ejection = ejection.EjectionState(settings)
         self.evidence = [0.0] * _TEST_COUNT
         self.recent_shares = [0.0] * _SIGNAL_COUNT
         self.fast_shares = [0.0] * _SIGNAL_COUNT
@@ -194,14 +196,14 @@
         recent[signal] += baseline.RECENT_WEIGHT * (is_shown - recent[signal])
 
     def dismiss_evidence(
-        self, signal: sequential.Signal, now: datetime.timedelta
+        self, signal: sequential_test.FaultSignal, now: datetime.timedelta
     ) -> None:
         """Discards evidence of a signal that has another cause.
 
         Requests that are still overdue are counted again: if they stay overdue
         after the peers have recovered, this target is the one that hangs.
         """
-        for index, alternative in enumerate(sequential.ALTERNATIVES):
+        for index, alternative in enumerate(sequential_test.ALTERNATIVES):
             if alternative.signal is signal:
                 self.evidence[index] = 0.0
         self.dismissed_at = now
@@ -211,13 +213,13 @@
 
     def summarize(
         self, name: str, threshold: float, now: datetime.timedelta
-    ) -> baseline.Sketch:
+    ) -> baseline.TargetSummary:
         evidence = tuple(value / threshold for value in self.evidence)
         if now - self.dismissed_at < _DISMISSAL_DURATION:
             # Otherwise the last of many targets with a common fault would look
             # like an outlier, because the others' evidence was dismissed.
             evidence = (1.0,) * _TEST_COUNT
-        return baseline.Sketch(
+        return baseline.TargetSummary(
             name,
             self.last_seen,
             tuple(map(max, self.recent_shares, self.fast_shares)),
@@ -226,32 +228,32 @@
         )
 
 
-class ServiceJudge:
+class OutlierDetector:
     """Detects outliers among the targets of one service at their home node."""
 
-    def __init__(self, settings: bounds.ErrorBounds) -> None:
+    def __init__(self, settings: ejection_settings.EjectionSettings) -> None:
         self._settings = settings
         self._threshold = settings.threshold
         self._baseline = baseline.Baseline()
         self._targets: dict[str, _TargetState] = {}
-        self._peer_summaries: dict[str, baseline.Sketch] = {}
+        self._peer_summaries: dict[str, baseline.TargetSummary] = {}
         self._remote_targets: dict[str, _TargetState] = {}
 
     @property
-    def limits(self) -> bounds.ErrorBounds:
+    def settings(self) -> ejection_settings.EjectionSettings:
         """Settings in effect."""
         return self._settings
 
     @property
-    def usual(self) -> baseline.Baseline:
+    def service_baseline(self) -> baseline.Baseline:
         """Baseline of the service."""
         return self._baseline
 
-    def targets(self) -> list[str]:
+    def target_ids(self) -> list[str]:
         """Returns the ids of the targets to which this node sent requests."""
         return list(self._targets)
 
-    def configure(self, settings: bounds.ErrorBounds) -> None:
+    def configure(self, settings: ejection_settings.EjectionSettings) -> None:
         """Replaces the settings; keeps evidence and ejections."""
         self._settings = settings
         self._threshold = settings.threshold
@@ -263,9 +265,11 @@
         state = self._targets.get(target)
         return state.ejection.status if state else ejection.Status.NORMAL
 
-    def sketches(self, now: datetime.timedelta) -> list[baseline.Sketch]:
+    def target_summaries(
+        self, now: datetime.timedelta
+    ) -> list[baseline.TargetSummary]:
         """Returns summaries of this node's normal targets for other nodes."""
-        median = self._baseline.median
+        median = self._baseline.median_latency
         for target in self._targets.values():
             target.median_latency = median
         return [
@@ -274,7 +278,7 @@
             if target.ejection.status is ejection.Status.NORMAL
         ]
 
-    def heard(self, summary: baseline.Sketch) -> None:
+    def update_peer(self, summary: baseline.TargetSummary) -> None:
         """Records the summary of a target of another home node."""
         if summary.target not in self._targets:
             self._peer_summaries[summary.target] = summary
@@ -285,7 +289,7 @@
         self._peer_summaries.pop(target, None)
         self._remote_targets.pop(target, None)
 
-    def started(
+    def record_start(
         self, target: str, number: int, now: datetime.timedelta
     ) -> None:
         """Records the start of a request.
@@ -297,7 +301,7 @@
         """
         self._get_or_add_target(target).pending[number] = _PendingRequest(now)
 
-    def finished(
+    def record_finish(
         self,
         target: str,
         number: int,
@@ -305,7 +309,7 @@
         latency: datetime.timedelta,
         workspace: str,
         now: datetime.timedelta,
-    ) -> Change | None:
+    ) -> StatusChange | None:
         """Records the end of a request and evaluates its target.
 
         Args:
@@ -329,10 +333,13 @@
         service_baseline = self._baseline
         signals = [
             result is Result.FAILED,
-            latency > service_baseline.slow,
-            latency > service_baseline.stalled,
+            latency > service_baseline.slow_latency,
+            latency > service_baseline.stalled_latency,
         ]
-        if result is Result.UNFINISHED and not signals[sequential.Signal.SLOW]:
+        if (
+            result is Result.UNFINISHED
+            and not signals[sequential_test.FaultSignal.SLOW]
+        ):
             return None
         self._decay_evidence(state, now)
         state.last_seen = now
@@ -343,7 +350,7 @@
             return self._evaluate(target, state, now)
         return self._record_trial(target, state, signals, now)
 
-    def witnessed(
+    def record_remote(
         self,
         target: str,
         result: Result,
@@ -365,8 +372,8 @@
         service_baseline = self._baseline
         signals = [
             result is Result.FAILED,
-            latency > service_baseline.slow,
-            latency > service_baseline.stalled,
+            latency > service_baseline.slow_latency,
+            latency > service_baseline.stalled_latency,
         ]
         self._decay_evidence(state, now)
         state.last_seen = now
@@ -376,7 +383,7 @@
             min(value, self._threshold) for value in state.evidence
         ]
 
-    def advance(self, now: datetime.timedelta) -> list[Change]:
+    def advance(self, now: datetime.timedelta) -> list[StatusChange]:
         """Checks for overdue requests and for ejections that have ended.
 
         A target that hangs finishes no request: without this check its slots
@@ -412,7 +419,7 @@
         return state
 
     def _refresh_if_due(self, now: datetime.timedelta) -> None:
-        if self._baseline.due(now):
+        if self._baseline.is_refresh_due(now):
             self._refresh_baseline(now)
 
     def _refresh_baseline(self, now: datetime.timedelta) -> None:
@@ -438,18 +445,23 @@
         for index, is_shown in enumerate(signals):
             state.update_shares(index, is_shown)
         state.workspace_failures.add(
-            workspace, signals[sequential.Signal.FAILED]
+            workspace, signals[sequential_test.FaultSignal.FAILED]
         )
         evidence = state.evidence
-        for index, alternative in enumerate(sequential.ALTERNATIVES):
+        for index, alternative in enumerate(sequential_test.ALTERNATIVES):
             signal = alternative.signal
             step = self._baseline.steps[index]
             if not signals[signal]:
-                evidence[index] = max(0.0, evidence[index] + step.miss)
-            elif signal == sequential.Signal.FAILED or overdue_steps < signal:
+                evidence[index] = max(
+                    0.0, evidence[index] + step.without_signal
+                )
+            elif (
+                signal == sequential_test.FaultSignal.FAILED
+                or overdue_steps < signal
+            ):
                 # A request with N overdue steps has added the signals from
                 # 1 (SLOW) to N while it was pending; each counts only once.
-                evidence[index] += step.hit
+                evidence[index] += step.with_signal
         if not evidence[0]:
             state.workspace_failures.clear()
 
@@ -457,17 +469,18 @@
         self, state: _TargetState, now: datetime.timedelta
     ) -> None:
         idle = now - state.last_seen
-        if idle < baseline.FRESH:
+        if idle < baseline.MAX_SUMMARY_AGE:
             return
         state.evidence = [
-            sequential.faded(value, idle) for value in state.evidence
+            sequential_test.decay_evidence(value, idle)
+            for value in state.evidence
         ]
 
     def _check_overdue(
         self, state: _TargetState, now: datetime.timedelta
     ) -> bool:
         has_counted = False
-        slow = self._baseline.slow
+        slow = self._baseline.slow_latency
         for pending in state.pending.values():
             if now - pending.started_at <= slow:
                 break
@@ -495,31 +508,31 @@
 
     def _overdue_limit(self, step: int) -> datetime.timedelta:
         if step == 0:
-            return self._baseline.slow
-        return self._baseline.stalled * 2 ** (step - 1)
+            return self._baseline.slow_latency
+        return self._baseline.stalled_latency * 2 ** (step - 1)
 
     def _add_overdue_step(self, state: _TargetState, step: int) -> None:
-        if step >= sequential.Signal.STALLED:
+        if step >= sequential_test.FaultSignal.STALLED:
             if (
                 self._baseline.steps[_STALLED_TEST_INDEX]
-                is not sequential.NO_STEP
+                is not sequential_test.NO_STEP
             ):
                 state.evidence[_STALLED_TEST_INDEX] += (
-                    _REPEATED_OVERDUE_STEP.hit
+                    _REPEATED_OVERDUE_STEP.with_signal
                 )
             return
-        signal = sequential.Signal(step + 1)
+        signal = sequential_test.FaultSignal(step + 1)
         state.update_shares(signal, True)
-        for index, alternative in enumerate(sequential.ALTERNATIVES):
+        for index, alternative in enumerate(sequential_test.ALTERNATIVES):
             if alternative.signal is signal:
-                state.evidence[index] += self._baseline.steps[index].hit
+                state.evidence[index] += self._baseline.steps[index].with_signal
 
     def _evaluate(
         self, name: str, state: _TargetState, now: datetime.timedelta
-    ) -> Change | None:
+    ) -> StatusChange | None:
         if state.ejection.status is not ejection.Status.NORMAL:
             return None
-        for index, alternative in enumerate(sequential.ALTERNATIVES):
+        for index, alternative in enumerate(sequential_test.ALTERNATIVES):
             if state.evidence[index] < self._threshold:
                 continue
             if self._has_external_cause(state, index, now):
@@ -540,10 +553,10 @@
         one, each leaving more of the load to the rest.
         """
         self._refresh_baseline(now)
-        if self._baseline.is_shared:
+        if self._baseline.is_shared_fault:
             return True
-        alternative = sequential.ALTERNATIVES[index]
-        if alternative.signal is not sequential.Signal.FAILED:
+        alternative = sequential_test.ALTERNATIVES[index]
+        if alternative.signal is not sequential_test.FaultSignal.FAILED:
             return False
         return state.workspace_failures.is_single_workspace_fault()
 
@@ -553,7 +566,7 @@
         state: _TargetState,
         signals: list[bool],
         now: datetime.timedelta,
-    ) -> Change | None:
+    ) -> StatusChange | None:
         if state.ejection.status is not ejection.Status.TRIAL:
             return None
         # Signals that are common in the service now must not keep a target
@@ -562,7 +575,7 @@
             is_shown and self._baseline.is_unusual(signal)
             for signal, is_shown in enumerate(signals)
         )
-        if not state.ejection.tried(is_success, now):
+        if not state.ejection.record_trial(is_success, now):
             return None
         state.clear()
         has_failed = state.ejection.status is ejection.Status.EJECTED
@@ -572,5 +585,5 @@
 
     def _status_change(
         self, name: str, state: _TargetState, cause: str
-    ) -> Change:
-        return Change(name, state.ejection.status, cause, state.badness())
+    ) -> StatusChange:
+        return StatusChange(name, state.ejection.status, cause, state.badness())
--- a/endivewind/decisions/telling.py
+++ b/endivewind/decisions/peer_updates.py
@@ -16,13 +16,13 @@
 # Minimum time between two updates of a home node. At most four updates per
 # second, of about 90 bytes each, to MAX_PEERS nodes stay below 9 KB/s, even if
 # a target is unhealthy for hours.
-GAP = datetime.timedelta(milliseconds=250)
+MIN_UPDATE_INTERVAL = datetime.timedelta(milliseconds=250)
 # Maximum number of nodes that an update is sent to. In larger zones the entry
 # nodes see enough responses of their own to do without updates.
-HEARERS = 24
+MAX_PEERS = 24
 
 
-def shares_region(others: int) -> bool:
+def shares_retries_in_region(others: int) -> bool:
     """Whether entry nodes share retry budgets with their whole region.
 
     Load: few requests per entry node, of which one in ten fails, in bursts.
@@ -35,11 +35,11 @@
     Args:
       others: number of other nodes in the region.
     """
-    return others <= HEARERS
+    return others <= MAX_PEERS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Condition:
+class TargetUpdate:
     """The status of a target, which its home node pushes to its peers.
 
     Attributes:
@@ -48,11 +48,11 @@
     """
 
     target: str
-    glance: exchange.Glance
+    status: exchange.TargetStatus
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tally:
+class RetryUsage:
     """An entry node's use of a retry budget in the current window.
 
     Attributes:
@@ -61,11 +61,11 @@
     """
 
     service: str
-    count: retries.Count
+    counts: retries.RequestCounts
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
-class Way:
+class IngressRoute:
     """A service and route prefix by which callers' requests enter the fleet."""
 
     service: str
@@ -73,7 +73,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class News:
+class PeerUpdate:
     """An update pushed to nearby nodes; false in a boolean context if empty.
 
     Attributes:
@@ -82,19 +82,21 @@
       ingress_routes: routes by which the sender receives callers' requests.
     """
 
-    conditions: tuple[Condition, ...] = ()
-    tallies: tuple[Tally, ...] = ()
-    ways: tuple[Way, ...] = ()
+    target_updates: tuple[TargetUpdate, ...] = ()
+    retry_usages: tuple[RetryUsage, ...] = ()
+    ingress_routes: tuple[IngressRoute, ...] = ()
 
     def __bool__(self) -> bool:
-        return bool(self.conditions or self.tallies or self.ways)
+        return bool(
+            self.target_updates or self.retry_usages or self.ingress_routes
+        )
 
 
-NO_NEWS = News()
+EMPTY_UPDATE = PeerUpdate()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class State:
+class TargetSnapshot:
     """The current status of a target at its home node.
 
     Attributes:
@@ -102,8 +104,8 @@
       signal_count: number of signals that the suspicion is based on.
     """
 
-    condition: Condition
-    signals: int
+    update: TargetUpdate
+    signal_count: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -113,7 +115,7 @@
     sent_at: datetime.timedelta
 
 
-class Teller:
+class TargetUpdatePublisher:
     """Chooses the target updates that a home node pushes.
 
     Load: many entry nodes in front of a few targets, each entry with one or
@@ -129,11 +131,11 @@
         self._sent: dict[str, _SentUpdate] = {}
         self._last_sent: datetime.timedelta | None = None
 
-    def due(
+    def due_updates(
         self,
-        snapshots: collections.abc.Iterable[State],
+        snapshots: collections.abc.Iterable[TargetSnapshot],
         now: datetime.timedelta,
-    ) -> tuple[Condition, ...]:
+    ) -> tuple[TargetUpdate, ...]:
         """Returns the updates to push now; none if the last are too recent.
 
         A suspect target's update is repeated after each new signal, and once
@@ -143,31 +145,36 @@
           snapshots: snapshots of all targets of the home.
           now: the current monotonic time.
         """
-        if self._last_sent is not None and now - self._last_sent < GAP:
+        if (
+            self._last_sent is not None
+            and now - self._last_sent < MIN_UPDATE_INTERVAL
+        ):
             return ()
         snapshots = list(snapshots)
         due = [item for item in snapshots if self._is_due(item, now)]
         for item in due:
-            update = item.condition
+            update = item.update
             self._sent[update.target] = _SentUpdate(
-                item.signals, update.glance.suspicion, now
+                item.signal_count, update.status.suspicion, now
             )
         if due:
             self._last_sent = now
             self._remove_departed(snapshots)
-        return tuple(item.condition for item in due)
+        return tuple(item.update for item in due)
 
-    def _is_due(self, snapshot: State, now: datetime.timedelta) -> bool:
-        current = snapshot.condition.glance.suspicion
-        sent = self._sent.get(snapshot.condition.target)
+    def _is_due(
+        self, snapshot: TargetSnapshot, now: datetime.timedelta
+    ) -> bool:
+        current = snapshot.update.status.suspicion
+        sent = self._sent.get(snapshot.update.target)
         if sent is None:
-            return current >= suspicion.DOUBTFUL
-        if snapshot.signals == sent.signal_count:
+            return current >= suspicion.SUSPECT_THRESHOLD
+        if snapshot.signal_count == sent.signal_count:
             return False
-        expected = suspicion.drifted(sent.suspicion, now - sent.sent_at)
-        return max(current, expected) >= suspicion.DOUBTFUL
+        expected = suspicion.decay(sent.suspicion, now - sent.sent_at)
+        return max(current, expected) >= suspicion.SUSPECT_THRESHOLD
 
-    def _remove_departed(self, snapshots: list[State]) -> None:
-        present = {item.condition.target for item in snapshots}
+    def _remove_departed(self, snapshots: list[TargetSnapshot]) -> None:
+        present = {item.update.target for item in snapshots}
         for target in self._sent.keys() - present:
             del self._sent[target]
--- a/endivewind/decisions/poison.py
+++ b/endivewind/decisions/poison_requests.py
@@ -11,10 +11,10 @@
 # running. A second crash at another target, with no response to the same
 # request in between, is unlikely to be chance; waiting for a third would cost
 # a third target.
-CRASHES = 2
+MIN_CRASHED_TARGETS = 2
 # Callers that resend such a request do so within minutes. A longer time would
 # block the request after the target's fault was fixed.
-HOLD = datetime.timedelta(minutes=10)
+BLOCK_DURATION = datetime.timedelta(minutes=10)
 # 1,024 fingerprints of 32 bytes take about 300 KB at most; the oldest are
 # evicted first.
 MAX_SUSPECTS = 1024
@@ -26,7 +26,7 @@
     targets: set[str] = dataclasses.field(default_factory=set)
 
 
-class PoisonBook:
+class PoisonRequestDetector:
     """Records requests that were running when a target crashed.
 
     Requests are identified by a fingerprint.
@@ -46,12 +46,12 @@
         """Returns the number of suspects; if 0, no fingerprint is needed."""
         return len(self._suspects)
 
-    def crashed(
+    def record_crash(
         self, fingerprint: bytes, target: str, now: datetime.timedelta
     ) -> None:
         """Records that a target crashed while it ran the request."""
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or now - suspect.last_crash >= HOLD:
+        if suspect is None or now - suspect.last_crash >= BLOCK_DURATION:
             suspect = self._suspects[fingerprint] = _Suspect(now)
         suspect.last_crash = now
         suspect.targets.add(target)
@@ -59,19 +59,21 @@
         if len(self._suspects) > MAX_SUSPECTS:
             self._suspects.popitem(last=False)
 
-    def answered(self, fingerprint: bytes) -> None:
+    def record_answer(self, fingerprint: bytes) -> None:
         """Clears a request to which a target has responded."""
         self._suspects.pop(fingerprint, None)
 
-    def refused_for(
+    def remaining_block(
         self, fingerprint: bytes, now: datetime.timedelta
     ) -> datetime.timedelta | None:
         """Returns how much longer to refuse the request; None to allow it."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return None
-        remaining = suspect.last_crash + HOLD - now
+        remaining = suspect.last_crash + BLOCK_DURATION - now
         if remaining <= datetime.timedelta():
             del self._suspects[fingerprint]
             return None
-        return remaining if len(suspect.targets) >= CRASHES else None
+        return (
+            remaining if len(suspect.targets) >= MIN_CRASHED_TARGETS else None
+        )
--- a/endivewind/decisions/quotas.py
+++ b/endivewind/decisions/quotas.py
@@ -12,8 +12,8 @@
 
 # Shares of the quota's tolerance in a window that are added to the burst and to
 # the rate. The rest covers buckets that start anew after an owner has ended.
-HELD_TOLERANCE = 0.5
-RATE_TOLERANCE = 0.35
+BURST_TOLERANCE_SHARE = 0.5
+RATE_TOLERANCE_SHARE = 0.35
 # Tokens that a new owner starts with, as a share of the capacity: how many its
 # predecessor has spent in the window is unknown.
 START_SHARE = 0.1
@@ -21,9 +21,9 @@
 KEPT_SHARE = 0.3
 # A zone whose tokens are below this share of the capacity asks other zones
 # before it runs out.
-LOW_SHARE = 0.4
+LOW_WATERMARK = 0.4
 # Share of a zone's rate for a node that stands in for the owner.
-DEPUTY_SHARE = 0.25
+STANDBY_SHARE = 0.25
 _MAX_WAIT = datetime.timedelta(minutes=1)
 
 
@@ -50,7 +50,7 @@
     """
 
     count: int
-    wait: datetime.timedelta = datetime.timedelta()
+    retry_after: datetime.timedelta = datetime.timedelta()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -81,7 +81,7 @@
     capacity: float
 
     @classmethod
-    def of_zone(
+    def for_zone(
         cls, rate: float, burst: float, zones: int, tolerance: Tolerance
     ) -> "Limit":
         """Returns the limit of each zone for a workspace's quota.
@@ -102,16 +102,16 @@
         """
         window = tolerance.window.total_seconds()
         spare = tolerance.overage * (rate * window + burst) + tolerance.requests
-        capacity = burst + HELD_TOLERANCE * spare
-        tolerated_rate = rate + RATE_TOLERANCE * spare / window
+        capacity = burst + BURST_TOLERANCE_SHARE * spare
+        tolerated_rate = rate + RATE_TOLERANCE_SHARE * spare / window
         return cls(tolerated_rate / zones, max(1.0, capacity / zones))
 
-    def of_deputy(self) -> "Limit":
+    def for_standby(self) -> "Limit":
         """Returns the limit of a node that stands in for the owner."""
-        return Limit(self.rate * DEPUTY_SHARE, self.capacity)
+        return Limit(self.rate * STANDBY_SHARE, self.capacity)
 
 
-class Share:
+class TokenBucket:
     """A token bucket that lends tokens to other zones and borrows theirs."""
 
     def __init__(
@@ -123,7 +123,7 @@
         self._last_used = now
 
     @property
-    def used(self) -> datetime.timedelta:
+    def last_used(self) -> datetime.timedelta:
         """When tokens were last requested from it."""
         return self._last_used
 
@@ -159,7 +159,7 @@
     def wanted(self, now: datetime.timedelta) -> int:
         """Returns how many tokens to borrow; 0 above the low watermark."""
         self._refill(now)
-        if self._tokens >= LOW_SHARE * self._limit.capacity:
+        if self._tokens >= LOW_WATERMARK * self._limit.capacity:
             return 0
         return max(1, int(self._limit.capacity - self._tokens))
 
--- a/endivewind/decisions/silence.py
+++ b/endivewind/decisions/response_times.py
@@ -11,24 +11,24 @@
 # Prior distribution of response times: the median as a share of the latency
 # objective, and the standard deviation of the logarithm. Operators set
 # objectives well above usual response times.
-USUAL_SHARE = 0.33
-USUAL_SPREAD = 0.45
+PRIOR_MEDIAN_SHARE = 0.33
+PRIOR_LOG_STDDEV = 0.45
 # Number of responses that the prior counts for.
-GUESS_WEIGHT = 8.0
+PRIOR_WEIGHT = 8.0
 # Weight of each new response once there are many.
-LEAST_WEIGHT = 1 / 64
+MIN_SAMPLE_WEIGHT = 1 / 64
 # Share of requests that stay without a response for long even at a healthy
 # target: response times have a tail, and some responses are lost.
-TAIL = 0.02
+HEALTHY_HANG_SHARE = 0.02
 # Share of requests to which an unhealthy target never responds.
-HANGS = 0.5
+UNHEALTHY_HANG_SHARE = 0.5
 # Younger pending requests are ignored: a stall of this process makes all
 # responses seem late.
-SHORTEST = datetime.timedelta(milliseconds=300)
+MIN_PENDING_AGE = datetime.timedelta(milliseconds=300)
 _MIN_SECONDS = 0.001
 
 
-class AnswerTimes:
+class ResponseTimes:
     """Response time distributions of one target, by latency objective.
 
     The latency objective of the route tells kinds of requests apart: routes
@@ -38,14 +38,14 @@
     def __init__(self) -> None:
         self._distributions: dict[datetime.timedelta, _LogNormal] = {}
 
-    def take(
+    def observe(
         self, latency_objective: datetime.timedelta, latency: datetime.timedelta
     ) -> None:
         """Records the latency of a successful response."""
         if latency_objective:
             self._distribution(latency_objective).observe(latency)
 
-    def likelihood(
+    def likelihood_ratio(
         self, latency_objective: datetime.timedelta, age: datetime.timedelta
     ) -> float:
         """Returns the likelihood ratio of a request still being pending.
@@ -63,17 +63,24 @@
           latency_objective: that of the request's route; zero if unknown.
           age: time since the request was sent.
         """
-        if not latency_objective or age < SHORTEST:
+        if not latency_objective or age < MIN_PENDING_AGE:
             return 1.0
-        healthy = max(TAIL, self._distribution(latency_objective).survival(age))
-        return (HANGS + (1 - HANGS) * healthy) / healthy
+        healthy = max(
+            HEALTHY_HANG_SHARE,
+            self._distribution(latency_objective).survival(age),
+        )
+        return (
+            UNHEALTHY_HANG_SHARE + (1 - UNHEALTHY_HANG_SHARE) * healthy
+        ) / healthy
 
     def _distribution(
         self, latency_objective: datetime.timedelta
     ) -> "_LogNormal":
         found = self._distributions.get(latency_objective)
         if found is None:
-            mean = math.log(USUAL_SHARE * latency_objective.total_seconds())
+            mean = math.log(
+                PRIOR_MEDIAN_SHARE * latency_objective.total_seconds()
+            )
             found = self._distributions[latency_objective] = _LogNormal(mean)
         return found
 
@@ -85,14 +92,14 @@
 
     def __init__(self, mean: float) -> None:
         self._mean = mean
-        self._variance = USUAL_SPREAD**2
-        self._sample_count = GUESS_WEIGHT
+        self._variance = PRIOR_LOG_STDDEV**2
+        self._sample_count = PRIOR_WEIGHT
 
     def observe(self, latency: datetime.timedelta) -> None:
         """Adds one latency."""
         value = math.log(max(_MIN_SECONDS, latency.total_seconds()))
         self._sample_count += 1
-        weight = max(LEAST_WEIGHT, 1 / self._sample_count)
+        weight = max(MIN_SAMPLE_WEIGHT, 1 / self._sample_count)
         deviation = value - self._mean
         self._mean += weight * deviation
         self._variance = (1 - weight) * (
--- a/endivewind/decisions/retries.py
+++ b/endivewind/decisions/retries.py
@@ -11,8 +11,8 @@
 
 # Retries per window that a service with little traffic always has. Without
 # them a single failed request in a quiet minute could not be retried.
-RESERVE = 3.0
-WINDOW = datetime.timedelta(seconds=10)
+DEFAULT_RESERVE = 3.0
+DEFAULT_WINDOW = datetime.timedelta(seconds=10)
 # The window slides in this many steps, so that no interval of its length can
 # exceed the bound by more than a twentieth.
 _BUCKETS_PER_WINDOW = 20
@@ -20,12 +20,12 @@
 # A node that may make this many retries or more does not need to share them:
 # at this size random variation is about a fifth. Nodes with fewer exchange
 # their counts.
-SMALL = 25.0
+SMALL_SHARE_RETRIES = 25.0
 # Share of its own limit that a node keeps for itself. The rest is shared.
 KEPT_SHARE = 0.2
 # Time until the other nodes know what a node has used: the interval between
 # two messages, and a delay of one of them.
-TELLING = datetime.timedelta(milliseconds=500)
+PROPAGATION_DELAY = datetime.timedelta(milliseconds=500)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -41,13 +41,13 @@
     """
 
     share: float
-    reserve: float = RESERVE
-    window: datetime.timedelta = WINDOW
-    neighbours: int = 0
+    reserve: float = DEFAULT_RESERVE
+    window: datetime.timedelta = DEFAULT_WINDOW
+    neighbour_count: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Count:
+class RequestCounts:
     """Requests and retries of a node in the current window."""
 
     requests: int = 0
@@ -90,7 +90,7 @@
         self._buckets: collections.deque[_Bucket] = collections.deque()
         self._requests = 0
         self._retries = 0
-        self._peers: dict[str, tuple[Count, datetime.timedelta]] = {}
+        self._peers: dict[str, tuple[RequestCounts, datetime.timedelta]] = {}
         # Shared retries that this node may use now, and when it was computed.
         self._allowance = float("inf")
         self._allowance_at = datetime.timedelta()
@@ -103,7 +103,7 @@
             self._retries = 0
         self._limits = limits
 
-    def request(self, now: datetime.timedelta) -> None:
+    def record_request(self, now: datetime.timedelta) -> None:
         """Counts a request of a caller."""
         self._current_bucket(now).requests += 1
         self._requests += 1
@@ -113,19 +113,21 @@
         self._current_bucket(now).retries += 1
         self._retries += 1
 
-    def hear(self, node: str, count: Count, now: datetime.timedelta) -> None:
+    def update_peer(
+        self, node: str, count: RequestCounts, now: datetime.timedelta
+    ) -> None:
         """Stores another node's counts for the window that ends now."""
         self._peers[node] = (count, now)
 
-    def count(self, now: datetime.timedelta) -> Count:
+    def counts(self, now: datetime.timedelta) -> RequestCounts:
         """Returns this node's counts in the current window."""
         self._current_bucket(now)
-        return Count(self._requests, self._retries)
+        return RequestCounts(self._requests, self._retries)
 
-    def is_small(self, now: datetime.timedelta) -> bool:
+    def is_small_share(self, now: datetime.timedelta) -> bool:
         """Whether random variation alone may use up this node's limit."""
         self._current_bucket(now)
-        return 0 < self._own_limit() < SMALL
+        return 0 < self._own_limit() < SMALL_SHARE_RETRIES
 
     def take(
         self, now: datetime.timedelta, *, may_borrow: bool = False
@@ -152,7 +154,7 @@
         self.charge(now)
         return True
 
-    def spent(self, now: datetime.timedelta) -> float:
+    def spent_share(self, now: datetime.timedelta) -> float:
         """Returns the share of the budget that is spent; 1 if none is left."""
         if not self._has_retry(now):
             return 1.0
@@ -184,7 +186,7 @@
         if left < 1 or not peers:
             return left >= 1
         equal_part = left / (1 + peers)
-        elapsed = (now - self._allowance_at) / TELLING
+        elapsed = (now - self._allowance_at) / PROPAGATION_DELAY
         self._allowance = min(
             self._allowance + elapsed * equal_part, max(1.0, equal_part)
         )
@@ -197,7 +199,10 @@
         A neighbour that has sent no counts has made no retries. How many
         requests it has had is unknown, so only its reserve is added.
         """
-        counts = (Count(self._requests, self._retries), *self._peer_counts())
+        counts = (
+            RequestCounts(self._requests, self._retries),
+            *self._peer_counts(),
+        )
         left = 0.0
         for count in counts:
             limit = self._limit_for(count.requests)
@@ -205,11 +210,11 @@
             left += (1 - KEPT_SHARE) * limit - used
         return left
 
-    def _peer_counts(self) -> list[Count]:
+    def _peer_counts(self) -> list[RequestCounts]:
         """Returns the counts of this node's neighbours, zero if unknown."""
         known = [count for count, _ in self._peers.values()]
-        unknown = max(0, self._limits.neighbours - len(known))
-        return [*known, *[Count()] * unknown]
+        unknown = max(0, self._limits.neighbour_count - len(known))
+        return [*known, *[RequestCounts()] * unknown]
 
     def _total_limit(self) -> float:
         """Returns how many retries this node and its neighbours may make."""
--- a/endivewind/decisions/sequential.py
+++ b/endivewind/decisions/sequential_test.py
@@ -14,12 +14,12 @@
 
 # Evidence decays with idle time: three errors within an hour at a target with
 # little traffic mean nothing, three within a second do.
-HALF_LIFE = datetime.timedelta(seconds=30)
+EVIDENCE_HALF_LIFE = datetime.timedelta(seconds=30)
 # If half of the service's requests show the signal, no target is an outlier.
-MAX_EXPECTED = 0.5
+MAX_EXPECTED_SHARE = 0.5
 
 
-class Signal(enum.IntEnum):
+class FaultSignal(enum.IntEnum):
     """An indication of a fault that a single request can give."""
 
     FAILED = 0
@@ -41,24 +41,24 @@
     """
 
     name: str
-    signal: Signal
-    share: float
-    least_expected: float
+    signal: FaultSignal
+    unhealthy_share: float
+    min_expected_share: float
 
 
 # Errors are tested at three shares, because a test for a share of 0.1 needs a
 # hundred requests to detect what a test for a share of 0.8 detects in three.
 ALTERNATIVES = (
-    Alternative("some requests fail", Signal.FAILED, 0.1, 0.01),
-    Alternative("many requests fail", Signal.FAILED, 0.3, 0.01),
-    Alternative("most requests fail", Signal.FAILED, 0.8, 0.01),
-    Alternative("slow", Signal.SLOW, 0.5, 0.05),
-    Alternative("stalled", Signal.STALLED, 0.8, 0.001),
+    Alternative("some requests fail", FaultSignal.FAILED, 0.1, 0.01),
+    Alternative("many requests fail", FaultSignal.FAILED, 0.3, 0.01),
+    Alternative("most requests fail", FaultSignal.FAILED, 0.8, 0.01),
+    Alternative("slow", FaultSignal.SLOW, 0.5, 0.05),
+    Alternative("stalled", FaultSignal.STALLED, 0.8, 0.001),
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Step:
+class EvidenceStep:
     """Evidence that one request adds to a test.
 
     Attributes:
@@ -66,14 +66,16 @@
       without_signal: evidence, zero or less, added by one that does not.
     """
 
-    hit: float
-    miss: float
+    with_signal: float
+    without_signal: float
 
 
-NO_STEP = Step(0.0, 0.0)
+NO_STEP = EvidenceStep(0.0, 0.0)
 
 
-def step(alternative: Alternative, expected_share: float) -> Step:
+def evidence_step(
+    alternative: Alternative, expected_share: float
+) -> EvidenceStep:
     """Returns the log-likelihood ratios of one request's two outcomes.
 
     Args:
@@ -85,18 +87,20 @@
       Evidence for each outcome; zero for both if the expected share is too
       high for any target to be an outlier.
     """
-    healthy_share = max(expected_share, alternative.least_expected)
-    if healthy_share >= MAX_EXPECTED:
+    healthy_share = max(expected_share, alternative.min_expected_share)
+    if healthy_share >= MAX_EXPECTED_SHARE:
         return NO_STEP
-    unhealthy_share = healthy_share + (1 - healthy_share) * alternative.share
-    return Step(
+    unhealthy_share = (
+        healthy_share + (1 - healthy_share) * alternative.unhealthy_share
+    )
+    return EvidenceStep(
         math.log(unhealthy_share / healthy_share),
         math.log((1 - unhealthy_share) / (1 - healthy_share)),
     )
 
 
-def faded(value: float, idle: datetime.timedelta) -> float:
+def decay_evidence(value: float, idle: datetime.timedelta) -> float:
     """Returns the evidence that is left after a time without requests."""
     if value <= 0 or idle <= datetime.timedelta():
         return value
-    return float(value * 0.5 ** (idle / HALF_LIFE))
+    return float(value * 0.5 ** (idle / EVIDENCE_HALF_LIFE))
--- a/endivewind/decisions/ramp.py
+++ b/endivewind/decisions/slow_start.py
@@ -8,10 +8,10 @@
 
 # A restarted target fills its caches and pools within seconds. The trial of a
 # returning target has shown that it works, not that it can take full load.
-SPAN = datetime.timedelta(seconds=10)
+SLOW_START_DURATION = datetime.timedelta(seconds=10)
 
 
-class Ramps:
+class SlowStart:
     """Raises the usable slots of targets linearly from one to all.
 
     Load: many ingress nodes learn of a new target within the same second, and
@@ -23,19 +23,21 @@
     def __init__(self) -> None:
         self._started_at: dict[str, datetime.timedelta] = {}
 
-    def begin(self, target: str, now: datetime.timedelta) -> None:
+    def start(self, target: str, now: datetime.timedelta) -> None:
         """Starts or restarts the slow start of a target."""
         self._started_at[target] = now
 
-    def slots(self, target: str, slots: int, now: datetime.timedelta) -> int:
+    def usable_slots(
+        self, target: str, slots: int, now: datetime.timedelta
+    ) -> int:
         """Returns how many slots of a target this node may use now."""
         started_at = self._started_at.get(target)
         if started_at is None:
             return slots
-        if now - started_at >= SPAN:
+        if now - started_at >= SLOW_START_DURATION:
             del self._started_at[target]
             return slots
-        return max(1, int(slots * ((now - started_at) / SPAN)))
+        return max(1, int(slots * ((now - started_at) / SLOW_START_DURATION)))
 
     def forget(self, targets: collections.abc.Iterable[str]) -> None:
         """Removes targets that have left."""
--- a/endivewind/decisions/suspicion.py
+++ b/endivewind/decisions/suspicion.py
@@ -14,16 +14,16 @@
 # Mean times until a healthy target becomes unhealthy, and until it recovers. In
 # recorded traffic each target has some seconds of failures about every half
 # minute. They determine how fast evidence becomes outdated.
-WELL_FOR = datetime.timedelta(seconds=40)
-SICK_FOR = datetime.timedelta(seconds=5)
+MEAN_HEALTHY_TIME = datetime.timedelta(seconds=40)
+MEAN_UNHEALTHY_TIME = datetime.timedelta(seconds=5)
 # Limits of the estimate. However many requests have failed, a few successful
 # responses must restore a target: its recovery is not announced, and healthy
 # capacity must not stay unused.
-MOST = 0.97
-LEAST = 0.001
+MAX_SUSPICION = 0.97
+MIN_SUSPICION = 0.001
 
 
-class Signal(enum.Enum):
+class HealthSignal(enum.Enum):
     """The result of a request, as evidence of its target's health.
 
     The value holds the signal's probabilities at an unhealthy and at a healthy
@@ -38,23 +38,26 @@
       SHED: the target rejected the request although it had free slots.
     """
 
-    GOOD = (0.3, 0.98)
-    FAILED = (0.65, 0.015)
+    SUCCESS = (0.3, 0.98)
+    FAILURE = (0.65, 0.015)
     OVERDUE = (0.25, 0.03)
     SHED = (0.3, 0.02)
 
 
-_PRIOR = SICK_FOR / (SICK_FOR + WELL_FOR)
-_DECAY_RATE = 1 / SICK_FOR.total_seconds() + 1 / WELL_FOR.total_seconds()
+_PRIOR = MEAN_UNHEALTHY_TIME / (MEAN_UNHEALTHY_TIME + MEAN_HEALTHY_TIME)
+_DECAY_RATE = (
+    1 / MEAN_UNHEALTHY_TIME.total_seconds()
+    + 1 / MEAN_HEALTHY_TIME.total_seconds()
+)
 # The suspicion of a target of which there is no evidence.
-UNKNOWN = _PRIOR
+PRIOR_SUSPICION = _PRIOR
 # A target whose suspicion is at least this, just above PRIOR_SUSPICION, is
 # suspect. It is probed with idempotent requests until its health is clear, and
 # its status is pushed to its zone.
-DOUBTFUL = 0.13
+SUSPECT_THRESHOLD = 0.13
 
 
-def drifted(probability: float, age: datetime.timedelta) -> float:
+def decay(probability: float, age: datetime.timedelta) -> float:
     """Returns a suspicion as decayed after some time without evidence.
 
     Args:
@@ -66,7 +69,7 @@
     return _PRIOR + (probability - _PRIOR) * remaining
 
 
-class Suspicion:
+class SuspicionEstimator:
     """The suspicion of one target.
 
     Load: targets that pass their health checks and fail most requests for some
@@ -85,7 +88,7 @@
         self._signal_count = 0
 
     @property
-    def signals(self) -> int:
+    def signal_count(self) -> int:
         """Number of signals observed so far."""
         return self._signal_count
 
@@ -99,15 +102,17 @@
           pending_ratio: likelihood ratio of the fact that the target's pending
             requests have no response yet.
         """
-        completed = drifted(self._probability, now - self._updated_at)
+        completed = decay(self._probability, now - self._updated_at)
         return _posterior(completed, pending_ratio)
 
-    def take(self, signal: Signal, now: datetime.timedelta) -> None:
+    def observe(self, signal: HealthSignal, now: datetime.timedelta) -> None:
         """Updates the suspicion by the result of a request."""
         unhealthy, healthy = signal.value
-        self.weigh(unhealthy / healthy, now)
+        self.apply_likelihood_ratio(unhealthy / healthy, now)
 
-    def weigh(self, likelihood_ratio: float, now: datetime.timedelta) -> None:
+    def apply_likelihood_ratio(
+        self, likelihood_ratio: float, now: datetime.timedelta
+    ) -> None:
         """Updates the suspicion by evidence with the given likelihood ratio.
 
         Args:
@@ -122,4 +127,4 @@
 
 def _posterior(prior: float, likelihood_ratio: float) -> float:
     odds = prior * likelihood_ratio
-    return min(max(odds / (odds + 1 - prior), LEAST), MOST)
+    return min(max(odds / (odds + 1 - prior), MIN_SUSPICION), MAX_SUSPICION)
--- a/endivewind/decisions/splitting.py
+++ b/endivewind/decisions/traffic_splitting.py
@@ -9,14 +9,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Part:
+class WeightedService:
     """A service of a route and its weight; with 0 it gets no requests."""
 
     service: str
     weight: int
 
 
-class Splitter:
+class TrafficSplitter:
     """Gives each service its exact share, even over few requests.
 
     Load: a route that moves a tenth of its traffic to a new service, over
@@ -29,7 +29,9 @@
     """
 
     def __init__(
-        self, services: collections.abc.Sequence[Part], rng: random.Random
+        self,
+        services: collections.abc.Sequence[WeightedService],
+        rng: random.Random,
     ) -> None:
         self._services = [
             candidate for candidate in services if candidate.weight
@@ -43,7 +45,7 @@
         ]
         self._center_credits()
 
-    def next(self) -> str:
+    def next_service(self) -> str:
         """Returns the service for the next request."""
         best_index = 0
         for index, candidate in enumerate(self._services):
--- a/endivewind/exchange.py
+++ b/endivewind/exchange.py
@@ -57,11 +57,11 @@
 # A home refuses non-idempotent requests when its target's suspicion is above
 # this, unless the entry node has no better target. At 0.2 the expected loss is
 # a sixth of the request's value, more than the cost of a hop to another zone.
-ACCEPTED_RISK = 0.2
+DEFAULT_MAX_SUSPICION = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Glance:
+class TargetStatus:
     """A target's status, which its home node attaches to each response.
 
     Attributes:
@@ -106,18 +106,18 @@
     remaining: datetime.timedelta
     ticket: str = ""
     attempt: int = 0
-    aim: datetime.timedelta = datetime.timedelta()
-    level: int = 0
-    risk: float = ACCEPTED_RISK
-    repeat: bool = False
+    latency_objective: datetime.timedelta = datetime.timedelta()
+    queue_priority: int = 0
+    max_suspicion: float = DEFAULT_MAX_SUSPICION
+    may_be_duplicate: bool = False
 
     def for_attempt(
         self,
         number: int,
         remaining: datetime.timedelta,
-        risk: float | None = None,
+        max_suspicion: float | None = None,
         *,
-        repeat: bool | None = None,
+        may_be_duplicate: bool | None = None,
     ) -> "RequestHead":
         """Returns a copy of the request for one attempt."""
         return RequestHead(
@@ -130,10 +130,12 @@
             remaining,
             self.ticket,
             number,
-            self.aim,
-            self.level,
-            self.risk if risk is None else risk,
-            self.repeat if repeat is None else repeat,
+            self.latency_objective,
+            self.queue_priority,
+            self.max_suspicion if max_suspicion is None else max_suspicion,
+            self.may_be_duplicate
+            if may_be_duplicate is None
+            else may_be_duplicate,
         )
 
 
@@ -141,13 +143,13 @@
 class RequestBody:
     """A request's body: the buffered part, and a stream of the remainder."""
 
-    held: bytes = b""
-    rest: collections.abc.AsyncIterator[bytes] | None = None
+    buffered: bytes = b""
+    stream: collections.abc.AsyncIterator[bytes] | None = None
 
     @property
-    def replayable(self) -> bool:
+    def is_replayable(self) -> bool:
         """Whether the whole body is buffered, so that it can be resent."""
-        return self.rest is None
+        return self.stream is None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -170,10 +172,10 @@
     detail: str = ""
     retry_after: datetime.timedelta | None = None
     moved_to: str = ""
-    glance: Glance | None = None
+    target_status: TargetStatus | None = None
 
     @property
-    def is_not_run(self) -> bool:
+    def was_not_run(self) -> bool:
         """Whether no target has executed the request."""
         return self.outcome is Outcome.NOT_RUN
 
@@ -200,7 +202,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Answer:
+class Response:
     """A target's response.
 
     Attributes:
@@ -215,11 +217,11 @@
     status: int
     headers: HeaderList
     body: bytes = b""
-    rest: ByteStream | None = None
-    glance: Glance | None = None
+    stream: ByteStream | None = None
+    target_status: TargetStatus | None = None
 
 
-class TruncatedAnswerError(Exception):
+class TruncatedResponseError(Exception):
     """A response body ended before its announced end."""
 
 
@@ -231,18 +233,26 @@
     reason: Reason,
     detail: str = "",
     retry_after: datetime.timedelta | None = None,
-    glance: Glance | None = None,
+    target_status: TargetStatus | None = None,
 ) -> Refusal:
     """Returns a refusal of a request that no target has received."""
-    return Refusal(Outcome.NOT_RUN, reason, detail, retry_after, glance=glance)
+    return Refusal(
+        Outcome.NOT_RUN,
+        reason,
+        detail,
+        retry_after,
+        target_status=target_status,
+    )
 
 
-def broken_body(error: TruncatedBodyError) -> Refusal:
+def truncated_body(error: TruncatedBodyError) -> Refusal:
     """Returns a refusal where a target may have received part of the body."""
-    return unknown(Reason.BAD_REQUEST, f"request body truncated: {error}")
+    return outcome_unknown(
+        Reason.BAD_REQUEST, f"request body truncated: {error}"
+    )
 
 
-def unknown(
+def outcome_unknown(
     reason: Reason,
     detail: str = "",
     retry_after: datetime.timedelta | None = None,
--- a/endivewind/headers.py
+++ b/endivewind/headers.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Names:
+class HeaderNames:
     """Headers whose names depend on the platform.
 
     Attributes:
@@ -35,10 +35,10 @@
     expected_target: str = ""
     not_run: str = ""
     workspace: str = WORKSPACE
-    answer_mark: str = ""
+    response_marker: str = ""
 
 
-OWN = Names()
+DEFAULT_NAMES = HeaderNames()
 
 # RFC 9110, section 7.6.1: hop-by-hop headers, which a proxy does not forward.
 HOP_BY_HOP = frozenset(
--- a/endivewind/addresses.py
+++ b/endivewind/http_servers.py
@@ -23,7 +23,7 @@
         """Starts a server and returns the address that it is bound to."""
         await runner.setup()
         self._runners.append(runner)
-        host, port = split(address)
+        host, port = split_host_port(address)
         site = web.TCPSite(runner, host, port, ssl_context=context)
         await site.start()
         return f"{host}:{runner.addresses[0][1]}"
@@ -42,7 +42,7 @@
             await runner.cleanup()
 
 
-def split(address: str) -> tuple[str, int]:
+def split_host_port(address: str) -> tuple[str, int]:
     """Splits an address into host and port; strips brackets of IPv6 hosts."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
--- a/endivewind/node.py
+++ b/endivewind/node.py
@@ -11,10 +11,10 @@
 import aiohttp
 from aiohttp import web
 
-from endivewind import addresses
 from endivewind import clock as clocks
 from endivewind import exchange
 from endivewind import headers
+from endivewind import http_servers
 from endivewind import logs
 from endivewind import reading
 from endivewind import reports
@@ -34,7 +34,7 @@
 from endivewind.config import services
 from endivewind.config import settings
 from endivewind.config import store
-from endivewind.decisions import telling
+from endivewind.decisions import peer_updates
 from endivewind.durable import audit
 from endivewind.durable import auditor
 from endivewind.durable import membership
@@ -103,9 +103,9 @@
             clock, tls.link_context(config.nodes_tls), self._traffic
         )
         self._link_server = link_server.LinkServer(self, self._traffic)
-        self._teller = telling.Teller()
+        self._teller = peer_updates.TargetUpdatePublisher()
         self._tasks: list[asyncio.Task[None]] = []
-        self._http = addresses.HttpServers()
+        self._http = http_servers.HttpServers()
         self._services = services.ServiceSettings(self._configuration)
         self._proof = freshness.Freshness(
             lambda: self._configuration.document_version,
@@ -194,7 +194,7 @@
             config.name, self._incarnation, config.region, config.zone
         )
         self._targets = registry.TargetRegistry(
-            identity, self._clock, self._fleet.claim
+            identity, self._clock, self._fleet.find_target
         )
 
     def _build_requests(self) -> None:
@@ -258,7 +258,7 @@
 
     def _is_proved(self) -> bool:
         """Whether the configuration in force was the newest lately."""
-        return self._proof.is_proved(self._clock.awake_or_asleep())
+        return self._proof.is_proved(self._clock.boot_time())
 
     def _build_configuration(self) -> None:
         """What keeps configuration in force, and the audit trail."""
@@ -299,8 +299,8 @@
         return self._settings.interface is settings.Interface.PLATFORM
 
     @property
-    def _header_names(self) -> headers.Names:
-        return names.HEADERS if self._on_platform else headers.OWN
+    def _header_names(self) -> headers.HeaderNames:
+        return names.HEADERS if self._on_platform else headers.DEFAULT_NAMES
 
     def _dialect(self) -> calls.Dialect:
         beside = self._settings.beside
@@ -472,7 +472,7 @@
         self._gossip.frame(frame)
 
     async def _bind_links(self) -> str:
-        host, port = addresses.split(self._settings.nodes)
+        host, port = http_servers.split_host_port(self._settings.nodes)
         context = tls.server_context(self._settings.nodes_tls)
         return await self._link_server.bind(host, port, context)
 
@@ -613,20 +613,20 @@
         """Lets this entry and the others of the zone know of sick targets."""
         now = self._clock.monotonic()
         states = [item.state(now) for item in self._targets.held()]
-        conditions = self._teller.due(states, now)
+        conditions = self._teller.due_updates(states, now)
         for condition in conditions:
             self._placement.hear(condition)
         tallies = self._gateway.budgets.due()
         ways = self._gateway.origins.due()
-        self._gossip.tell(telling.News(conditions, tallies, ways))
+        self._gossip.tell(peer_updates.PeerUpdate(conditions, tallies, ways))
 
-    def _hear(self, sender: str, news: telling.News) -> None:
+    def _hear(self, sender: str, news: peer_updates.PeerUpdate) -> None:
         """Takes what another node of the zone tells."""
-        for condition in news.conditions:
+        for condition in news.target_updates:
             self._placement.hear(condition)
-        for tally in news.tallies:
+        for tally in news.retry_usages:
             self._gateway.budgets.hear(sender, tally)
-        for way in news.ways:
+        for way in news.ingress_routes:
             self._gateway.origins.hear(way)
 
     def _not_ready(self) -> str | None:
--- a/endivewind/nodes/changes.py
+++ b/endivewind/nodes/changes.py
@@ -33,7 +33,7 @@
     target = target_out(change.record)
     target.home = change.record.home
     target.home_incarnation = change.record.home_incarnation
-    if change.gone:
+    if change.is_removal:
         target.gone = True
     return write(codec.messages.Change(target=target))
 
--- a/endivewind/nodes/chunks.py
+++ b/endivewind/nodes/chunks.py
@@ -22,7 +22,7 @@
 def _write_chunk(
     writer: asyncio.StreamWriter, number: int, data: bytes, *, last: bool
 ) -> int:
-    chunk = codec.messages.Chunk(exchange=number, data=data, last=last)
-    encoded = codec.encode(codec.messages.Frame(chunk=chunk))
+    chunk = codec.messages.BodyChunk(exchange=number, data=data, last=last)
+    encoded = codec.encode_frame(codec.messages.Frame(chunk=chunk))
     writer.write(encoded)
     return len(encoded)
--- a/endivewind/nodes/codec.py
+++ b/endivewind/nodes/codec.py
@@ -28,7 +28,7 @@
     """A frame is too long or can't be decoded."""
 
 
-def encode(frame: Any) -> bytes:
+def encode_frame(frame: Any) -> bytes:
     """Encodes a frame: its length in 4 bytes, then thrift's binary form."""
     buffer = transport.TCyMemoryBuffer()
     protocol.TCyBinaryProtocol(buffer).write_struct(frame)
@@ -36,7 +36,7 @@
     return _LENGTH.pack(len(payload)) + payload
 
 
-def decode(payload: bytes) -> Any:
+def decode_frame(payload: bytes) -> Any:
     """Decodes a frame from a payload without its length.
 
     Raises:
@@ -63,28 +63,30 @@
     (length,) = _LENGTH.unpack(await reader.readexactly(_LENGTH.size))
     if length > MAX_FRAME_BYTES:
         raise FrameError(f"frame too long: {length} bytes")
-    return decode(await reader.readexactly(length))
+    return decode_frame(await reader.readexactly(length))
 
 
-def glance_out(status: exchange.Glance | None) -> Any:
+def encode_target_status(status: exchange.TargetStatus | None) -> Any:
     """Converts a target status to a thrift struct."""
     if status is None:
         return None
     return messages.TargetStatus(status.load, round(100 * status.suspicion))
 
 
-def glance_in(status: Any) -> exchange.Glance | None:
+def decode_target_status(status: Any) -> exchange.TargetStatus | None:
     """Converts a thrift struct to a target status."""
     if status is None:
         return None
-    return exchange.Glance(status.load or 0, (status.suspicion or 0) / 100)
+    return exchange.TargetStatus(
+        status.load or 0, (status.suspicion or 0) / 100
+    )
 
 
-def headers_out(headers: exchange.HeaderList) -> list[Any]:
+def encode_headers(headers: exchange.HeaderList) -> list[Any]:
     """Converts headers to thrift structs."""
     return [messages.Header(name, value) for name, value in headers]
 
 
-def headers_in(headers: list[Any]) -> exchange.HeaderList:
+def decode_headers(headers: list[Any]) -> exchange.HeaderList:
     """Converts thrift structs to headers."""
     return tuple((item.name, item.value) for item in headers)
--- a/endivewind/nodes/datagrams.py
+++ b/endivewind/nodes/datagrams.py
@@ -9,8 +9,8 @@
 import zlib
 
 from endivewind import exchange
+from endivewind.decisions import peer_updates
 from endivewind.decisions import retries
-from endivewind.decisions import telling
 from endivewind.nodes import changes
 from endivewind.nodes import codec
 from endivewind.nodes import digests
@@ -45,12 +45,15 @@
         buckets=list(datagram.buckets) or None,
         compared=list(datagram.compared) or None,
         versions=[_version_out(item) for item in datagram.versions] or None,
-        conditions=[_condition_out(item) for item in datagram.news.conditions]
+        conditions=[
+            _condition_out(item) for item in datagram.news.target_updates
+        ]
+        or None,
+        tallies=[_tally_out(item) for item in datagram.news.retry_usages]
         or None,
-        tallies=[_tally_out(item) for item in datagram.news.tallies] or None,
         ways=[
-            codec.messages.Way(item.service, item.prefix)
-            for item in datagram.news.ways
+            codec.messages.IngressRoute(item.service, item.prefix)
+            for item in datagram.news.ingress_routes
         ]
         or None,
     )
@@ -86,7 +89,7 @@
             buckets=tuple(struct.buckets or ()),
             compared=tuple(struct.compared or ()),
             versions=tuple(_version_in(item) for item in struct.versions or ()),
-            news=telling.News(
+            news=peer_updates.PeerUpdate(
                 tuple(_condition_in(item) for item in struct.conditions or ()),
                 tuple(_tally_in(item) for item in struct.tallies or ()),
                 tuple(_way_in(item) for item in struct.ways or ()),
@@ -149,43 +152,43 @@
     )
 
 
-def _condition_out(condition: telling.Condition) -> Any:
-    return codec.messages.Condition(
+def _condition_out(condition: peer_updates.TargetUpdate) -> Any:
+    return codec.messages.TargetUpdate(
         target=condition.target,
-        load=condition.glance.load,
-        suspicion=round(_THOUSAND * condition.glance.suspicion),
+        load=condition.status.load,
+        suspicion=round(_THOUSAND * condition.status.suspicion),
     )
 
 
-def _condition_in(condition: Any) -> telling.Condition:
+def _condition_in(condition: Any) -> peer_updates.TargetUpdate:
     if not condition.target:
         raise ValueError("a condition without its target")
     suspicion = min(max(0, condition.suspicion or 0), _THOUSAND)
     load = max(0, condition.load or 0)
-    glance = exchange.Glance(load, suspicion / _THOUSAND)
-    return telling.Condition(condition.target, glance)
+    glance = exchange.TargetStatus(load, suspicion / _THOUSAND)
+    return peer_updates.TargetUpdate(condition.target, glance)
 
 
-def _tally_out(tally: telling.Tally) -> Any:
-    return codec.messages.Tally(
+def _tally_out(tally: peer_updates.RetryUsage) -> Any:
+    return codec.messages.RetryUsage(
         service_name=tally.service,
-        requests=tally.count.requests,
-        retries=tally.count.retries,
+        requests=tally.counts.requests,
+        retries=tally.counts.retries,
     )
 
 
-def _tally_in(tally: Any) -> telling.Tally:
+def _tally_in(tally: Any) -> peer_updates.RetryUsage:
     if not tally.service_name:
         raise ValueError("a tally without its service")
     requests = max(0, tally.requests or 0)
-    count = retries.Count(requests, max(0, tally.retries or 0))
-    return telling.Tally(tally.service_name, count)
+    count = retries.RequestCounts(requests, max(0, tally.retries or 0))
+    return peer_updates.RetryUsage(tally.service_name, count)
 
 
-def _way_in(way: Any) -> telling.Way:
+def _way_in(way: Any) -> peer_updates.IngressRoute:
     if not way.service_name:
         raise ValueError("a way without its service")
-    return telling.Way(way.service_name, way.prefix or "")
+    return peer_updates.IngressRoute(way.service_name, way.prefix or "")
 
 
 def _kind(datagram: gossip_messages.Datagram) -> traffic.Kind:
--- a/endivewind/nodes/gossip.py
+++ b/endivewind/nodes/gossip.py
@@ -10,7 +10,7 @@
 import random
 
 from endivewind import clock as clocks
-from endivewind.decisions import telling
+from endivewind.decisions import peer_updates
 from endivewind.nodes import changes
 from endivewind.nodes import codec
 from endivewind.nodes import gossip_messages as messages
@@ -122,7 +122,7 @@
         self._run(self._members.leave(), None)
         return self.push()
 
-    def tell(self, news: telling.News) -> list[messages.Send]:
+    def tell(self, news: peer_updates.PeerUpdate) -> list[messages.Send]:
         """Tells the nodes of this zone, and what they share to the region.
 
         Ways go to one node of the zone, and from there to the next.
@@ -132,17 +132,19 @@
         region = [item for item in peers if item.node.region == me.region]
         zone = [item for item in region if item.node.zone == me.zone]
         sends = []
-        if news.ways:
-            ways = telling.News(ways=news.ways)
+        if news.ingress_routes:
+            ways = peer_updates.PeerUpdate(ingress_routes=news.ingress_routes)
             sends = [self._news(item, ways) for item in self._some(zone, 1)]
-            news = dataclasses.replace(news, ways=())
+            news = dataclasses.replace(news, ingress_routes=())
         if news:
             sends.extend(
                 self._news(item, news)
-                for item in self._some(zone, telling.HEARERS)
+                for item in self._some(zone, peer_updates.MAX_PEERS)
             )
-        if news.tallies and telling.shares_region(len(region)):
-            tallies = telling.News(tallies=news.tallies)
+        if news.retry_usages and peer_updates.shares_retries_in_region(
+            len(region)
+        ):
+            tallies = peer_updates.PeerUpdate(retry_usages=news.retry_usages)
             sends.extend(
                 self._news(item, tallies)
                 for item in region
@@ -151,7 +153,7 @@
         return sends
 
     def _news(
-        self, to: membership.MemberRecord, news: telling.News
+        self, to: membership.MemberRecord, news: peer_updates.PeerUpdate
     ) -> messages.Send:
         me = self._members.me.node.name
         return messages.Send(
@@ -262,13 +264,13 @@
             return
         self._queue.put(_target_key(record), payload)
         self._repair.refresh(record.home)
-        if not change.gone:
+        if not change.is_removal:
             self._heard.append(record)
 
     def _take_home(self, home: view.HomeState) -> None:
         if home.home == self._members.me.node.name:
             return
-        taken = self._view.put_home(
+        taken = self._view.put_home_state(
             home.home,
             home.version.incarnation,
             home.version.sequence,
--- a/endivewind/nodes/gossip_messages.py
+++ b/endivewind/nodes/gossip_messages.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from endivewind.decisions import telling
+from endivewind.decisions import peer_updates
 from endivewind.nodes import digests
 from endivewind.nodes import membership
 from endivewind.nodes import view
@@ -34,7 +34,7 @@
     buckets: tuple[int, ...] = ()
     compared: tuple[int, ...] = ()
     versions: tuple[digests.Version, ...] = ()
-    news: telling.News = telling.NO_NEWS
+    news: peer_updates.PeerUpdate = peer_updates.EMPTY_UPDATE
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/endivewind/nodes/link_server.py
+++ b/endivewind/nodes/link_server.py
@@ -172,13 +172,13 @@
                     await self._answer(frame, writer)
                 elif frame.heartbeat:
                     # A question whether this end is there.
-                    writer.write(codec.encode(frame))
+                    writer.write(codec.encode_frame(frame))
                 else:
                     raise codec.FrameError("a frame out of turn")
         except (EOFError, OSError, asyncio.CancelledError):
             # The peer has closed the link, or this node is stopping.
             return
-        except (codec.FrameError, exchange.TruncatedAnswerError) as error:
+        except (codec.FrameError, exchange.TruncatedResponseError) as error:
             log.warning("link closed: %s", error)
         finally:
             writer.close()
@@ -187,7 +187,7 @@
         self, question: Any, writer: asyncio.StreamWriter
     ) -> None:
         """Answers a question on the link that it came on."""
-        data = codec.encode(await self._home.answer(question))
+        data = codec.encode_frame(await self._home.answer(question))
         asker = writer.get_extra_info("peername")
         if asker is not None:
             kind = traffic.Kind.QUESTIONS
@@ -218,7 +218,7 @@
     ) -> None:
         body = exchange.RequestBody(forward.body)
         if not forward.body_complete:
-            body.rest = _chunks_in(reader, forward.exchange)
+            body.stream = _chunks_in(reader, forward.exchange)
         result = await self._run(forward, body)
         match result:
             case expression.Result(tag="ok", ok=answer):
@@ -229,10 +229,10 @@
         caller = writer.get_extra_info("peername")
         if caller is not None:
             self._meter.sent(traffic.Kind.ANSWERS, caller[0], size)
-        if body.rest is not None:
+        if body.stream is not None:
             # Chunks that nobody read would be taken for the next exchange.
-            async with contextlib.aclosing(body.rest):  # type: ignore[type-var]
-                async for _ in body.rest:
+            async with contextlib.aclosing(body.stream):  # type: ignore[type-var]
+                async for _ in body.stream:
                     pass
 
     async def _run(
@@ -267,37 +267,37 @@
         request_id=forward.request_id,
         method=forward.method,
         path=forward.path,
-        headers=codec.headers_in(forward.headers),
+        headers=codec.decode_headers(forward.headers),
         service=forward.service_name,
         workspace=forward.workspace,
         remaining=datetime.timedelta(milliseconds=forward.remaining_ms),
         ticket=forward.ticket or "",
         attempt=forward.attempt or 0,
-        aim=datetime.timedelta(milliseconds=forward.aim_ms or 0),
-        level=forward.level or 0,
-        risk=(forward.risk or 0) / 100,
-        repeat=bool(forward.repeat),
+        latency_objective=datetime.timedelta(milliseconds=forward.aim_ms or 0),
+        queue_priority=forward.level or 0,
+        max_suspicion=(forward.risk or 0) / 100,
+        may_be_duplicate=bool(forward.repeat),
     )
 
 
 async def _send_answer(
-    writer: asyncio.StreamWriter, number: int, answer: exchange.Answer
+    writer: asyncio.StreamWriter, number: int, answer: exchange.Response
 ) -> int:
     """Sends an answer; returns its bytes."""
-    head = codec.messages.Answer(
+    head = codec.messages.Response(
         exchange=number,
         status=answer.status,
-        headers=codec.headers_out(answer.headers),
+        headers=codec.encode_headers(answer.headers),
         body=answer.body,
-        body_complete=answer.rest is None,
-        glance=codec.glance_out(answer.glance),
+        body_complete=answer.stream is None,
+        glance=codec.encode_target_status(answer.target_status),
     )
-    data = codec.encode(codec.messages.Frame(answer=head))
+    data = codec.encode_frame(codec.messages.Frame(answer=head))
     writer.write(data)
-    if answer.rest is None:
+    if answer.stream is None:
         return len(data)
-    async with contextlib.aclosing(answer.rest):
-        return len(data) + await chunks.send(writer, number, answer.rest)
+    async with contextlib.aclosing(answer.stream):
+        return len(data) + await chunks.send(writer, number, answer.stream)
 
 
 def _send_refusal(
@@ -312,9 +312,9 @@
         detail=refusal.detail,
         retry_after_ms=-1 if wait is None else int(wait.total_seconds() * 1000),
         moved_to=refusal.moved_to or None,
-        glance=codec.glance_out(refusal.glance),
+        glance=codec.encode_target_status(refusal.target_status),
     )
-    data = codec.encode(codec.messages.Frame(refusal=message))
+    data = codec.encode_frame(codec.messages.Frame(refusal=message))
     writer.write(data)
     return len(data)
 
@@ -343,5 +343,5 @@
     def _beat(self) -> None:
         # Bytes that wait to be sent say as much as a heartbeat would.
         if not self._writer.transport.get_write_buffer_size():
-            self._writer.write(codec.encode(self._frame))
+            self._writer.write(codec.encode_frame(self._frame))
         self._schedule()
--- a/endivewind/nodes/links.py
+++ b/endivewind/nodes/links.py
@@ -42,7 +42,7 @@
 DEADLINE_GRACE = datetime.timedelta(milliseconds=500)
 ISSUER_LOST_RETRY = datetime.timedelta(seconds=1)
 
-AnswerResult = expression.Result[exchange.Answer, exchange.Refusal]
+AnswerResult = expression.Result[exchange.Response, exchange.Refusal]
 
 
 @dataclasses.dataclass(slots=True)
@@ -144,7 +144,7 @@
             return expression.Error(failures.lost(detail))
         except exchange.TruncatedBodyError as error:
             link.close()
-            return expression.Error(exchange.broken_body(error))
+            return expression.Error(exchange.truncated_body(error))
         except BaseException:
             link.close()
             raise
@@ -175,7 +175,7 @@
         try:
             if link is None:
                 link = await self._connect(address)
-            data = codec.encode(frame)
+            data = codec.encode_frame(frame)
             self._meter.sent(_kind(frame), address, len(data))
             link.writer.write(data)
             async with asyncio.timeout(SILENCE_LIMIT.total_seconds()):
@@ -201,7 +201,7 @@
             async with asyncio.timeout(limit.total_seconds()):
                 if link is None:
                     link = await self._connect(address)
-                data = codec.encode(question)
+                data = codec.encode_frame(question)
                 self._meter.sent(traffic.Kind.QUESTIONS, address, len(data))
                 link.writer.write(data)
                 answer = await _next_frame(link)
@@ -275,18 +275,18 @@
         answer = frame.answer
         if answer is None or answer.exchange != number:
             raise codec.FrameError("an answer to another exchange")
-        headers = codec.headers_in(answer.headers)
-        glance = codec.glance_in(answer.glance)
+        headers = codec.decode_headers(answer.headers)
+        glance = codec.decode_target_status(answer.glance)
         if answer.body_complete:
             self._give_back(address, link)
             return expression.Ok(
-                exchange.Answer(
+                exchange.Response(
                     answer.status, headers, answer.body, None, glance
                 )
             )
         rest = _LinkStream(self, address, link, number)
         return expression.Ok(
-            exchange.Answer(answer.status, headers, answer.body, rest, glance)
+            exchange.Response(answer.status, headers, answer.body, rest, glance)
         )
 
 
@@ -330,7 +330,7 @@
         except (OSError, EOFError, codec.FrameError) as error:
             await self.aclose()
             detail = str(error) or "the link is silent"
-            raise exchange.TruncatedAnswerError(detail) from error
+            raise exchange.TruncatedResponseError(detail) from error
         return chunk
 
 
@@ -343,14 +343,14 @@
 
 
 def _issuer_lost(detail: str) -> exchange.Refusal:
-    return exchange.unknown(
+    return exchange.outcome_unknown(
         exchange.Reason.ISSUER_LOST, detail, ISSUER_LOST_RETRY
     )
 
 
 HOME_FAILURES = Failures(
     lambda detail: exchange.not_run(exchange.Reason.HOME_UNREACHABLE, detail),
-    lambda detail: exchange.unknown(exchange.Reason.HOME_LOST, detail),
+    lambda detail: exchange.outcome_unknown(exchange.Reason.HOME_LOST, detail),
 )
 ISSUER_FAILURES = Failures(_issuer_lost, _issuer_lost)
 
@@ -358,7 +358,9 @@
 async def _answers(link: _Link, number: int) -> bool:
     """Whether the other end answers now; a link that does not is closed."""
     question = codec.messages.Heartbeat(exchange=number)
-    link.writer.write(codec.encode(codec.messages.Frame(heartbeat=question)))
+    link.writer.write(
+        codec.encode_frame(codec.messages.Frame(heartbeat=question))
+    )
     try:
         async with asyncio.timeout(ANSWER_LIMIT.total_seconds()):
             while True:
@@ -396,25 +398,25 @@
 
 
 def _forward_out(head: exchange.RequestHead, body: exchange.RequestBody) -> Any:
-    return codec.messages.Forward(
+    return codec.messages.ForwardedRequest(
         request_id=head.request_id,
         method=head.method,
         path=head.path,
-        headers=codec.headers_out(head.headers),
+        headers=codec.encode_headers(head.headers),
         service_name=head.service,
         target="",
         remaining_ms=int(head.remaining.total_seconds() * 1000),
         workspace=head.workspace,
-        body=body.held,
-        body_complete=body.replayable,
+        body=body.buffered,
+        body_complete=body.is_replayable,
         ticket=head.ticket,
         attempt=head.attempt,
         to_issuer=False,
         priority="",
-        aim_ms=head.aim // datetime.timedelta(milliseconds=1),
-        level=head.level,
-        risk=round(100 * head.risk),
-        repeat=head.repeat,
+        aim_ms=head.latency_objective // datetime.timedelta(milliseconds=1),
+        level=head.queue_priority,
+        risk=round(100 * head.max_suspicion),
+        repeat=head.may_be_duplicate,
     )
 
 
@@ -422,10 +424,10 @@
     link: _Link, forward: Any, body: exchange.RequestBody
 ) -> int:
     """Sends a request; returns the bytes of its first frame."""
-    data = codec.encode(codec.messages.Frame(forward=forward))
+    data = codec.encode_frame(codec.messages.Frame(forward=forward))
     link.writer.write(data)
-    if body.rest is not None:
-        await chunks.send(link.writer, forward.exchange, body.rest)
+    if body.stream is not None:
+        await chunks.send(link.writer, forward.exchange, body.stream)
     await link.writer.drain()
     return len(data)
 
@@ -445,5 +447,5 @@
         refusal.detail,
         None if wait < 0 else datetime.timedelta(milliseconds=wait),
         refusal.moved_to or "",
-        codec.glance_in(refusal.glance),
+        codec.decode_target_status(refusal.glance),
     )
--- a/endivewind/nodes/messages.thrift
+++ b/endivewind/nodes/messages.thrift
@@ -8,7 +8,7 @@
 
 // The head of a request that is forwarded to a home node. If body_complete is
 // set, body is the whole body.
-struct Forward {
+struct ForwardedRequest {
   1: i64 exchange
   2: string request_id
   3: string method
@@ -43,14 +43,14 @@
 }
 
 // A part of a request or response body.
-struct Chunk {
+struct BodyChunk {
   1: i64 exchange
   2: binary data
   3: bool last
 }
 
 // The head of a response. If body_complete is set, body is the whole body.
-struct Answer {
+struct Response {
   1: i64 exchange
   2: i32 status
   3: list<Header> headers
@@ -118,21 +118,21 @@
 
 // The status of a target that its home node pushes to the entry nodes of its
 // zone. suspicion: probability that the target is unhealthy, in thousandths.
-struct Condition {
+struct TargetUpdate {
   1: string target
   2: i32 load
   3: i32 suspicion
 }
 
 // An entry node's use of a service's retry budget in the current window.
-struct Tally {
+struct RetryUsage {
   1: string service_name
   2: i32 requests
   3: i32 retries
 }
 
 // A route by which callers' requests enter the fleet, not only targets' calls.
-struct Way {
+struct IngressRoute {
   1: string service_name
   2: string prefix
 }
@@ -148,9 +148,9 @@
   7: list<i64> buckets
   8: list<Version> versions
   9: list<i32> compared
-  10: list<Condition> conditions
-  11: list<Tally> tallies
-  12: list<Way> ways
+  10: list<TargetUpdate> conditions
+  11: list<RetryUsage> tallies
+  12: list<IngressRoute> ways
 }
 
 // The whole state of one home: targets that are not listed no longer exist.
@@ -163,7 +163,7 @@
 
 // A target that has announced its departure to its home, and the highest of
 // its incarnations that did so.
-struct Left {
+struct DepartedTarget {
   1: string target
   2: i64 incarnation
 }
@@ -176,7 +176,7 @@
   2: list<Member> members
   3: list<HomeState> homes
   4: bool last
-  5: list<Left> left
+  5: list<DepartedTarget> left
 }
 
 // Requests the records of the named nodes, or of all if names is absent.
@@ -263,9 +263,9 @@
 
 // A message on a TCP link. Exactly one field is set.
 struct Frame {
-  1: optional Forward forward
-  2: optional Chunk chunk
-  3: optional Answer answer
+  1: optional ForwardedRequest forward
+  2: optional BodyChunk chunk
+  3: optional Response answer
   4: optional Refusal refusal
   // 5 is reserved: in it, earlier releases announced targets to every node.
   6: optional Heartbeat heartbeat
--- a/endivewind/nodes/proofs.py
+++ b/endivewind/nodes/proofs.py
@@ -64,13 +64,13 @@
         self._is_settled = is_settled
         self._clock = clock
         self._rng = rng
-        self._started = clock.awake_or_asleep()
+        self._started = clock.boot_time()
         self._stood_in: datetime.timedelta | None = None
         self._parent_helps = True
 
     def answer(self) -> Any:
         """What this node answers to another's question, as a frame."""
-        found = self._proof.answer(self._clock.awake_or_asleep())
+        found = self._proof.answer(self._clock.boot_time())
         state = codec.messages.FreshnessState()
         if found is not None:
             state.version = found.version
@@ -109,7 +109,7 @@
     def _is_turn(self, bound: datetime.timedelta) -> bool:
         if not self._is_settled():
             return False
-        now = self._clock.awake_or_asleep()
+        now = self._clock.boot_time()
         number = self._rank().number
         age = self._proof.age(now)
         if age is None and number == 0:
@@ -131,7 +131,7 @@
         bound = self._proof.bound
         if bound is None:
             return _IDLE
-        if self._proof.answer(self._clock.awake_or_asleep()) is None:
+        if self._proof.answer(self._clock.boot_time()) is None:
             return proving.FIRST_PERIOD
         return proving.ASK_PERIOD * bound * self._rng.uniform(0.8, 1.0)
 
@@ -155,11 +155,11 @@
 
     def _is_older(self, limit: datetime.timedelta) -> bool:
         """Whether this node's proof is older than that, or there is none."""
-        age = self._proof.age(self._clock.awake_or_asleep())
+        age = self._proof.age(self._clock.boot_time())
         return age is None or age > limit
 
     async def _ask(self, peer: view.NodeRecord) -> None:
-        asked = self._clock.awake_or_asleep()
+        asked = self._clock.boot_time()
         question = codec.messages.Frame(
             freshness_ask=codec.messages.FreshnessAsk()
         )
--- a/endivewind/nodes/quotas.py
+++ b/endivewind/nodes/quotas.py
@@ -127,7 +127,7 @@
         self._tolerance = tolerance
         self._keepers = Keepers(fleet, clock)
         self._started = clock.monotonic()
-        self._shares: dict[str, quotas.Share] = {}
+        self._shares: dict[str, quotas.TokenBucket] = {}
         self._borrowing: dict[str, asyncio.Task[None]] = {}
         self._paused: dict[str, datetime.timedelta] = {}
 
@@ -155,7 +155,7 @@
         else:
             found = await self._give(workspace, count)
         grant = codec.messages.QuotaGrant(
-            count=found.count, wait_ms=-(-found.wait // _MILLISECOND)
+            count=found.count, wait_ms=-(-found.retry_after // _MILLISECOND)
         )
         return codec.messages.Frame(quota_grant=grant)
 
@@ -179,7 +179,7 @@
             return quotas.Grant(0)
         return quotas.Grant(share.lend(count, self._clock.monotonic()))
 
-    def _share(self, workspace: str) -> quotas.Share | None:
+    def _share(self, workspace: str) -> quotas.TokenBucket | None:
         """This node's share of a workspace's quota; None without a quota."""
         quota = self._quota_of(workspace)
         if quota is None:
@@ -188,26 +188,26 @@
         now = self._clock.monotonic()
         ordered = self._keepers.ordered(workspace, self._me.zone)
         keeps = not ordered or ordered[0].name == self._me.name
-        limit = quotas.Limit.of_zone(
+        limit = quotas.Limit.for_zone(
             quota.rate, quota.burst, self._zones(), self._tolerance
         )
-        limit = limit if keeps else limit.of_deputy()
+        limit = limit if keeps else limit.for_standby()
         share = self._shares.get(workspace)
-        if share is not None and (keeps or now - share.used < IDLE_LIFE):
+        if share is not None and (keeps or now - share.last_used < IDLE_LIFE):
             share.configure(limit, now)
             return share
         held = quotas.START_SHARE * limit.capacity
         if keeps:
             since = self._keepers.since(workspace, self._me) or self._started
             held += limit.rate * (now - since).total_seconds()
-        share = self._shares[workspace] = quotas.Share(limit, held, now)
+        share = self._shares[workspace] = quotas.TokenBucket(limit, held, now)
         return share
 
     def _zones(self) -> int:
         return self._zone_count or max(1, len(self._keepers.zones()))
 
     def _borrow(
-        self, workspace: str, share: quotas.Share
+        self, workspace: str, share: quotas.TokenBucket
     ) -> asyncio.Task[None] | None:
         """Borrows from other zones if the share is low; one round at a time."""
         running = self._borrowing.get(workspace)
@@ -223,7 +223,9 @@
         task.add_done_callback(lambda _: self._borrowing.pop(workspace, None))
         return task
 
-    async def _borrow_round(self, workspace: str, share: quotas.Share) -> None:
+    async def _borrow_round(
+        self, workspace: str, share: quotas.TokenBucket
+    ) -> None:
         """Asks the zones in turn, near ones first, until the share is full."""
         got = 0
         for lender in self._lenders(workspace):
--- a/endivewind/nodes/repair.py
+++ b/endivewind/nodes/repair.py
@@ -83,7 +83,7 @@
             part = names[start : start + HOMES_PER_FRAME]
             last = start + HOMES_PER_FRAME >= len(names)
             state = self._state(part, last=last and joined)
-            left = tuple(self._view.left(pull.sender).items())
+            left = tuple(self._view.departed_targets(pull.sender).items())
             yield dataclasses.replace(state, left=left) if last else state
 
     def compare(
--- a/endivewind/nodes/service.py
+++ b/endivewind/nodes/service.py
@@ -11,7 +11,7 @@
 from endivewind import clock as clocks
 from endivewind import logs
 from endivewind.config import settings
-from endivewind.decisions import telling
+from endivewind.decisions import peer_updates
 from endivewind.durable import membership as directories
 from endivewind.nodes import codec
 from endivewind.nodes import datagrams
@@ -36,7 +36,7 @@
 
 
 # Takes news of the node that is named.
-Hear = collections.abc.Callable[[str, telling.News], None]
+Hear = collections.abc.Callable[[str, peer_updates.PeerUpdate], None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -159,7 +159,7 @@
         if changes:
             self._dispatch(self._core.push())
 
-    def tell(self, news: telling.News) -> None:
+    def tell(self, news: peer_updates.PeerUpdate) -> None:
         """Tells the nodes of this zone."""
         if news:
             self._dispatch(self._core.tell(news))
--- a/endivewind/nodes/states.py
+++ b/endivewind/nodes/states.py
@@ -24,7 +24,8 @@
         members=[changes.member_out(item) for item in message.members],
         homes=[_home_out(item) for item in message.homes],
         last=message.last,
-        left=[codec.messages.Left(*item) for item in message.left] or None,
+        left=[codec.messages.DepartedTarget(*item) for item in message.left]
+        or None,
     )
     return codec.messages.Frame(fleet_state=state)
 
--- a/endivewind/nodes/view.py
+++ b/endivewind/nodes/view.py
@@ -13,10 +13,10 @@
 
 # Changes of a home that are kept while earlier ones are missing. Beyond this
 # many, fetching the home's whole state is cheaper.
-MAX_AHEAD = 256
+MAX_PENDING_CHANGES = 256
 # Departed targets remembered for each home, until it has restarted. A restart
 # takes seconds and a home has few targets, so a few entries suffice.
-MAX_LEFT = 8
+MAX_DEPARTED_TARGETS = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -102,7 +102,7 @@
         self._revisions: collections.Counter[str] = collections.Counter()
         self._departed: dict[str, dict[str, int]] = {}
 
-    def left(self, home: str) -> collections.abc.Mapping[str, int]:
+    def departed_targets(self, home: str) -> collections.abc.Mapping[str, int]:
         """Returns the incarnations of a home's departed targets by id.
 
         Failure: a home is killed after it has acknowledged that its target
@@ -117,7 +117,7 @@
         known = self._departed.setdefault(record.home, {})
         known.pop(record.id, None)
         known[record.id] = record.target_incarnation
-        if len(known) > MAX_LEFT:
+        if len(known) > MAX_DEPARTED_TARGETS:
             del known[next(iter(known))]
 
     @property
@@ -144,7 +144,7 @@
         """Number of known targets."""
         return len(self._announcements)
 
-    def claim(self, target: str) -> records.TargetRecord | None:
+    def find_target(self, target: str) -> records.TargetRecord | None:
         """Returns a target's latest announcement by a live home, if any."""
         return self._announcements.get(target)
 
@@ -222,7 +222,7 @@
         if home is not None:
             self._unindex_home(home)
 
-    def put_home(
+    def put_home_state(
         self,
         home: str,
         incarnation: int,
@@ -286,7 +286,7 @@
             return False
         if record.sequence <= home.sequence or record.sequence in home.pending:
             return False
-        if len(home.pending) >= MAX_AHEAD:
+        if len(home.pending) >= MAX_PENDING_CHANGES:
             return False
         is_superseded = any(
             number > record.sequence and name == record.id
@@ -299,7 +299,7 @@
         known = home.records.pop(record.id, None)
         if known is not None:
             self._unindex_record(known)
-        if change.gone:
+        if change.is_removal:
             self._remember_departure(record)
         else:
             home.records[record.id] = record
@@ -319,7 +319,7 @@
         record = self._with_location(record, node)
         other = self._announcements.get(record.id)
         if other is not None and other.home != record.home:
-            if records.claim_order(other) > records.claim_order(record):
+            if records.precedence(other) > records.precedence(record):
                 return
             self._remove_usable(other)
         self._announcements[record.id] = record
--- a/endivewind/platform/names.py
+++ b/endivewind/platform/names.py
@@ -19,12 +19,12 @@
 
 # What callers and targets of the platform say in HTTP headers, by the
 # project's own names of these things.
-HEADERS = headers.Names(
+HEADERS = headers.HeaderNames(
     request_id="X-Attempt-Id",
     timeout_ms="X-Deadline-Ms",
     caller_service="X-Caller-Service",
     expected_target="X-Expect-Instance",
     not_run="X-Not-Executed",
     workspace="X-Tenant-Id",
-    answer_mark="X-Response-Stamp",
+    response_marker="X-Response-Stamp",
 )
--- a/endivewind/reading.py
+++ b/endivewind/reading.py
@@ -119,7 +119,7 @@
     async def _is_unchanged(self) -> bool:
         if self._newest is None:
             return False
-        began = self._clock.awake_or_asleep()
+        began = self._clock.boot_time()
         found = await self._platform.revision(names.CONFIGURATION_KIND)
         if found.is_error() or found.ok != self._newest.revision:
             return False
@@ -129,7 +129,7 @@
     async def _read_whole(
         self,
     ) -> expression.Result[messages.Listing, messages.PlatformError]:
-        began = self._clock.awake_or_asleep()
+        began = self._clock.boot_time()
         listed = await self._platform.list(names.CONFIGURATION_KIND)
         if listed.is_error():
             log.warning("platform: %s", listed.error)
--- a/endivewind/standins/virtual.py
+++ b/endivewind/standins/virtual.py
@@ -53,6 +53,6 @@
         """Virtual time since the loop's start."""
         return datetime.timedelta(seconds=self._loop.time())
 
-    def awake_or_asleep(self) -> datetime.timedelta:
+    def boot_time(self) -> datetime.timedelta:
         """The same: a virtual loop never sleeps."""
         return self.monotonic()
--- a/endivewind/standins/world.py
+++ b/endivewind/standins/world.py
@@ -303,7 +303,9 @@
             state=records.State.READY,
             health=records.Health.NORMAL,
         )
-        self.fleet.put_home(other.name, other.record.incarnation, 1, (record,))
+        self.fleet.put_home_state(
+            other.name, other.record.incarnation, 1, (record,)
+        )
 
     async def _hold_target(self) -> None:
         """Keeps the lease of this home's target."""
--- a/endivewind/targets/answers.py
+++ b/endivewind/targets/answers.py
@@ -23,7 +23,7 @@
 _READ_BYTES = 65_536
 _MISDIRECTED = 421
 
-AnswerResult = expression.Result[exchange.Answer, exchange.Refusal]
+AnswerResult = expression.Result[exchange.Response, exchange.Refusal]
 
 
 class TargetStream:
@@ -45,7 +45,7 @@
         except (aiohttp.ClientError, OSError) as error:
             self._close(evidence.Kind.LOST)
             detail = str(error) or "the answer stood still"
-            raise exchange.TruncatedAnswerError(detail) from error
+            raise exchange.TruncatedResponseError(detail) from error
         if data:
             return data
         self._close(None)
@@ -72,9 +72,9 @@
         response.close()
         raise
     if ended:
-        return expression.Ok(exchange.Answer(response.status, pairs, held))
+        return expression.Ok(exchange.Response(response.status, pairs, held))
     rest = TargetStream(hand_over, response)
-    return expression.Ok(exchange.Answer(response.status, pairs, held, rest))
+    return expression.Ok(exchange.Response(response.status, pairs, held, rest))
 
 
 async def _first_bytes(
@@ -118,7 +118,7 @@
 
 
 def not_run_by_target(
-    response: aiohttp.ClientResponse, names: headers.Names
+    response: aiohttp.ClientResponse, names: headers.HeaderNames
 ) -> exchange.Refusal | None:
     """The refusal of a target that says it has not run the request."""
     if names.expected_target and response.status == _MISDIRECTED:
--- a/endivewind/targets/dispatch.py
+++ b/endivewind/targets/dispatch.py
@@ -30,7 +30,7 @@
 _LEAST_TIME = datetime.timedelta(milliseconds=1)
 # A target may go on for a moment with work whose caller has left.
 WORKS_ON = datetime.timedelta(milliseconds=500)
-AnswerResult = expression.Result[exchange.Answer, exchange.Refusal]
+AnswerResult = expression.Result[exchange.Response, exchange.Refusal]
 
 
 class Unobserved:
@@ -55,7 +55,7 @@
         clock: clocks.Clock,
         observer: evidence.Observer,
         ledger: handover.HandOverLedger,
-        names: headers.Names = headers.OWN,
+        names: headers.HeaderNames = headers.DEFAULT_NAMES,
     ) -> None:
         """Builds a dispatcher.
 
@@ -84,7 +84,7 @@
         targets: registry.TargetRegistry,
         clock: clocks.Clock | None = None,
         observer: evidence.Observer | None = None,
-        names: headers.Names = headers.OWN,
+        names: headers.HeaderNames = headers.DEFAULT_NAMES,
     ) -> "Dispatcher":
         """Builds a dispatcher with connections of its own."""
         pooled = connections.Connector(reuse=True)
@@ -166,7 +166,7 @@
         if refused is not None:
             return expression.Error(refused)
         result = await self._run(target, head, body)
-        if result.is_error() and result.error.is_not_run:
+        if result.is_error() and result.error.was_not_run:
             self._ledger.seal(head.ticket, head.attempt)
         return result
 
@@ -183,7 +183,7 @@
         refused = self._refusal(item, head)
         if refused is not None:
             return refused
-        place = slots.waiter(head.level, deadline)
+        place = slots.waiter(head.queue_priority, deadline)
         if not await item.slots.take(item.record.slots, place):
             return _refuse(
                 exchange.Reason.BUSY,
@@ -212,7 +212,7 @@
         if gone or item.record.state is records.State.DRAINING:
             return _refuse(exchange.Reason.STOPPING, f"{target} is leaving")
         glance = self._glance(item)
-        if head.ticket and glance.suspicion > head.risk:
+        if head.ticket and glance.suspicion > head.max_suspicion:
             return _refuse(
                 exchange.Reason.SUSPECT,
                 f"{target} is likely sick",
@@ -221,7 +221,7 @@
             )
         return None
 
-    def _glance(self, item: registry.HomeTarget) -> exchange.Glance:
+    def _glance(self, item: registry.HomeTarget) -> exchange.TargetStatus:
         return item.glance(self._clock.monotonic())
 
     async def _hand_over(
@@ -242,11 +242,11 @@
         if result.is_error():
             hand_over.end()
             return expression.Error(
-                dataclasses.replace(result.error, glance=self._glance(item))
+                dataclasses.replace(result.error, target_status=self._glance(item))
             )
-        if result.ok.rest is None:
+        if result.ok.stream is None:
             hand_over.end()
-        result.ok.glance = self._glance(item)
+        result.ok.target_status = self._glance(item)
         return result
 
     def look(self) -> None:
@@ -302,7 +302,7 @@
             connections.HandOverLostError,
             aiohttp.ClientError,
             OSError,
-            exchange.TruncatedAnswerError,
+            exchange.TruncatedResponseError,
         ) as error:
             return _lost(hand_over, error)
 
@@ -343,7 +343,7 @@
         stranger's answer. Answers that bear a mark also bear the id of their
         request; one with another id, or a success without, is not ours.
         """
-        if not self._names.answer_mark:
+        if not self._names.response_marker:
             return
         told = response.headers.get(self._names.request_id)
         succeeded = 200 <= response.status < 300
@@ -358,7 +358,9 @@
         return _unreachable(hand_over, "connect timed out")
     hand_over.timed_out()
     detail = "no answer before the deadline"
-    return expression.Error(exchange.unknown(exchange.Reason.DEADLINE, detail))
+    return expression.Error(
+        exchange.outcome_unknown(exchange.Reason.DEADLINE, detail)
+    )
 
 
 def _lost(hand_over: working.HandOver, error: Exception) -> AnswerResult:
@@ -369,10 +371,10 @@
     if broken_body is not None:
         # The caller did it; the target is not to blame.
         hand_over.kind = evidence.Kind.CANCELLED
-        return expression.Error(exchange.broken_body(broken_body))
+        return expression.Error(exchange.truncated_body(broken_body))
     hand_over.kind = evidence.Kind.LOST
     return expression.Error(
-        exchange.unknown(exchange.Reason.TARGET_LOST, detail)
+        exchange.outcome_unknown(exchange.Reason.TARGET_LOST, detail)
     )
 
 
@@ -385,7 +387,7 @@
     reason: exchange.Reason,
     detail: str,
     retry_after: datetime.timedelta | None = None,
-    glance: exchange.Glance | None = None,
+    glance: exchange.TargetStatus | None = None,
 ) -> AnswerResult:
     return expression.Error(
         exchange.not_run(reason, detail, retry_after, glance)
@@ -395,9 +397,9 @@
 def _body_out(
     body: exchange.RequestBody, progress: connections.Progress
 ) -> bytes | collections.abc.AsyncIterator[bytes] | None:
-    if body.rest is None:
-        return body.held or None
-    return _joined(body.held, body.rest, progress)
+    if body.stream is None:
+        return body.buffered or None
+    return _joined(body.buffered, body.stream, progress)
 
 
 async def _joined(
@@ -416,7 +418,7 @@
 
 
 def _headers_out(
-    head: exchange.RequestHead, target: str, names: headers.Names
+    head: exchange.RequestHead, target: str, names: headers.HeaderNames
 ) -> multidict.CIMultiDict[str]:
     fields = multidict.CIMultiDict(
         [
--- a/endivewind/targets/handover.py
+++ b/endivewind/targets/handover.py
@@ -64,7 +64,7 @@
                 return refused
         elif len(self._attempts) >= self._capacity + self._reserve:
             # Without room for a seal "not run" could become false later.
-            return exchange.unknown(
+            return exchange.outcome_unknown(
                 exchange.Reason.BUSY, "the home has no room for a record"
             )
         full = known is None and len(self._attempts) >= self._capacity
@@ -99,6 +99,6 @@
         return exchange.not_run(
             exchange.Reason.SEALED, "this attempt was refused before"
         )
-    return exchange.unknown(
+    return exchange.outcome_unknown(
         exchange.Reason.SEALED, "an attempt of this key was handed over"
     )
--- a/endivewind/targets/judge.py
+++ b/endivewind/targets/judge.py
@@ -12,8 +12,8 @@
 from endivewind import exchange
 from endivewind import logs
 from endivewind.config import objects
-from endivewind.decisions import bounds
-from endivewind.decisions import judging
+from endivewind.decisions import ejection_settings
+from endivewind.decisions import outlier_detection
 from endivewind.targets import evidence
 from endivewind.targets import records
 from endivewind.targets import registry
@@ -27,16 +27,16 @@
 ProfileOf = collections.abc.Callable[[str], objects.Profile]
 
 _BOUNDS = {
-    objects.Profile.DETECTION: bounds.DETECTION,
-    objects.Profile.CAPACITY: bounds.CAPACITY,
+    objects.Profile.DETECTION: ejection_settings.DETECTION,
+    objects.Profile.CAPACITY: ejection_settings.CAPACITY,
 }
 _RESULTS = {
-    evidence.Kind.SUCCESS: judging.Result.GOOD,
-    evidence.Kind.ERROR: judging.Result.FAILED,
-    evidence.Kind.LOST: judging.Result.FAILED,
-    evidence.Kind.REFUSED_CONNECTION: judging.Result.FAILED,
-    evidence.Kind.TIMEOUT: judging.Result.UNFINISHED,
-    evidence.Kind.CANCELLED: judging.Result.UNFINISHED,
+    evidence.Kind.SUCCESS: outlier_detection.Result.GOOD,
+    evidence.Kind.ERROR: outlier_detection.Result.FAILED,
+    evidence.Kind.LOST: outlier_detection.Result.FAILED,
+    evidence.Kind.REFUSED_CONNECTION: outlier_detection.Result.FAILED,
+    evidence.Kind.TIMEOUT: outlier_detection.Result.UNFINISHED,
+    evidence.Kind.CANCELLED: outlier_detection.Result.UNFINISHED,
     evidence.Kind.SHED: None,
 }
 
@@ -49,7 +49,7 @@
 
 
 def _witnessed_kind(
-    result: expression.Result[exchange.Answer, exchange.Refusal],
+    result: expression.Result[exchange.Response, exchange.Refusal],
 ) -> evidence.Kind | None:
     """How a hand-over at another home ended; None if that says nothing."""
     if result.is_ok():
@@ -72,7 +72,7 @@
         self._clock = clock
         self._changed = changed
         self._numbers = itertools.count(1)
-        self._services: dict[str, judging.ServiceJudge] = {}
+        self._services: dict[str, outlier_detection.OutlierDetector] = {}
         self._causes: dict[str, str] = {}
         self._changes: dict[tuple[str, str], int] = collections.defaultdict(int)
 
@@ -86,11 +86,11 @@
         """Verdicts so far, by service and health."""
         return self._changes
 
-    def service(self, name: str) -> judging.ServiceJudge:
+    def service(self, name: str) -> outlier_detection.OutlierDetector:
         """The judge of a service; made when it is first needed."""
         known = self._services.get(name)
         if known is None:
-            known = self._services[name] = judging.ServiceJudge(
+            known = self._services[name] = outlier_detection.OutlierDetector(
                 self._limits(name)
             )
         return known
@@ -99,12 +99,12 @@
         """Takes the start of a hand-over."""
         number = next(self._numbers)
         now = self._clock.monotonic()
-        self.service(service).started(target, number, now)
+        self.service(service).record_start(target, number, now)
         return number
 
     def finished(self, sample: evidence.Sample) -> None:
         """Takes the end of a hand-over."""
-        change = self.service(sample.service).finished(
+        change = self.service(sample.service).record_finish(
             sample.target,
             sample.number,
             _RESULTS[sample.kind],
@@ -119,7 +119,7 @@
         self,
         record: records.TargetRecord,
         workspace: str,
-        result: expression.Result[exchange.Answer, exchange.Refusal],
+        result: expression.Result[exchange.Response, exchange.Refusal],
         latency: datetime.timedelta,
     ) -> None:
         """Takes what this node saw as an entry of another home's target.
@@ -134,7 +134,7 @@
         verdict = _RESULTS[kind]
         if verdict is not None:
             now = self._clock.monotonic()
-            judge.witnessed(record.id, verdict, latency, workspace, now)
+            judge.record_remote(record.id, verdict, latency, workspace, now)
 
     def advance(self) -> None:
         """Looks for overdue requests and ended holds; call it often."""
@@ -143,18 +143,18 @@
         for name, judge in self._services.items():
             # Here and not at each request: a profile changes seldom.
             limits = self._limits(name)
-            if judge.limits is not limits:
+            if judge.settings is not limits:
                 judge.configure(limits)
-            for target in set(judge.targets()) - held:
+            for target in set(judge.target_ids()) - held:
                 judge.forget(target)
                 self._causes.pop(target, None)
             for change in judge.advance(now):
                 self._apply(change)
 
-    def _limits(self, name: str) -> bounds.ErrorBounds:
+    def _limits(self, name: str) -> ejection_settings.EjectionSettings:
         return _BOUNDS[self._profile_of(name)]
 
-    def _apply(self, change: judging.Change) -> None:
+    def _apply(self, change: outlier_detection.StatusChange) -> None:
         health = records.Health(change.status.value)
         self._targets.set_health(change.target, health)
         item = self._targets.get(change.target)
