--- a/endivewind/targets/records.py
+++ b/endivewind/targets/records.py
@@ -65,13 +65,13 @@
     """
 
     record: TargetRecord
-    gone: bool = False
+    is_removal: bool = False
 
 
-ClaimOrder = tuple[int, int, int, str]
+Precedence = tuple[int, int, int, str]
 
 
-def claim_order(record: TargetRecord) -> ClaimOrder:
+def precedence(record: TargetRecord) -> Precedence:
     """Returns the sort key of announcements of a target at several homes.
 
     The announcement with the highest key is valid. Only the target itself
--- a/endivewind/targets/registry.py
+++ b/endivewind/targets/registry.py
@@ -13,9 +13,9 @@
 from endivewind import clock as clocks
 from endivewind import exchange
 from endivewind.config import base
-from endivewind.decisions import silence
+from endivewind.decisions import peer_updates
+from endivewind.decisions import response_times
 from endivewind.decisions import suspicion
-from endivewind.decisions import telling
 from endivewind.targets import records
 from endivewind.targets import slots
 
@@ -89,12 +89,12 @@
     address: str
     expires: datetime.timedelta
     slots: slots.Slots
-    suspicion: suspicion.Suspicion
+    suspicion: suspicion.SuspicionEstimator
     announced: int = 0
     pending: dict[Any, None] = dataclasses.field(default_factory=dict)
     left_off: datetime.timedelta | None = None
-    times: silence.AnswerTimes = dataclasses.field(
-        default_factory=silence.AnswerTimes
+    times: response_times.ResponseTimes = dataclasses.field(
+        default_factory=response_times.ResponseTimes
     )
 
     @property
@@ -102,21 +102,21 @@
         """Slots in use."""
         return self.slots.in_use
 
-    def glance(self, now: datetime.timedelta) -> exchange.Glance:
+    def glance(self, now: datetime.timedelta) -> exchange.TargetStatus:
         """What entries are told of it."""
         silent = self._silence(now)
         doubt = self.suspicion.probability(now, silent)
-        return exchange.Glance(self.slots.load, doubt)
+        return exchange.TargetStatus(self.slots.load, doubt)
 
     def _silence(self, now: datetime.timedelta) -> float:
         """How much likelier its present silence is if it is sick."""
         return math.prod(item.silence(now) for item in self.pending)
 
-    def state(self, now: datetime.timedelta) -> telling.State:
+    def state(self, now: datetime.timedelta) -> peer_updates.TargetSnapshot:
         """What the entries near by may have to be told of it."""
-        return telling.State(
-            telling.Condition(self.record.id, self.glance(now)),
-            self.suspicion.signals + int(math.log2(self._silence(now))),
+        return peer_updates.TargetSnapshot(
+            peer_updates.TargetUpdate(self.record.id, self.glance(now)),
+            self.suspicion.signal_count + int(math.log2(self._silence(now))),
         )
 
 
@@ -248,7 +248,7 @@
                 announcement.address,
                 expires,
                 slots.Slots(self._clock),
-                suspicion.Suspicion(self._clock.monotonic()),
+                suspicion.SuspicionEstimator(self._clock.monotonic()),
                 announcement.sequence,
             )
             self._changed(target)
@@ -310,7 +310,7 @@
             return False
         self._sequence += 1
         gone = dataclasses.replace(item.record, sequence=self._sequence)
-        self._changes.append(records.TargetChange(gone, gone=True))
+        self._changes.append(records.TargetChange(gone, is_removal=True))
         return True
 
     def give_up(self, rival: records.TargetRecord) -> bool:
@@ -322,7 +322,7 @@
         item = self._targets.get(rival.id)
         if item is None or rival.home == self._home.name:
             return False
-        if records.claim_order(rival) < records.claim_order(item.record):
+        if records.precedence(rival) < records.precedence(item.record):
             return False
         self._moved[rival.id] = rival.home
         if len(self._moved) > MAX_MOVED:
@@ -427,7 +427,7 @@
         if rival.target_incarnation > announcement.incarnation:
             return Refused.OLDER_START
         candidate = self._record(target, announcement, 1, records.Health.NORMAL)
-        if records.claim_order(rival) > records.claim_order(candidate):
+        if records.precedence(rival) > records.precedence(candidate):
             return Refused.MOVED
         return None
 
--- a/endivewind/targets/slots.py
+++ b/endivewind/targets/slots.py
@@ -39,7 +39,7 @@
             return True
         self._queue.configure(QUEUE_PER_SLOT * slots)
         offered = self._queue.offer(waiter, self._clock.monotonic())
-        if isinstance(offered, admission.Refused):
+        if isinstance(offered, admission.Rejection):
             return False
         if offered is not None:
             self._turns.pop(offered).cancel()
@@ -48,7 +48,7 @@
     def free(self, slots: int) -> None:
         """Gives a slot back; the next in turn gets it."""
         self._in_use -= 1
-        self._queue.completed(self._clock.monotonic())
+        self._queue.record_completion(self._clock.monotonic())
         while self._in_use < slots and (first := self._queue.first()):
             self._queue.remove(first)
             turn = self._turns.pop(first)
--- a/endivewind/targets/working.py
+++ b/endivewind/targets/working.py
@@ -21,12 +21,12 @@
 # speak for it.
 LATE = 16.0
 _SIGNALS = {
-    evidence.Kind.SUCCESS: suspicion.Signal.GOOD,
-    evidence.Kind.ERROR: suspicion.Signal.FAILED,
-    evidence.Kind.LOST: suspicion.Signal.FAILED,
-    evidence.Kind.REFUSED_CONNECTION: suspicion.Signal.FAILED,
-    evidence.Kind.TIMEOUT: suspicion.Signal.OVERDUE,
-    evidence.Kind.SHED: suspicion.Signal.SHED,
+    evidence.Kind.SUCCESS: suspicion.HealthSignal.SUCCESS,
+    evidence.Kind.ERROR: suspicion.HealthSignal.FAILURE,
+    evidence.Kind.LOST: suspicion.HealthSignal.FAILURE,
+    evidence.Kind.REFUSED_CONNECTION: suspicion.HealthSignal.FAILURE,
+    evidence.Kind.TIMEOUT: suspicion.HealthSignal.OVERDUE,
+    evidence.Kind.SHED: suspicion.HealthSignal.SHED,
     evidence.Kind.CANCELLED: None,
 }
 # Ends that tell no more than the silence before them.
@@ -61,7 +61,7 @@
     @property
     def is_repeat(self) -> bool:
         """Whether a target may have had the request before."""
-        return self._head.repeat
+        return self._head.may_be_duplicate
 
     @property
     def may_have_run(self) -> bool:
@@ -94,10 +94,10 @@
 
     def look(self, now: datetime.timedelta) -> None:
         """Tells once that the answer is overdue, where no aim is known."""
-        if self._head.aim or self._latency is not None:
+        if self._head.latency_objective or self._latency is not None:
             return
         if now - self._started > OVERDUE:
-            self._tell(suspicion.Signal.OVERDUE)
+            self._tell(suspicion.HealthSignal.OVERDUE)
 
     def silence(self, now: datetime.timedelta) -> float:
         """How many times likelier it is at a sick target that it is open.
@@ -107,44 +107,49 @@
         if self._latency is not None:
             return 1.0
         age = now - self._started
-        likelihood = self.item.times.likelihood(self._head.aim, age)
-        beyond = max(age - self._head.aim, datetime.timedelta())
-        return likelihood ** math.exp(-beyond / suspicion.SICK_FOR)
+        likelihood = self.item.times.likelihood_ratio(
+            self._head.latency_objective, age
+        )
+        beyond = max(age - self._head.latency_objective, datetime.timedelta())
+        return likelihood ** math.exp(-beyond / suspicion.MEAN_UNHEALTHY_TIME)
 
-    def _signal(self, kind: evidence.Kind) -> suspicion.Signal | None:
+    def _signal(self, kind: evidence.Kind) -> suspicion.HealthSignal | None:
         """What an end says of the target.
 
         A kept connection that breaks may only have been idle for too long.
         """
         if kind is evidence.Kind.LOST and self.progress.reused:
-            return suspicion.Signal.OVERDUE
+            return suspicion.HealthSignal.OVERDUE
         return _SIGNALS[kind]
 
-    def _tell(self, signal: suspicion.Signal | None) -> None:
+    def _tell(self, signal: suspicion.HealthSignal | None) -> None:
         """Tells what speaks for or against the target, once if it is late.
 
         The same silence must not count twice, nor the late answer for it.
         """
         if signal is None or self._overdue:
             return
-        self._overdue = signal is suspicion.Signal.OVERDUE
-        self.item.suspicion.take(signal, self._clock.monotonic())
+        self._overdue = signal is suspicion.HealthSignal.OVERDUE
+        self.item.suspicion.observe(signal, self._clock.monotonic())
 
     def _tell_end(self, kind: evidence.Kind) -> None:
         """Tells what its end says: by its age, where it got no answer."""
         now = self._clock.monotonic()
-        aim = self._head.aim
+        aim = self._head.latency_objective
         if self._latency is None and aim and kind in _UNANSWERED:
             silence = self.silence(now)
             if silence > 1:
-                self.item.suspicion.weigh(silence, now)
+                self.item.suspicion.apply_likelihood_ratio(silence, now)
             return
         signal = self._signal(kind)
-        if signal is suspicion.Signal.GOOD and self._latency is not None:
-            lateness = self.item.times.likelihood(aim, self._latency)
-            self.item.times.take(aim, self._latency)
+        if (
+            signal is suspicion.HealthSignal.SUCCESS
+            and self._latency is not None
+        ):
+            lateness = self.item.times.likelihood_ratio(aim, self._latency)
+            self.item.times.observe(aim, self._latency)
             if lateness > LATE:
-                signal = suspicion.Signal.OVERDUE
+                signal = suspicion.HealthSignal.OVERDUE
         self._tell(signal)
 
     def end(self, kind: evidence.Kind | None = None) -> None:
--- a/endivewind/tests/callers/budgets_tests.py
+++ b/endivewind/tests/callers/budgets_tests.py
@@ -17,8 +17,8 @@
 from endivewind.callers import budgets
 from endivewind.config import settings
 from endivewind.config import store
-from endivewind.decisions import placing
-from endivewind.decisions import telling
+from endivewind.decisions import load_balancing
+from endivewind.decisions import peer_updates
 from endivewind.nodes import view
 
 SERVICE = "riders"
@@ -46,7 +46,7 @@
         self.budgets = budgets.RetryBudgets(
             self._fleet.configuration,
             self.view,
-            placing.Place(f"n{self.number}", "r", "z"),
+            load_balancing.Locality(f"n{self.number}", "r", "z"),
             self._fleet.clock,
         )
 
@@ -114,7 +114,7 @@
         now = self.clock.monotonic()
         budget = node.budgets.of(SERVICE)
         for _ in range(self.rng.choice((0, 0, 1, 1, 2))):
-            budget.request(now)
+            budget.record_request(now)
             self.asked[-1] += 1
             if not budget.take(now, may_borrow=True):
                 continue
@@ -191,7 +191,7 @@
         for _ in range(10):
             first.budgets.charge(SERVICE, 0.25)
 
-        count = first.budgets.of(SERVICE).count(fleet.clock.monotonic())
+        count = first.budgets.of(SERVICE).counts(fleet.clock.monotonic())
         self.assertEqual(2, count.retries)
 
     def test_the_loss_of_half_the_fleet_gives_the_rest_no_more(self):
@@ -207,17 +207,21 @@
         first.know(fleet.nodes)
         budget = first.budgets.of(SERVICE)
         first.budgets.hear("n1", _tally(10, 6))
-        before = budget.spent(fleet.clock.monotonic())
+        before = budget.spent_share(fleet.clock.monotonic())
         second.start()
         first.know(fleet.nodes)
 
         first.budgets.hear("n1", _tally(0, 0))
 
-        self.assertGreaterEqual(budget.spent(fleet.clock.monotonic()), before)
+        self.assertGreaterEqual(
+            budget.spent_share(fleet.clock.monotonic()), before
+        )
 
 
 def _tally(requests, repeats):
-    return telling.Tally(SERVICE, budgets.retries.Count(requests, repeats))
+    return peer_updates.RetryUsage(
+        SERVICE, budgets.retries.RequestCounts(requests, repeats)
+    )
 
 
 if __name__ == "__main__":
--- a/endivewind/tests/callers/counts_tests.py
+++ b/endivewind/tests/callers/counts_tests.py
@@ -9,7 +9,7 @@
 from endivewind import exchange
 from endivewind.callers import counts
 
-_ANSWER = expression.Ok(exchange.Answer(200, ()))
+_ANSWER = expression.Ok(exchange.Response(200, ()))
 
 
 class RequestCountsTest(unittest.TestCase):
@@ -28,7 +28,9 @@
         self._request(_ANSWER)
         self._request(expression.Error(exchange.not_run(exchange.Reason.BUSY)))
         self._request(
-            expression.Error(exchange.unknown(exchange.Reason.TARGET_LOST))
+            expression.Error(
+                exchange.outcome_unknown(exchange.Reason.TARGET_LOST)
+            )
         )
         self._request(None)
 
--- a/endivewind/tests/callers/gateway_hedging_tests.py
+++ b/endivewind/tests/callers/gateway_hedging_tests.py
@@ -12,14 +12,14 @@
 from endivewind.callers import placement
 from endivewind.config import objects
 from endivewind.config import store
-from endivewind.decisions import placing
+from endivewind.decisions import load_balancing
 from endivewind.nodes import view
 from endivewind.standins import virtual
 from endivewind.tests import samples
 
 SERVICE = "riders"
-OK = expression.Ok(exchange.Answer(200, ()))
-FAILED = expression.Ok(exchange.Answer(500, ()))
+OK = expression.Ok(exchange.Response(200, ()))
+FAILED = expression.Ok(exchange.Response(500, ()))
 
 
 class _Dispatcher:
@@ -53,8 +53,8 @@
             view.NodeRecord("node-a", 1, "192.0.2.1:1", "andina", "andina-a")
         )
         targets = [samples.target(f"t{number}") for number in range(4)]
-        fleet.put_home("node-a", 1, 1, targets)
-        place = placing.Place("node-a", "andina", "andina-a")
+        fleet.put_home_state("node-a", 1, 1, targets)
+        place = load_balancing.Locality("node-a", "andina", "andina-a")
         rng = random.Random(1)
         self.dispatcher = _Dispatcher()
         self.gateway = gateway.Gateway(
@@ -85,7 +85,7 @@
             "",
             datetime.timedelta(seconds=3),
             ticket=ticket,
-            aim=datetime.timedelta(seconds=1),
+            latency_objective=datetime.timedelta(seconds=1),
         )
 
         async def run():
@@ -142,8 +142,8 @@
         budget = self.gateway.budgets.of(SERVICE)
         now = datetime.timedelta(seconds=self.loop.time())
         for _ in range(20):
-            budget.request(now)
-        while budget.spent(now) <= gateway.CHOSEN_SPENT:
+            budget.record_request(now)
+        while budget.spent_share(now) <= gateway.CHOSEN_SPENT:
             self.assertTrue(budget.take(now))
 
         self.ask((0.9, OK))
--- a/endivewind/tests/callers/gateway_retries_tests.py
+++ b/endivewind/tests/callers/gateway_retries_tests.py
@@ -13,17 +13,17 @@
 from endivewind.callers import placement
 from endivewind.config import objects
 from endivewind.config import store
-from endivewind.decisions import placing
+from endivewind.decisions import load_balancing
 from endivewind.decisions import retries
 from endivewind.nodes import view
 from endivewind.tests import samples
 
 SERVICE = "riders"
 TARGETS = 6
-OK = expression.Ok(exchange.Answer(200, ()))
-FAILED = expression.Ok(exchange.Answer(500, ()))
-SHED = expression.Ok(exchange.Answer(503, ()))
-LOST = expression.Error(exchange.unknown(exchange.Reason.TARGET_LOST))
+OK = expression.Ok(exchange.Response(200, ()))
+FAILED = expression.Ok(exchange.Response(500, ()))
+SHED = expression.Ok(exchange.Response(503, ()))
+LOST = expression.Error(exchange.outcome_unknown(exchange.Reason.TARGET_LOST))
 BUSY = expression.Error(
     exchange.not_run(
         exchange.Reason.BUSY, retry_after=datetime.timedelta(seconds=1)
@@ -45,11 +45,11 @@
         fleet.put_node(
             view.NodeRecord("node-a", 1, "192.0.2.1:1", "andina", "andina-a")
         )
-        fleet.put_home(
+        fleet.put_home_state(
             "node-a", 1, TARGETS, [_record(n) for n in range(TARGETS)]
         )
         self.dispatcher = mock.AsyncMock()
-        place = placing.Place("node-a", "andina", "andina-a")
+        place = load_balancing.Locality("node-a", "andina", "andina-a")
         self.gateway = gateway.Gateway(
             "node-a",
             placement.Placement(
@@ -151,7 +151,7 @@
             _, met = await self.ask([FAILED] * 3)
             tries += len(met)
 
-        self.assertLessEqual(tries, 1.1 * requests + retries.RESERVE)
+        self.assertLessEqual(tries, 1.1 * requests + retries.DEFAULT_RESERVE)
 
     async def test_refused_callers_come_back_spread(self):
         self.fleet.remove_home("node-a")
--- a/endivewind/tests/callers/gateway_tests.py
+++ b/endivewind/tests/callers/gateway_tests.py
@@ -15,12 +15,12 @@
 from endivewind.callers import routed
 from endivewind.config import objects
 from endivewind.config import store
-from endivewind.decisions import placing
+from endivewind.decisions import load_balancing
 from endivewind.nodes import view
 from endivewind.targets import records
 from endivewind.tests import samples
 
-_ANSWER = expression.Ok(exchange.Answer(200, (), b"whole"))
+_ANSWER = expression.Ok(exchange.Response(200, (), b"whole"))
 
 
 class _Pool:
@@ -142,8 +142,8 @@
     fleet = view.FleetView()
     for name in ("old", "new"):
         fleet.put_node(view.NodeRecord(name, 7, f"{name}:1", "andina", "a"))
-    fleet.put_home("old", 7, 1, [_record()])
-    place = placing.Place("entry", "andina", "a")
+    fleet.put_home_state("old", 7, 1, [_record()])
+    place = load_balancing.Locality("entry", "andina", "a")
     return gateway.Gateway(
         "entry",
         placement.Placement(place, fleet, lambda _: 0, clock, random.Random(1)),
--- a/endivewind/tests/callers/pipelining_tests.py
+++ b/endivewind/tests/callers/pipelining_tests.py
@@ -74,12 +74,12 @@
 
     def answer(self, path, body=None, status=200):
         told = path.encode() if body is None else body
-        answer = exchange.Answer(status, (), told)
+        answer = exchange.Response(status, (), told)
         self._answers[path].set_result(expression.Ok(answer))
 
     def answer_in_parts(self, path, rest):
         length = ((b"Content-Length", str(rest.size).encode()),)
-        answer = exchange.Answer(200, length, b"", rest)
+        answer = exchange.Response(200, length, b"", rest)
         self._answers[path].set_result(expression.Ok(answer))
 
     def refuse(self, path, reason):
--- a/endivewind/tests/callers/placement_tests.py
+++ b/endivewind/tests/callers/placement_tests.py
@@ -11,8 +11,8 @@
 from endivewind import clock as clocks
 from endivewind import exchange
 from endivewind.callers import placement
-from endivewind.decisions import placing
-from endivewind.decisions import ramp
+from endivewind.decisions import load_balancing
+from endivewind.decisions import slow_start
 from endivewind.nodes import view
 from endivewind.targets import records
 from endivewind.tests import samples
@@ -34,7 +34,7 @@
         )
         self._sequence = 0
         self.placement = placement.Placement(
-            placing.Place("node-a", "andina", "andina-a"),
+            load_balancing.Locality("node-a", "andina", "andina-a"),
             self.fleet,
             lambda service: FLOOR,
             self.clock,
@@ -43,13 +43,13 @@
 
     def put(self, items):
         self._sequence += 1
-        self.fleet.put_home("node-a", 1, self._sequence, items)
+        self.fleet.put_home_state("node-a", 1, self._sequence, items)
 
     def fill(self):
         """Places work until no slot is free; counts it by target."""
         placed = collections.Counter()
         while True:
-            found = self.placement.choose(SERVICE, placing.Demand(False))
+            found = self.placement.choose(SERVICE, load_balancing.Demand(False))
             if found is None:
                 return placed
             self.placement.started(found)
@@ -60,11 +60,11 @@
         items = [_record(number) for number in range(8)]
         out = dataclasses.replace(items[0], health=records.Health.EJECTED)
         self.put([out, *items[1:]])
-        self.placement.choose(SERVICE, placing.Demand(False))
+        self.placement.choose(SERVICE, load_balancing.Demand(False))
 
         self.put(items)
         first = self.fill()
-        self.clock.advance(ramp.SPAN)
+        self.clock.advance(slow_start.SLOW_START_DURATION)
         later = self.fill()
 
         self.assertEqual((1, 3), (first["riders-0"], first["riders-1"]))
@@ -112,7 +112,7 @@
 
     def choose(self):
         """The id of the target that a request would go to."""
-        return self.placement.choose(SERVICE, placing.Demand(False)).id
+        return self.placement.choose(SERVICE, load_balancing.Demand(False)).id
 
     def test_what_the_floor_brings_back_has_all_its_slots(self):
         """Half of the targets are ejected at once; the floor needs some.
@@ -121,7 +121,7 @@
         """
         items = [_record(number) for number in range(6)]
         self.put(items)
-        self.placement.choose(SERVICE, placing.Demand(False))
+        self.placement.choose(SERVICE, load_balancing.Demand(False))
 
         out = [_record(n, records.Health.EJECTED) for n in range(4)]
         self.put([*out, *items[4:]])
@@ -130,7 +130,7 @@
 
     def test_a_restart_of_most_of_the_service_is_not_ramped(self):
         self.put([_record(number) for number in range(2)])
-        self.placement.choose(SERVICE, placing.Demand(False))
+        self.placement.choose(SERVICE, load_balancing.Demand(False))
 
         self.put([_record(number) for number in range(8)])
 
@@ -161,7 +161,7 @@
     def answer(self, item, seconds):
         """A request to a target ends well."""
         self.placement.started(item)
-        answer = expression.Ok(exchange.Answer(200, ()))
+        answer = expression.Ok(exchange.Response(200, ()))
         latency = datetime.timedelta(seconds=seconds)
         self.placement.ended(item, answer, latency)
 
--- a/endivewind/tests/callers/tickets_tests.py
+++ b/endivewind/tests/callers/tickets_tests.py
@@ -112,7 +112,7 @@
         self.assertEqual(ticket_book.Step.JOIN, self.claim().ok)
 
     def test_finished_ticket_gives_the_kept_answer(self):
-        answer = exchange.Answer(201, (), b"paid")
+        answer = exchange.Response(201, (), b"paid")
         self.claim()
         self.book.finish(self.ticket, expression.Ok(answer))
 
@@ -131,17 +131,17 @@
         self.assertEqual(refusal, self.claim().error)
 
     def test_unknown_is_final(self):
-        refusal = exchange.unknown(exchange.Reason.TARGET_LOST)
+        refusal = exchange.outcome_unknown(exchange.Reason.TARGET_LOST)
         self.claim()
         self.book.finish(self.ticket, expression.Error(refusal))
-        self.book.finish(self.ticket, expression.Ok(exchange.Answer(200, ())))
+        self.book.finish(self.ticket, expression.Ok(exchange.Response(200, ())))
 
         self.assertEqual(refusal, self.claim().error)
 
     def test_another_request_is_refused_with_the_tickets_outcome(self):
         self.claim()
         running = self.claim(mark=b"other").error
-        self.book.finish(self.ticket, expression.Ok(exchange.Answer(200, ())))
+        self.book.finish(self.ticket, expression.Ok(exchange.Response(200, ())))
         finished = self.claim(mark=b"other").error
 
         self.assertEqual(exchange.Reason.TICKET_REUSED, running.reason)
@@ -156,7 +156,7 @@
 
     def test_past_retention_nothing_is_claimed_to_be_known(self):
         self.claim()
-        self.book.finish(self.ticket, expression.Ok(exchange.Answer(200, ())))
+        self.book.finish(self.ticket, expression.Ok(exchange.Response(200, ())))
 
         late = self.claim(after=SECOND + ticket_book.RETENTION).error
 
@@ -180,7 +180,7 @@
         self.book = ticket_book.TicketBook(capacity=ticket_book.RECORD_BYTES)
         refused = self.issuer.issue("boat-1", NOW + SECOND)
         self.claim()
-        self.book.finish(self.ticket, expression.Ok(exchange.Answer(200, ())))
+        self.book.finish(self.ticket, expression.Ok(exchange.Response(200, ())))
         full = self.claim(after=3 * SECOND, ticket=refused).error
         self.claim(after=SECOND + ticket_book.RETENTION)
         later = self.issuer.issue("boat-1", NOW + ticket_book.RETENTION)
@@ -194,7 +194,7 @@
         self.assertEqual(ticket_book.Step.START, fresh.ok)
 
     def test_closed_book_starts_nothing_and_still_answers(self):
-        answer = exchange.Answer(201, (), b"paid")
+        answer = exchange.Response(201, (), b"paid")
         self.claim()
         self.book.finish(self.ticket, expression.Ok(answer))
         self.book.close()
@@ -209,7 +209,7 @@
         self.book = ticket_book.TicketBook(kept_answer_bytes=3)
         self.claim()
         self.book.finish(
-            self.ticket, expression.Ok(exchange.Answer(200, (), b"four"))
+            self.ticket, expression.Ok(exchange.Response(200, (), b"four"))
         )
 
         self.assertEqual(exchange.Outcome.RAN, self.claim().error.outcome)
@@ -218,7 +218,7 @@
         def refused(nonce):
             detail = "x" * 100 + nonce
             return expression.Error(
-                exchange.unknown(exchange.Reason.TARGET_LOST, detail)
+                exchange.outcome_unknown(exchange.Reason.TARGET_LOST, detail)
             )
 
         def answered(nonce):
@@ -227,7 +227,7 @@
                 for number in range(6)
             )
             body = b"y" * 100 + nonce.encode()
-            return expression.Ok(exchange.Answer(200, fields, body))
+            return expression.Ok(exchange.Response(200, fields, body))
 
         for result in (refused, answered):
             with self.subTest(result.__name__):
--- a/endivewind/tests/callers/waiting_tests.py
+++ b/endivewind/tests/callers/waiting_tests.py
@@ -11,7 +11,7 @@
 from endivewind.callers import waiting
 from endivewind.config import objects
 from endivewind.decisions import admission
-from endivewind.decisions import placing
+from endivewind.decisions import load_balancing
 from endivewind.nodes import view
 from endivewind.tests import samples
 
@@ -28,9 +28,9 @@
         self.fleet.put_node(
             view.NodeRecord("node-a", 1, "192.0.2.1:1", "andina", "andina-a")
         )
-        self.fleet.put_home("node-a", 1, 1, [_record()])
+        self.fleet.put_home_state("node-a", 1, 1, [_record()])
         self.placement = placement.Placement(
-            placing.Place("node-a", "andina", "andina-a"),
+            load_balancing.Locality("node-a", "andina", "andina-a"),
             self.fleet,
             lambda service: 0,
             clock,
@@ -44,7 +44,7 @@
         route = objects.Route(service=SERVICE, priority=priority)
         claim = waiting.Claim(
             SERVICE,
-            placing.Demand(True, frozenset(tried)),
+            load_balancing.Demand(True, frozenset(tried)),
             admission.Waiter(workspace, 1, waiting.level(route), FAR_OFF),
             0,
         )
--- a/endivewind/tests/callers/workspaces_tests.py
+++ b/endivewind/tests/callers/workspaces_tests.py
@@ -187,7 +187,7 @@
         self.run_one(Authorization=f"Bearer {KEY}")
 
         first = waiting.level(objects.Route(service="riders", rank=0))
-        self.assertEqual(first, self.heads[0].level)
+        self.assertEqual(first, self.heads[0].queue_priority)
 
     def test_no_key_and_an_unknown_key_are_refused(self):
         """Guards against work for a caller whom nobody knows."""
--- a/endivewind/tests/config/spreading_tests.py
+++ b/endivewind/tests/config/spreading_tests.py
@@ -168,9 +168,9 @@
             (spreading.Packed(RIDERS, 2, b"\x00\xff"),),
         )
         wire = configuration.message_out(message)
-        frame = codec.encode(codec.messages.Frame(configuration=wire))
+        frame = codec.encode_frame(codec.messages.Frame(configuration=wire))
 
-        decoded = codec.decode(frame[4:]).configuration
+        decoded = codec.decode_frame(frame[4:]).configuration
 
         self.assertEqual(message, configuration.message_in(decoded))
 
--- a/endivewind/tests/decisions/admission_tests.py
+++ b/endivewind/tests/decisions/admission_tests.py
@@ -35,7 +35,7 @@
             self._start(waiter)
             return
         outcome = self.queue.offer(waiter, self.now)
-        if isinstance(outcome, admission.Refused):
+        if isinstance(outcome, admission.Rejection):
             self.refused.append((waiter, outcome, self.now))
         elif outcome is not None:
             self.refused.append((outcome, None, self.now))
@@ -44,7 +44,7 @@
         while self._completion_times and min(self._completion_times) <= until:
             self.now = min(self._completion_times)
             self._completion_times.remove(self.now)
-            self.queue.completed(self.now)
+            self.queue.record_completion(self.now)
             first = self.queue.first()
             if first is not None:
                 self.queue.remove(first)
--- a/endivewind/tests/decisions/capacity_floor_tests.py
+++ b/endivewind/tests/decisions/capacity_floor_tests.py
@@ -5,12 +5,12 @@
 import hypothesis
 from hypothesis import strategies
 
+from endivewind.decisions import capacity_floor
 from endivewind.decisions import ejection
-from endivewind.decisions import floor
 
 CANDIDATE_LISTS = strategies.lists(
     strategies.builds(
-        floor.Candidate,
+        capacity_floor.Candidate,
         id=strategies.text("abcdef", min_size=1, max_size=3),
         region=strategies.sampled_from(["andina", "caribe"]),
         zone=strategies.just("a"),
@@ -37,7 +37,7 @@
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
     @hypothesis.given(CANDIDATE_LISTS, strategies.integers(1, 60))
     def test_keeps_the_floor_or_all_existing_slots(self, candidates, slots):
-        kept = floor.admitted(candidates, slots)
+        kept = capacity_floor.select_targets(candidates, slots)
 
         for region in ("andina", "caribe"):
             existing_slots = _total_slots(candidates, region)
@@ -48,7 +48,7 @@
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
     @hypothesis.given(CANDIDATE_LISTS)
     def test_keeps_half_by_default(self, candidates):
-        kept = floor.admitted(candidates, 0)
+        kept = capacity_floor.select_targets(candidates, 0)
 
         for region in ("andina", "caribe"):
             half_of_slots = _total_slots(candidates, region) // 2
@@ -63,13 +63,14 @@
         rng.shuffle(shuffled)
 
         self.assertEqual(
-            floor.admitted(candidates, slots), floor.admitted(shuffled, slots)
+            capacity_floor.select_targets(candidates, slots),
+            capacity_floor.select_targets(shuffled, slots),
         )
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
     @hypothesis.given(CANDIDATE_LISTS, strategies.integers(0, 60))
     def test_keeps_all_normal_targets(self, candidates, slots):
-        kept = floor.admitted(candidates, slots)
+        kept = capacity_floor.select_targets(candidates, slots)
 
         normal = [
             item for item in candidates if item.status is ejection.Status.NORMAL
@@ -78,7 +79,7 @@
 
     def test_keeps_least_bad_targets_up_to_the_floor(self):
         candidates = [
-            floor.Candidate(name, "andina", "a", 3, status, badness)
+            capacity_floor.Candidate(name, "andina", "a", 3, status, badness)
             for name, status, badness in (
                 ("a", ejection.Status.EJECTED, 100),
                 ("b", ejection.Status.EJECTED, 30),
@@ -87,6 +88,6 @@
             )
         ]
 
-        kept = floor.admitted(candidates, 9)
+        kept = capacity_floor.select_targets(candidates, 9)
 
         self.assertEqual(["d", "c", "b"], [item.id for item in kept])
--- a/endivewind/tests/decisions/cross_region_tests.py
+++ b/endivewind/tests/decisions/cross_region_tests.py
@@ -6,7 +6,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from endivewind.decisions import crossing
+from endivewind.decisions import cross_region
 
 RATE = 1_000
 
@@ -28,7 +28,7 @@
         )
     )
     def test_bytes_stay_within_rate_and_burst(self, requests):
-        budget = crossing.CrossRegionBudget(RATE)
+        budget = cross_region.CrossRegionBudget(RATE)
         now = datetime.timedelta()
         sent = 0
         for wait_ms, size in requests:
@@ -37,11 +37,11 @@
                 budget.spend("caribe", size, now)
                 sent += size
 
-        bound = RATE * (now + crossing.BURST).total_seconds()
+        bound = RATE * (now + cross_region.BURST_DURATION).total_seconds()
         self.assertLessEqual(sent, bound + 20_000)
 
     def test_regions_have_separate_budgets(self):
-        budget = crossing.CrossRegionBudget(RATE)
+        budget = cross_region.CrossRegionBudget(RATE)
         now = datetime.timedelta()
         budget.spend("caribe", 1_000_000, now)
 
@@ -49,7 +49,7 @@
         self.assertTrue(budget.allows("pacifico", now))
 
     def test_empty_budget_refills(self):
-        budget = crossing.CrossRegionBudget(RATE)
+        budget = cross_region.CrossRegionBudget(RATE)
         budget.spend("caribe", 31_000, datetime.timedelta())
 
         self.assertFalse(budget.allows("caribe", datetime.timedelta(seconds=1)))
--- a/endivewind/tests/decisions/load_balancing_tests.py
+++ b/endivewind/tests/decisions/load_balancing_tests.py
@@ -4,14 +4,14 @@
 import random
 import unittest
 
+from endivewind.decisions import capacity_floor
 from endivewind.decisions import ejection
-from endivewind.decisions import floor
-from endivewind.decisions import placing
+from endivewind.decisions import load_balancing
 
-LOCALITY = placing.Place("node-a", "andina", "andina-a")
+LOCALITY = load_balancing.Locality("node-a", "andina", "andina-a")
 
 
-class _Load(placing.Load):
+class _Load(load_balancing.Load):
     """Load set by a test; all other targets are idle and reachable."""
 
     def __init__(self):
@@ -27,7 +27,7 @@
     def in_use(self, item):
         return self.in_use_by_target[item.id]
 
-    def own(self, target):
+    def own_in_use(self, target):
         return self.in_use_by_target[target]
 
     def wait(self, item):
@@ -36,28 +36,28 @@
     def suspicion(self, target):
         return self.suspicions.get(target, 0.0)
 
-    def told_ago(self, target):
+    def seconds_since_report(self, target):
         return self.report_age_seconds.get(target, 60.0)
 
     def latency(self, target):
         return self.latencies.get(target, 0.0)
 
-    def is_resting(self, target):
+    def is_cooling_down(self, target):
         return target in self.cooling_down
 
-    def reaches(self, home):
+    def is_reachable(self, home):
         return home not in self.unreachable
 
     def slots(self, item):
         return item.slots
 
-    def affords(self, region):
+    def has_traffic_budget(self, region):
         return region not in self.over_budget
 
 
 def _target(name, zone="andina-a", status=ejection.Status.NORMAL, home="h"):
     region = zone.rpartition("-")[0]
-    return floor.Candidate(name, region, zone, 3, status, home=home)
+    return capacity_floor.Candidate(name, region, zone, 3, status, home=home)
 
 
 class PlacingTest(unittest.TestCase):
@@ -69,12 +69,14 @@
         self, candidates, number=1, is_idempotent=True, excluded=(), **demand
     ):
         """Counts how often each target is chosen."""
-        pool = placing.Pool.from_candidates(candidates, 0, LOCALITY)
-        demand = placing.Demand(is_idempotent, frozenset(excluded), **demand)
+        pool = load_balancing.Pool.from_candidates(candidates, 0, LOCALITY)
+        demand = load_balancing.Demand(
+            is_idempotent, frozenset(excluded), **demand
+        )
         return collections.Counter(
             found.id if found else None
             for found in (
-                placing.choose(pool, demand, self.load, self.rng)
+                load_balancing.choose(pool, demand, self.load, self.rng)
                 for _ in range(number)
             )
         )
@@ -166,9 +168,9 @@
         self.load.waits["zone"] = 0.2
         both = [_target("region", "andina-b"), _target("zone")]
 
-        self.assertEqual({"zone": 9}, self.count_choices(both, 9, patience=0.3))
+        self.assertEqual({"zone": 9}, self.count_choices(both, 9, max_wait=0.3))
         self.assertEqual(
-            {"region": 9}, self.count_choices(both, 9, patience=0.1)
+            {"region": 9}, self.count_choices(both, 9, max_wait=0.1)
         )
 
     def test_non_idempotent_requests_avoid_a_suspect_target(self):
@@ -258,17 +260,23 @@
         candidates = [_target(f"t{number}") for number in range(400)]
         used = collections.Counter()
         for number in range(200):
-            place = placing.Place(f"node-{number}", "andina", "andina-a")
-            tier = placing.Pool.from_candidates(candidates, 0, place).tiers[0]
-            fewer = placing.Pool.from_candidates(
+            place = load_balancing.Locality(
+                f"node-{number}", "andina", "andina-a"
+            )
+            tier = load_balancing.Pool.from_candidates(
+                candidates, 0, place
+            ).tiers[0]
+            fewer = load_balancing.Pool.from_candidates(
                 candidates[1:], 0, place
             ).tiers[0]
             used.update(item.id for item in tier)
-            self.assertEqual(placing.SUBSET, len(tier))
+            self.assertEqual(load_balancing.SUBSET_SIZE, len(tier))
             self.assertLessEqual(len(set(tier) - set(fewer)), 1)
 
         self.assertEqual(400, len(used))
-        self.assertLess(max(used.values()), 4 * 200 * placing.SUBSET / 400)
+        self.assertLess(
+            max(used.values()), 4 * 200 * load_balancing.SUBSET_SIZE / 400
+        )
 
     def test_cost_of_a_choice_is_bounded_by_the_subset(self):
         """Bounds the targets examined if all of a large service are full."""
@@ -285,4 +293,4 @@
         found = self.count_choices(candidates)
 
         self.assertEqual({None: 1}, found)
-        self.assertLessEqual(examined, 2 * placing.SUBSET + 1)
+        self.assertLessEqual(examined, 2 * load_balancing.SUBSET_SIZE + 1)
--- a/endivewind/tests/decisions/outlier_detection_tests.py
+++ b/endivewind/tests/decisions/outlier_detection_tests.py
@@ -5,22 +5,22 @@
 import unittest
 
 from endivewind.decisions import baseline
-from endivewind.decisions import bounds
 from endivewind.decisions import ejection
-from endivewind.decisions import judging
+from endivewind.decisions import ejection_settings
+from endivewind.decisions import outlier_detection
 
 TARGETS = tuple(f"riders-{number}" for number in range(8))
 REQUEST_INTERVAL = datetime.timedelta(milliseconds=10)
 BASE_LATENCY = datetime.timedelta(milliseconds=100)
-GOOD = judging.Result.GOOD
-FAILED = judging.Result.FAILED
+GOOD = outlier_detection.Result.GOOD
+FAILED = outlier_detection.Result.FAILED
 
 
 class _Simulation:
     """Sends simulated requests to a detector, one after another."""
 
     def __init__(self, settings, target_ids=TARGETS):
-        self.detector = judging.ServiceJudge(settings)
+        self.detector = outlier_detection.OutlierDetector(settings)
         self.now = datetime.timedelta()
         self.target_ids = target_ids
         self.changes = []
@@ -36,9 +36,11 @@
         self.now += REQUEST_INTERVAL
         latency = BASE_LATENCY * factor * self._rng.uniform(0.7, 1.4)
         workspace_id = workspace or f"workspace-{self._request_number % 7}"
-        self.detector.started(target, self._request_number, self.now - latency)
+        self.detector.record_start(
+            target, self._request_number, self.now - latency
+        )
         self._add_change(
-            self.detector.finished(
+            self.detector.record_finish(
                 target,
                 self._request_number,
                 result,
@@ -64,7 +66,7 @@
 
     def start(self, target):
         self._request_number += 1
-        self.detector.started(target, self._request_number, self.now)
+        self.detector.record_start(target, self._request_number, self.now)
 
     def wait(self, span):
         end = self.now + span
@@ -85,7 +87,9 @@
 
 
 class _DetectorTest(unittest.TestCase):
-    def simulation(self, settings=bounds.DETECTION, target_ids=TARGETS):
+    def simulation(
+        self, settings=ejection_settings.DETECTION, target_ids=TARGETS
+    ):
         simulation = _Simulation(settings, target_ids)
         simulation.rounds(60)
         self.assertEqual([], simulation.ejected())
@@ -105,10 +109,10 @@
         Latencies are evaluated only after 200 requests. Errors must be counted
         from the start; otherwise callers would see every failure until then.
         """
-        simulation = _Simulation(bounds.DETECTION)
+        simulation = _Simulation(ejection_settings.DETECTION)
         simulation.rounds(20, riders_2={"result": FAILED})
 
-        self.assertLess(simulation.request_count, baseline.MIN_HISTORY)
+        self.assertLess(simulation.request_count, baseline.MIN_HISTORY_REQUESTS)
         self.assertEqual(["riders-2"], simulation.ejected())
 
     def test_all_requests_fail(self):
@@ -159,7 +163,7 @@
         self.assertEqual(["riders-2"], simulation.ejected())
 
     def test_capacity_profile_requires_more_evidence(self):
-        simulation = self.simulation(bounds.CAPACITY)
+        simulation = self.simulation(ejection_settings.CAPACITY)
 
         simulation.rounds(4, riders_2={"result": FAILED})
         ejected_early = simulation.ejected()
@@ -215,7 +219,9 @@
     service, and each node would eject its target when the service fails.
     """
 
-    def simulation(self, settings=bounds.DETECTION, target_ids=("riders-2",)):
+    def simulation(
+        self, settings=ejection_settings.DETECTION, target_ids=("riders-2",)
+    ):
         simulation = _Simulation(settings, target_ids)
         for _ in range(250):
             self.record_remote_requests(simulation)
@@ -224,7 +230,7 @@
 
     def record_remote_requests(self, simulation, result=GOOD, factor=1.0):
         for target in ("riders-4", "riders-5", "riders-6"):
-            simulation.detector.witnessed(
+            simulation.detector.record_remote(
                 target, result, BASE_LATENCY * factor, "other", simulation.now
             )
 
@@ -288,7 +294,10 @@
 
         simulation.rounds(
             60,
-            riders_2={"result": judging.Result.UNFINISHED, "factor": 0.5},
+            riders_2={
+                "result": outlier_detection.Result.UNFINISHED,
+                "factor": 0.5,
+            },
         )
 
         self.assertEqual([], simulation.ejected())
@@ -304,9 +313,9 @@
         simulation = self.simulation()
         simulation.rounds(4, riders_2={"result": FAILED})
 
-        simulation.wait(bounds.DETECTION.hold)
+        simulation.wait(ejection_settings.DETECTION.base_ejection_time)
         status_in_trial = simulation.detector.status("riders-2")
-        for _ in range(bounds.DETECTION.trial_successes):
+        for _ in range(ejection_settings.DETECTION.trial_successes):
             simulation.request("riders-2")
 
         self.assertIs(ejection.Status.TRIAL, status_in_trial)
@@ -318,8 +327,8 @@
         simulation = self.simulation()
         simulation.rounds(4, riders_2={"result": FAILED})
 
-        simulation.wait(bounds.DETECTION.hold)
-        for _ in range(bounds.DETECTION.trial_failures):
+        simulation.wait(ejection_settings.DETECTION.base_ejection_time)
+        for _ in range(ejection_settings.DETECTION.trial_failures):
             simulation.request("riders-2", FAILED)
 
         self.assertIs(
@@ -327,37 +336,38 @@
         )
 
     def test_recovered_target_may_be_slow_occasionally(self):
-        settings = bounds.DETECTION
-        state = ejection.Ejection(settings)
+        settings = ejection_settings.DETECTION
+        state = ejection.EjectionState(settings)
         state.eject(datetime.timedelta())
-        state.advance(settings.hold)
+        state.advance(settings.base_ejection_time)
 
         for _ in range(3):
-            state.tried(False, settings.hold)
+            state.record_trial(False, settings.base_ejection_time)
             for _ in range(settings.trial_successes - 1):
-                state.tried(True, settings.hold)
-        state.tried(True, settings.hold)
+                state.record_trial(True, settings.base_ejection_time)
+        state.record_trial(True, settings.base_ejection_time)
 
         self.assertIs(ejection.Status.NORMAL, state.status)
 
     def test_ejection_time_of_flapping_target_grows_and_expires(self):
-        settings = bounds.DETECTION
-        state = ejection.Ejection(settings)
+        settings = ejection_settings.DETECTION
+        state = ejection.EjectionState(settings)
         now = datetime.timedelta()
         ejection_times = []
         for _ in range(4):
             state.eject(now)
-            ejection_times.append(state.hold())
-            now += state.hold()
+            ejection_times.append(state.ejection_time())
+            now += state.ejection_time()
             state.advance(now)
             for _ in range(settings.trial_successes):
-                state.tried(True, now)
-        state.eject(now + 4 * ejection.FORGIVE)
+                state.record_trial(True, now)
+        state.eject(now + 4 * ejection.FORGIVENESS_INTERVAL)
 
         self.assertEqual(
-            [settings.hold * 2**n for n in range(4)], ejection_times
+            [settings.base_ejection_time * 2**n for n in range(4)],
+            ejection_times,
         )
-        self.assertEqual(settings.hold, state.hold())
+        self.assertEqual(settings.base_ejection_time, state.ejection_time())
 
     def test_request_from_before_the_change_does_not_count(self):
         """A trial request hangs; the target recovers and is normal again.
@@ -367,10 +377,10 @@
         """
         simulation = self.simulation()
         simulation.rounds(4, riders_2={"result": FAILED})
-        simulation.wait(bounds.DETECTION.hold)
+        simulation.wait(ejection_settings.DETECTION.base_ejection_time)
         for _ in range(3):
             simulation.start("riders-2")
-        for _ in range(bounds.DETECTION.trial_successes):
+        for _ in range(ejection_settings.DETECTION.trial_successes):
             simulation.request("riders-2")
         simulation.wait(datetime.timedelta(seconds=2))
 
--- a/endivewind/tests/decisions/peer_updates_tests.py
+++ b/endivewind/tests/decisions/peer_updates_tests.py
@@ -4,8 +4,8 @@
 import unittest
 
 from endivewind import exchange
+from endivewind.decisions import peer_updates
 from endivewind.decisions import suspicion
-from endivewind.decisions import telling
 
 SECOND = datetime.timedelta(seconds=1)
 
@@ -15,44 +15,48 @@
 
     def setUp(self):
         self.now = SECOND
-        self.suspicion = suspicion.Suspicion(self.now)
-        self.publisher = telling.Teller()
+        self.suspicion = suspicion.SuspicionEstimator(self.now)
+        self.publisher = peer_updates.TargetUpdatePublisher()
 
-    def advance(self, duration=telling.GAP):
+    def advance(self, duration=peer_updates.MIN_UPDATE_INTERVAL):
         self.now += duration
 
     def due_updates(self):
-        status = exchange.Glance(0, self.suspicion.probability(self.now))
-        update = telling.Condition("t1", status)
-        snapshot = telling.State(update, self.suspicion.signals)
-        return self.publisher.due([snapshot], self.now)
+        status = exchange.TargetStatus(0, self.suspicion.probability(self.now))
+        update = peer_updates.TargetUpdate("t1", status)
+        snapshot = peer_updates.TargetSnapshot(
+            update, self.suspicion.signal_count
+        )
+        return self.publisher.due_updates([snapshot], self.now)
 
     def observe(self, signal):
-        self.suspicion.take(signal, self.now)
+        self.suspicion.observe(signal, self.now)
 
     def test_healthy_target_causes_no_updates(self):
         for _ in range(100):
-            self.observe(suspicion.Signal.GOOD)
+            self.observe(suspicion.HealthSignal.SUCCESS)
             self.advance()
             self.assertEqual((), self.due_updates())
 
     def test_failure_is_pushed_at_once_and_recovery_once(self):
-        self.observe(suspicion.Signal.FAILED)
+        self.observe(suspicion.HealthSignal.FAILURE)
         self.assertEqual(1, len(self.due_updates()))
         updates = []
         for _ in range(20):
             self.advance()
-            self.observe(suspicion.Signal.GOOD)
+            self.observe(suspicion.HealthSignal.SUCCESS)
             updates += self.due_updates()
 
-        self.assertLess(updates[-1].glance.suspicion, suspicion.DOUBTFUL)
+        self.assertLess(
+            updates[-1].status.suspicion, suspicion.SUSPECT_THRESHOLD
+        )
         self.assertEqual(
-            [], [item for item in updates[:-1] if item.glance.suspicion < 0.11]
+            [], [item for item in updates[:-1] if item.status.suspicion < 0.11]
         )
 
     def test_no_update_without_new_signals(self):
         """Sender and receivers decay the suspicion in the same way."""
-        self.observe(suspicion.Signal.FAILED)
+        self.observe(suspicion.HealthSignal.FAILURE)
         self.due_updates()
         self.advance(10 * SECOND)
 
@@ -62,20 +66,22 @@
         count = 0
         for _ in range(1000):
             self.advance(SECOND / 100)
-            self.observe(suspicion.Signal.FAILED)
+            self.observe(suspicion.HealthSignal.FAILURE)
             count += len(self.due_updates())
 
-        self.assertLessEqual(count, 10 * SECOND / telling.GAP)
+        self.assertLessEqual(
+            count, 10 * SECOND / peer_updates.MIN_UPDATE_INTERVAL
+        )
         self.assertGreater(count, 20)
 
     def test_removed_target_is_pushed_again_when_it_is_back(self):
-        self.observe(suspicion.Signal.FAILED)
+        self.observe(suspicion.HealthSignal.FAILURE)
         self.due_updates()
         self.advance()
-        other = telling.State(
-            telling.Condition("t2", exchange.Glance(0, 0.9)), 1
+        other = peer_updates.TargetSnapshot(
+            peer_updates.TargetUpdate("t2", exchange.TargetStatus(0, 0.9)), 1
         )
-        self.publisher.due([other], self.now)
+        self.publisher.due_updates([other], self.now)
         self.advance()
 
         self.assertEqual(1, len(self.due_updates()))
--- a/endivewind/tests/decisions/quotas_tests.py
+++ b/endivewind/tests/decisions/quotas_tests.py
@@ -16,7 +16,7 @@
 class TokenBucketTest(unittest.TestCase):
     def setUp(self):
         self.limit = quotas.Limit(rate=2, capacity=3)
-        self.bucket = quotas.Share(self.limit, 3, 0 * SECOND)
+        self.bucket = quotas.TokenBucket(self.limit, 3, 0 * SECOND)
 
     def test_burst_then_rate(self):
         taken = [self.bucket.take(1, 0 * SECOND) for _ in range(5)]
@@ -68,10 +68,10 @@
     ):
         """Checks the tolerated bound in every window of five seconds."""
         tolerance = quotas.Tolerance(5 * SECOND, 0.1, 20)
-        limit = quotas.Limit.of_zone(rate, burst, zones, tolerance)
+        limit = quotas.Limit.for_zone(rate, burst, zones, tolerance)
         now = 0 * SECOND
         buckets = [
-            quotas.Share(limit, limit.capacity, now) for _ in range(zones)
+            quotas.TokenBucket(limit, limit.capacity, now) for _ in range(zones)
         ]
         taken = []
         for action, first, second, count, tenths in steps:
--- a/endivewind/tests/decisions/retries_tests.py
+++ b/endivewind/tests/decisions/retries_tests.py
@@ -29,11 +29,11 @@
         budget = retries.RetryBudget(retries.RetryLimits(percent / 100))
         taken = 0
         for want in wants:
-            budget.request(_NOW)
+            budget.record_request(_NOW)
             taken += want and budget.take(_NOW)
 
         share = len(wants) * percent / 100
-        self.assertLessEqual(taken, share + retries.RESERVE)
+        self.assertLessEqual(taken, share + retries.DEFAULT_RESERVE)
 
     def test_quiet_hour_saves_up_no_retries(self):
         """Everything fails at once after an hour without a failure.
@@ -42,12 +42,12 @@
         """
         budget = retries.RetryBudget(retries.RetryLimits(0.2))
         for second in range(3600):
-            budget.request(second * _SECOND)
+            budget.record_request(second * _SECOND)
 
         taken = sum(budget.take(3600 * _SECOND) for _ in range(1_000))
 
-        share = 0.2 * (retries.WINDOW / _SECOND)
-        self.assertLessEqual(taken, share + retries.RESERVE)
+        share = 0.2 * (retries.DEFAULT_WINDOW / _SECOND)
+        self.assertLessEqual(taken, share + retries.DEFAULT_RESERVE)
         self.assertGreater(taken, share)
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=50)
@@ -60,7 +60,7 @@
         now = _NOW
         for _ in range(600):
             now += _SECOND * rng.choice((0.01, 0.1, 0.5))
-            budget.request(now)
+            budget.record_request(now)
             asked.append(now)
             if budget.take(now):
                 taken.append(now)
@@ -82,10 +82,10 @@
         limits = retries.RetryLimits(0.2, reserve=0.5)
         budget = retries.RetryBudget(limits)
         for _ in range(10):
-            budget.request(_NOW)
+            budget.record_request(_NOW)
         alone = sum(budget.take(_NOW, may_borrow=True) for _ in range(20))
         for number in range(5):
-            budget.hear(f"n{number}", retries.Count(10, 0), _NOW)
+            budget.update_peer(f"n{number}", retries.RequestCounts(10, 0), _NOW)
 
         refused = sum(budget.take(_NOW) for _ in range(20))
         at_once = sum(budget.take(_NOW, may_borrow=True) for _ in range(20))
@@ -101,9 +101,9 @@
 
         Its own limit is less than one retry; the zone shares two and a half.
         """
-        limits = retries.RetryLimits(0.2, reserve=0.6, neighbours=4)
+        limits = retries.RetryLimits(0.2, reserve=0.6, neighbour_count=4)
         budget = retries.RetryBudget(limits)
-        budget.request(_NOW)
+        budget.record_request(_NOW)
 
         self.assertFalse(budget.take(_NOW))
         taken = sum(
@@ -118,17 +118,17 @@
         limits = retries.RetryLimits(0.2, reserve=0.5)
         budget = retries.RetryBudget(limits)
         for _ in range(25):
-            budget.request(_NOW)
-        budget.hear("n1", retries.Count(25, 10), _NOW)
+            budget.record_request(_NOW)
+        budget.update_peer("n1", retries.RequestCounts(25, 10), _NOW)
 
         self.assertTrue(budget.take(_NOW, may_borrow=True))
         self.assertFalse(budget.take(_NOW, may_borrow=True))
-        self.assertEqual(1.0, budget.spent(_NOW))
+        self.assertEqual(1.0, budget.spent_share(_NOW))
 
-        later = _NOW + retries.WINDOW
+        later = _NOW + retries.DEFAULT_WINDOW
         for _ in range(10):
-            budget.request(later)
-        self.assertEqual(0.0, budget.spent(later))
+            budget.record_request(later)
+        self.assertEqual(0.0, budget.spent_share(later))
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=100)
     @hypothesis.given(
@@ -148,13 +148,13 @@
         A node may use what others have left, and each keeps a fifth for
         itself. No retry may be spent twice, as a shared one and a kept one.
         """
-        limits = retries.RetryLimits(0.2, 0.5, neighbours=len(wants) - 1)
+        limits = retries.RetryLimits(0.2, 0.5, neighbour_count=len(wants) - 1)
         nodes = [retries.RetryBudget(limits) for _ in wants]
         bound, taken = 0.0, 0
         for number, (requests, _) in enumerate(wants):
             bound += 0.2 * requests + 0.5
             for _ in range(requests):
-                nodes[number].request(_NOW)
+                nodes[number].record_request(_NOW)
             self._exchange_counts(nodes, number)
         for number, (_, wanted) in enumerate(wants):
             for _ in range(wanted):
@@ -166,7 +166,7 @@
     def _exchange_counts(self, nodes, number):
         for other, node in enumerate(nodes):
             if other != number:
-                node.hear(str(number), nodes[number].count(_NOW), _NOW)
+                node.update_peer(str(number), nodes[number].counts(_NOW), _NOW)
 
     def test_charged_retries_reduce_later_ones(self):
         """Calls made by a retried request are charged, but never refused."""
@@ -175,7 +175,7 @@
             budget.charge(_NOW)
 
         self.assertFalse(budget.take(_NOW, may_borrow=True))
-        self.assertEqual(4, budget.count(_NOW).retries)
+        self.assertEqual(4, budget.counts(_NOW).retries)
 
     def test_outage_at_all_nodes_stays_within_the_fleets_bound(self):
         """Every request of a zone fails from one moment on.
@@ -200,12 +200,14 @@
             for number, node in enumerate(nodes):
                 if rng.random() < 0.2:
                     asked += 1
-                    node.request(now)
+                    node.record_request(now)
                     taken += node.take(now, may_borrow=True)
-                if step % 3 == 0 and node.count(now).retries:
+                if step % 3 == 0 and node.counts(now).retries:
                     for other in nodes:
                         if other is not node:
-                            other.hear(str(number), node.count(now), now)
+                            other.update_peer(
+                                str(number), node.counts(now), now
+                            )
         return asked, taken
 
     def test_share_of_zero_disables_retries(self):
--- a/endivewind/tests/decisions/slow_start_tests.py
+++ b/endivewind/tests/decisions/slow_start_tests.py
@@ -3,7 +3,7 @@
 import datetime
 import unittest
 
-from endivewind.decisions import ramp
+from endivewind.decisions import slow_start
 
 
 class SlowStartTest(unittest.TestCase):
@@ -14,19 +14,21 @@
     """
 
     def test_grows_from_one_slot_to_all(self):
-        ramp_up = ramp.Ramps()
+        ramp_up = slow_start.SlowStart()
         start = datetime.timedelta(seconds=5)
-        ramp_up.begin("a", start)
+        ramp_up.start("a", start)
 
         usable_slots = [
-            ramp_up.slots("a", 6, start + ramp.SPAN * quarter / 4)
+            ramp_up.usable_slots(
+                "a", 6, start + slow_start.SLOW_START_DURATION * quarter / 4
+            )
             for quarter in range(5)
         ]
 
         self.assertEqual([1, 1, 3, 4, 6], usable_slots)
 
     def test_other_targets_keep_their_slots(self):
-        ramp_up = ramp.Ramps()
-        ramp_up.begin("a", datetime.timedelta())
+        ramp_up = slow_start.SlowStart()
+        ramp_up.start("a", datetime.timedelta())
 
-        self.assertEqual(6, ramp_up.slots("b", 6, datetime.timedelta()))
+        self.assertEqual(6, ramp_up.usable_slots("b", 6, datetime.timedelta()))
--- a/endivewind/tests/decisions/suspicion_tests.py
+++ b/endivewind/tests/decisions/suspicion_tests.py
@@ -9,7 +9,7 @@
 from endivewind.decisions import suspicion
 
 SECOND = datetime.timedelta(seconds=1)
-Signal = suspicion.Signal
+Signal = suspicion.HealthSignal
 
 
 class SuspicionTest(unittest.TestCase):
@@ -17,51 +17,51 @@
 
     def setUp(self):
         self.now = SECOND
-        self.suspicion = suspicion.Suspicion(self.now)
+        self.suspicion = suspicion.SuspicionEstimator(self.now)
 
     def observe(self, signal, count=1):
         for _ in range(count):
             self.now += SECOND / 5
-            self.suspicion.take(signal, self.now)
+            self.suspicion.observe(signal, self.now)
         return self.suspicion.probability(self.now)
 
     def test_one_failure_after_many_successes_makes_target_suspect(self):
-        before = self.observe(Signal.GOOD, 20)
-        after = self.observe(Signal.FAILED)
+        before = self.observe(Signal.SUCCESS, 20)
+        after = self.observe(Signal.FAILURE)
 
         self.assertLess(before, 0.02)
         self.assertTrue(0.2 < after < 0.5, after)
 
     def test_two_failures_in_a_row_give_high_suspicion(self):
-        self.observe(Signal.GOOD, 20)
+        self.observe(Signal.SUCCESS, 20)
 
-        self.assertGreater(self.observe(Signal.FAILED, 2), 0.9)
+        self.assertGreater(self.observe(Signal.FAILURE, 2), 0.9)
 
     def test_single_failure_is_outweighed_by_two_successes(self):
-        self.observe(Signal.GOOD, 20)
-        self.observe(Signal.FAILED)
+        self.observe(Signal.SUCCESS, 20)
+        self.observe(Signal.FAILURE)
 
-        self.assertLess(self.observe(Signal.GOOD, 2), 0.15)
+        self.assertLess(self.observe(Signal.SUCCESS, 2), 0.15)
 
     def test_target_recovers_after_five_successes(self):
         """Recovery is not announced, and capacity must not stay unused.
 
         The target has failed a hundred requests before.
         """
-        self.observe(Signal.FAILED, 100)
+        self.observe(Signal.FAILURE, 100)
 
-        self.assertLess(self.observe(Signal.GOOD, 5), 0.15)
+        self.assertLess(self.observe(Signal.SUCCESS, 5), 0.15)
 
     def test_suspicion_decays_to_the_prior_without_signals(self):
-        self.observe(Signal.FAILED, 10)
+        self.observe(Signal.FAILURE, 10)
 
         later = self.suspicion.probability(self.now + 30 * SECOND)
 
-        self.assertAlmostEqual(suspicion.UNKNOWN, later, delta=0.01)
+        self.assertAlmostEqual(suspicion.PRIOR_SUSPICION, later, delta=0.01)
 
     def test_decay_ignores_a_negative_age(self):
         """Nodes' clocks differ, so an update may seem to be from the future."""
-        found = suspicion.drifted(0.9, -SECOND)
+        found = suspicion.decay(0.9, -SECOND)
 
         self.assertAlmostEqual(0.9, found)
 
@@ -76,14 +76,16 @@
         )
     )
     def test_suspicion_stays_within_limits_and_can_recover(self, signals):
-        estimator = suspicion.Suspicion(SECOND)
+        estimator = suspicion.SuspicionEstimator(SECOND)
         now = SECOND
         for signal, seconds in signals:
             now += seconds * SECOND
-            estimator.take(signal, now)
-            self.assertTrue(0 < estimator.probability(now) <= suspicion.MOST)
+            estimator.observe(signal, now)
+            self.assertTrue(
+                0 < estimator.probability(now) <= suspicion.MAX_SUSPICION
+            )
 
         for _ in range(8):
-            estimator.take(Signal.GOOD, now)
+            estimator.observe(Signal.SUCCESS, now)
 
         self.assertLess(estimator.probability(now), 0.1)
--- a/endivewind/tests/decisions/traffic_splitting_tests.py
+++ b/endivewind/tests/decisions/traffic_splitting_tests.py
@@ -7,7 +7,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from endivewind.decisions import splitting
+from endivewind.decisions import traffic_splitting
 
 
 class TrafficSplitterTest(unittest.TestCase):
@@ -24,13 +24,17 @@
     )
     def test_every_service_gets_its_share(self, weights, seed):
         services = [
-            splitting.Part(f"s{number}", weight)
+            traffic_splitting.WeightedService(f"s{number}", weight)
             for number, weight in enumerate(weights)
         ]
-        splitter = splitting.Splitter(services, random.Random(seed))
+        splitter = traffic_splitting.TrafficSplitter(
+            services, random.Random(seed)
+        )
         count = 4 * sum(weights)
 
-        selected = collections.Counter(splitter.next() for _ in range(count))
+        selected = collections.Counter(
+            splitter.next_service() for _ in range(count)
+        )
 
         for candidate in services:
             # Off by one at each end, because of the random start position.
@@ -40,17 +44,25 @@
             )
 
     def test_service_with_zero_weight_gets_nothing(self):
-        services = [splitting.Part("old", 5), splitting.Part("new", 0)]
-        splitter = splitting.Splitter(services, random.Random(1))
+        services = [
+            traffic_splitting.WeightedService("old", 5),
+            traffic_splitting.WeightedService("new", 0),
+        ]
+        splitter = traffic_splitting.TrafficSplitter(services, random.Random(1))
 
-        selected = {splitter.next() for _ in range(50)}
+        selected = {splitter.next_service() for _ in range(50)}
 
         self.assertEqual({"old"}, selected)
 
     def test_ingress_nodes_start_with_different_services(self):
-        services = [splitting.Part("old", 1), splitting.Part("new", 1)]
+        services = [
+            traffic_splitting.WeightedService("old", 1),
+            traffic_splitting.WeightedService("new", 1),
+        ]
         first_services = collections.Counter(
-            splitting.Splitter(services, random.Random(seed)).next()
+            traffic_splitting.TrafficSplitter(
+                services, random.Random(seed)
+            ).next_service()
             for seed in range(200)
         )
 
--- a/endivewind/tests/loads/fleet.py
+++ b/endivewind/tests/loads/fleet.py
@@ -19,8 +19,8 @@
 from endivewind.callers import waiting
 from endivewind.config import objects
 from endivewind.config import store
-from endivewind.decisions import placing
-from endivewind.decisions import telling
+from endivewind.decisions import load_balancing
+from endivewind.decisions import peer_updates
 from endivewind.nodes import view
 from endivewind.standins import virtual
 from endivewind.targets import dispatch
@@ -173,7 +173,9 @@
             service=SERVICE, address="http://t", lease_ms=60_000, slots=slots
         )
         self._tells = tells
-        self._tellers = collections.defaultdict(telling.Teller)
+        self._tellers = collections.defaultdict(
+            peer_updates.TargetUpdatePublisher
+        )
         self.loop = virtual.VirtualLoop()
         self.clock = virtual.LoopClock(self.loop)
         self.rng = random.Random(seed)
@@ -242,10 +244,10 @@
             zone=zone,
             slots=self._announcement.slots,
         )
-        self._view.put_home(name, 1, 1, [record])
+        self._view.put_home_state(name, 1, 1, [record])
 
     def _entry(self, zone, number):
-        place = placing.Place(f"entry-{zone}-{number}", zone[0], zone)
+        place = load_balancing.Locality(f"entry-{zone}-{number}", zone[0], zone)
         placed = placement.Placement(
             place, self._view, lambda _: 0, self.clock, self.rng
         )
@@ -333,7 +335,7 @@
         for name, held in self._held.items():
             zone = name.rpartition("-")[0]
             states = [item.state(now) for item in held.held()]
-            for condition in self._tellers[name].due(states, now):
+            for condition in self._tellers[name].due_updates(states, now):
                 for placed in self._placements[zone]:
                     placed.hear(condition)
         self._tell_tallies()
@@ -353,7 +355,7 @@
     def _share(self, zone, other):
         """Whether entries of two zones share their retries."""
         region = 2 * len(self._entries[zone])
-        whole = telling.shares_region(region - 1)
+        whole = peer_updates.shares_retries_in_region(region - 1)
         return zone == other or (whole and zone[0] == other[0])
 
     async def _ask(self, kind, zone):
@@ -370,8 +372,8 @@
             "",
             datetime.timedelta(seconds=kind.timeout),
             ticket=number if kind.once else "",
-            aim=datetime.timedelta(seconds=kind.aim),
-            level=waiting.level(route),
+            latency_objective=datetime.timedelta(seconds=kind.aim),
+            queue_priority=waiting.level(route),
         )
         started = self.loop.time()
         entry = self.rng.choice(self._entries[zone])
--- a/endivewind/tests/loads/quotas.py
+++ b/endivewind/tests/loads/quotas.py
@@ -16,12 +16,12 @@
 from endivewind.nodes import view
 from endivewind.standins import virtual
 
-REGIONS = 3
-ZONES = 6
-NEAR_SECONDS = 0.002
-REGION_SECONDS = 0.004
-FAR_SECONDS = 0.062
-LOST = 0.005
+REGION_COUNT = 3
+ZONE_COUNT = 6
+ZONE_RTT_SECONDS = 0.002
+REGION_RTT_SECONDS = 0.004
+CROSS_REGION_RTT_SECONDS = 0.062
+LOSS_RATE = 0.005
 TOLERANCE = quotas.Tolerance()
 WINDOW_SECONDS = TOLERANCE.window.total_seconds()
 
@@ -43,8 +43,8 @@
     per_second: float
     quota: quotas.Quota
     zone: int | None = None
-    busy: tuple[float, float] = (0, 0)
-    times: float = 1
+    peak: tuple[float, float] = (0, 0)
+    peak_factor: float = 1
 
 
 @dataclasses.dataclass
@@ -56,8 +56,8 @@
       admissions: times at which requests were admitted.
     """
 
-    asked: list[float] = dataclasses.field(default_factory=list)
-    ran: list[float] = dataclasses.field(default_factory=list)
+    arrivals: list[float] = dataclasses.field(default_factory=list)
+    admissions: list[float] = dataclasses.field(default_factory=list)
 
     def excess(self, quota: quotas.Quota) -> float:
         """Returns how far the worst window exceeds the tolerated bound."""
@@ -66,35 +66,38 @@
         ) + TOLERANCE.requests
         worst = max(
             (
-                bisect.bisect_right(self.ran, at + WINDOW_SECONDS) - number
-                for number, at in enumerate(self.ran)
+                bisect.bisect_right(self.admissions, at + WINDOW_SECONDS)
+                - number
+                for number, at in enumerate(self.admissions)
             ),
             default=0,
         )
         return worst - allowed
 
-    def refused_below(self, quota: quotas.Quota) -> float:
+    def refused_share(self, quota: quotas.Quota) -> float:
         """Returns the share refused of what a single bucket would admit."""
         tokens, at, admitted = quota.burst, 0.0, 0
-        for now in self.asked:
+        for now in self.arrivals:
             tokens = min(quota.burst, tokens + quota.rate * (now - at))
             at = now
             if tokens >= 1:
                 tokens -= 1
                 admitted += 1
-        return max(0.0, 1 - len(self.ran) / admitted) if admitted else 0.0
+        return (
+            max(0.0, 1 - len(self.admissions) / admitted) if admitted else 0.0
+        )
 
 
 class _Node:
     def __init__(self, fleet, number, zones):
         self.fleet = fleet
-        self.zone = number % ZONES
+        self.zone = number % ZONE_COUNT
         quota_zone = zones(number)
         self.record = view.NodeRecord(
             f"n{number}",
             number,
             f"n{number}",
-            f"r{self.zone % REGIONS}",
+            f"r{self.zone % REGION_COUNT}",
             quota_zone,
         )
         self.alive = True
@@ -116,12 +119,12 @@
 
     async def ask(self, address, question, limit):
         """Sends a message; stands in for the pool of links."""
-        self.fleet.questions += 1
+        self.fleet.message_count += 1
         other = self.fleet.by_name[address]
-        if not other.alive or self.fleet.rng.random() < LOST:
+        if not other.alive or self.fleet.rng.random() < LOSS_RATE:
             await asyncio.sleep(limit.total_seconds())
             return None
-        seconds = self.fleet.seconds(self, other)
+        seconds = self.fleet.rtt_seconds(self, other)
         await asyncio.sleep(seconds / 2)
         answer = await other.peer.answer(question.quota_ask)
         await asyncio.sleep(seconds / 2)
@@ -145,10 +148,10 @@
         self.rng = random.Random(seed)
         self.traffic = {item.workspace: item for item in traffic}
         self.quotas = {item.workspace: item.quota for item in traffic}
-        self.questions = 0
-        self.requests = 0
+        self.message_count = 0
+        self.request_count = 0
         self.outcomes = collections.defaultdict(Outcome)
-        zone_of = zones or (lambda number: number % ZONES)
+        zone_of = zones or (lambda number: number % ZONE_COUNT)
         self.zone_count = len({zone_of(number) for number in range(size)})
         self.nodes = {}
         self.by_name = {}
@@ -161,12 +164,14 @@
         """Returns the current quota of a workspace."""
         return self.quotas.get(workspace)
 
-    def seconds(self, one, other):
+    def rtt_seconds(self, one, other):
         """Returns the round-trip time between two nodes."""
         if one.zone == other.zone:
-            return NEAR_SECONDS
-        is_same_region = one.zone % REGIONS == other.zone % REGIONS
-        return REGION_SECONDS if is_same_region else FAR_SECONDS
+            return ZONE_RTT_SECONDS
+        is_same_region = one.zone % REGION_COUNT == other.zone % REGION_COUNT
+        return (
+            REGION_RTT_SECONDS if is_same_region else CROSS_REGION_RTT_SECONDS
+        )
 
     def kill(self, name):
         """Stops a node; the other nodes still list it."""
@@ -183,7 +188,7 @@
         node.start()
         self.nodes[name] = node.record
 
-    def play(self, seconds, events=()):
+    def run(self, seconds, events=()):
         """Runs the traffic of all workspaces.
 
         Args:
@@ -211,8 +216,8 @@
         running = set()
         while True:
             elapsed = self.loop.time() - started_at
-            start, end = traffic.busy
-            factor = traffic.times if start <= elapsed < end else 1
+            start, end = traffic.peak
+            factor = traffic.peak_factor if start <= elapsed < end else 1
             rate = traffic.per_second * factor
             await asyncio.sleep(self.rng.expovariate(rate))
             if self.loop.time() - started_at > seconds:
@@ -234,8 +239,8 @@
         return self.by_name[self.rng.choice(names)]
 
     async def _send_request(self, node, workspace):
-        self.requests += 1
+        self.request_count += 1
         outcome = self.outcomes[workspace]
-        outcome.asked.append(self.loop.time())
+        outcome.arrivals.append(self.loop.time())
         if await node.allowances.take(workspace) is None:
-            outcome.ran.append(self.loop.time())
+            outcome.admissions.append(self.loop.time())
--- a/endivewind/tests/loads/quotas_tests.py
+++ b/endivewind/tests/loads/quotas_tests.py
@@ -14,7 +14,7 @@
 SIZE = 30
 
 
-def workspaces(count, largest=20.0, headroom=1.6):
+def skewed_traffic(count, largest=20.0, headroom=1.6):
     """Returns traffic of decreasing rate, each with a quota above it."""
     traffic = []
     for number in range(count):
@@ -31,21 +31,21 @@
         for name, outcome in fleet.outcomes.items():
             quota = fleet.quotas[name]
             self.assertLessEqual(outcome.excess(quota), 0, name)
-            refused += outcome.refused_below(quota) * len(outcome.ran)
-            admitted += len(outcome.ran)
+            refused += outcome.refused_share(quota) * len(outcome.admissions)
+            admitted += len(outcome.admissions)
         self.assertLessEqual(refused / admitted, max_refused_share)
 
     def test_normal_traffic_is_not_refused(self):
         for size in (3, SIZE, 102):
             with self.subTest(size):
-                fleet = loads.Fleet(size, workspaces(20))
+                fleet = loads.Fleet(size, skewed_traffic(20))
 
-                fleet.play(15)
+                fleet.run(15)
 
                 self.check(fleet)
 
     def test_one_workspace_sends_over_seven_times_its_normal_rate(self):
-        traffic = workspaces(12)
+        traffic = skewed_traffic(12)
         for number in (0, 3, 11):
             with self.subTest(number):
                 all_traffic = list(traffic)
@@ -54,22 +54,22 @@
                     item.workspace,
                     item.per_second,
                     item.quota,
-                    busy=(4, 14),
-                    times=7.5,
+                    peak=(4, 14),
+                    peak_factor=7.5,
                 )
                 fleet = loads.Fleet(SIZE, all_traffic)
 
-                fleet.play(18)
+                fleet.run(18)
 
                 self.check(fleet, max_refused_share=0.05)
 
     def test_all_traffic_of_a_workspace_enters_in_one_zone(self):
         """Its zone has a sixth of the quota and borrows the rest."""
         quota = quotas.Quota(32, 32)
-        traffic = [loads.Traffic("w", 20, quota, zone=2), *workspaces(5)]
+        traffic = [loads.Traffic("w", 20, quota, zone=2), *skewed_traffic(5)]
         fleet = loads.Fleet(SIZE, traffic)
 
-        fleet.play(15)
+        fleet.run(15)
 
         self.check(fleet, max_refused_share=0.02)
 
@@ -82,15 +82,17 @@
         traffic = [loads.Traffic("w", 40, quotas.Quota(64, 64))]
         fleet = loads.Fleet(SIZE, traffic)
 
-        fleet.play(18, [(5, lower)])
+        fleet.run(18, [(5, lower)])
 
         # The bound applies to whole windows; the first starts once the new
         # quota is in force.
         outcome = fleet.outcomes["w"]
-        started_at = outcome.asked[0]
-        outcome.ran = [at for at in outcome.ran if at - started_at > 5.1]
+        started_at = outcome.arrivals[0]
+        outcome.admissions = [
+            at for at in outcome.admissions if at - started_at > 5.1
+        ]
         self.assertLessEqual(outcome.excess(low), 0)
-        self.assertGreater(len(outcome.ran), 30)
+        self.assertGreater(len(outcome.admissions), 30)
 
     def test_bucket_owners_are_killed_and_restarted(self):
         """Half of the nodes die at once; one workspace exceeds its quota."""
@@ -108,13 +110,13 @@
             for name in names:
                 fleet.restart(name)
 
-        traffic = workspaces(10)
+        traffic = skewed_traffic(10)
         traffic[0] = loads.Traffic(
-            "w0", 20, traffic[0].quota, busy=(0, 30), times=4
+            "w0", 20, traffic[0].quota, peak=(0, 30), peak_factor=4
         )
         fleet = loads.Fleet(SIZE, traffic)
 
-        fleet.play(20, [(6, kill), (9, forget), (10, restart)])
+        fleet.run(20, [(6, kill), (9, forget), (10, restart)])
 
         self.check(fleet, max_refused_share=0.2)
 
@@ -125,8 +127,8 @@
             at = 3 + number * 0.5
             events.append((at, lambda f, n=name: (f.kill(n), f.forget(n))))
             events.append((at + 1, lambda f, n=name: f.restart(n)))
-        fleet = loads.Fleet(SIZE, workspaces(12))
+        fleet = loads.Fleet(SIZE, skewed_traffic(12))
 
-        fleet.play(20, events)
+        fleet.run(20, events)
 
         self.check(fleet, max_refused_share=0.02)
--- a/endivewind/tests/loads/sharing_tests.py
+++ b/endivewind/tests/loads/sharing_tests.py
@@ -9,8 +9,8 @@
 import unittest
 from unittest import mock
 
+from endivewind.decisions import peer_updates
 from endivewind.decisions import retries
-from endivewind.decisions import telling
 from endivewind.tests.loads import fleet
 
 LOOKUP = fleet.Kind("lookup", 26, 0.5, 0.6, 2.0, 8.0)
@@ -62,7 +62,9 @@
         Over six seeds 1.2 in 100 were lost where zones share within
         themselves, 0.8 where the two zones of a region share.
         """
-        with mock.patch.object(telling, "shares_region", lambda others: False):
+        with mock.patch.object(
+            peer_updates, "shares_retries_in_region", lambda others: False
+        ):
             before = _lost()
 
         self.assertLess(_lost(), 0.8 * before)
--- a/endivewind/tests/loads/silence_tests.py
+++ b/endivewind/tests/loads/silence_tests.py
@@ -9,7 +9,7 @@
 import unittest
 from unittest import mock
 
-from endivewind.decisions import silence
+from endivewind.decisions import response_times
 from endivewind.tests.loads import fleet
 
 LOOKUP = fleet.Kind("lookup", 48, 0.66, 0.3, 2.15, 4.0, rank=2)
@@ -38,7 +38,7 @@
     def test_pending_requests_count_as_evidence(self):
         """Guards against sending orders to targets that hang on them."""
         with mock.patch.object(
-            silence.AnswerTimes, "likelihood", return_value=1.0
+            response_times.ResponseTimes, "likelihood_ratio", return_value=1.0
         ):
             before = [_simulate(seed) for seed in (1, 2)]
         after = [_simulate(seed) for seed in (1, 2)]
@@ -65,11 +65,11 @@
     latency_objective = datetime.timedelta(seconds=2)
 
     def setUp(self):
-        self.times = silence.AnswerTimes()
+        self.times = response_times.ResponseTimes()
 
     def likelihood_ratio(self, seconds):
         age = datetime.timedelta(seconds=seconds)
-        return self.times.likelihood(self.latency_objective, age)
+        return self.times.likelihood_ratio(self.latency_objective, age)
 
     def test_likelihood_ratio_grows_with_age(self):
         ratios = [
@@ -83,17 +83,19 @@
 
     def test_likelihood_ratio_is_bounded(self):
         """Latencies have a tail; one long request must not condemn a target."""
-        self.assertLess(self.likelihood_ratio(600), 1 / silence.TAIL)
+        self.assertLess(
+            self.likelihood_ratio(600), 1 / response_times.HEALTHY_HANG_SHARE
+        )
 
     def test_distribution_adapts_to_observed_latencies(self):
         before = self.likelihood_ratio(0.6)
         for _ in range(40):
-            self.times.take(
+            self.times.observe(
                 self.latency_objective, datetime.timedelta(seconds=0.1)
             )
         after_fast_responses = self.likelihood_ratio(0.6)
         for _ in range(300):
-            self.times.take(
+            self.times.observe(
                 self.latency_objective, datetime.timedelta(seconds=1.5)
             )
 
@@ -103,4 +105,6 @@
     def test_without_latency_objective_the_ratio_is_one(self):
         age = datetime.timedelta(seconds=9)
 
-        self.assertEqual(1.0, self.times.likelihood(datetime.timedelta(), age))
+        self.assertEqual(
+            1.0, self.times.likelihood_ratio(datetime.timedelta(), age)
+        )
--- a/endivewind/tests/loads/spells_tests.py
+++ b/endivewind/tests/loads/spells_tests.py
@@ -45,7 +45,7 @@
         Over six seeds 1.9 orders and 1.0 look-ups in a hundred were lost; 1.2
         of them fail at any target.
         """
-        with mock.patch.object(suspicion.Suspicion, "take"):
+        with mock.patch.object(suspicion.SuspicionEstimator, "observe"):
             before = _play()
         for seed in (1, 2):
             after = _play(seed)
--- a/endivewind/tests/metrics_tests.py
+++ b/endivewind/tests/metrics_tests.py
@@ -44,7 +44,7 @@
     requests.placed("riders", 1)
     requests.placed("riders", 2)
     clock.advance(datetime.timedelta(milliseconds=3))
-    requests.ended(started, "riders", expression.Ok(exchange.Answer(200, ())))
+    requests.ended(started, "riders", expression.Ok(exchange.Response(200, ())))
     sources = metrics.Sources(
         requests=requests,
         health_changes={("riders", "ejected"): 2},
--- a/endivewind/tests/nodes/gossip_tests.py
+++ b/endivewind/tests/nodes/gossip_tests.py
@@ -3,8 +3,8 @@
 import unittest
 
 from endivewind import exchange
+from endivewind.decisions import peer_updates
 from endivewind.decisions import retries
-from endivewind.decisions import telling
 from endivewind.nodes import codec
 from endivewind.nodes import datagrams
 from endivewind.nodes import gossip_messages
@@ -221,10 +221,14 @@
     """Bytes that are not from a node with the key."""
 
     def test_news_of_a_zone_come_through(self):
-        news = telling.News(
-            (telling.Condition("riders-1", exchange.Glance(2, 0.413)),),
-            (telling.Tally("riders", retries.Count(20, 3)),),
-            (telling.Way("riders", "/orders/"),),
+        news = peer_updates.PeerUpdate(
+            (
+                peer_updates.TargetUpdate(
+                    "riders-1", exchange.TargetStatus(2, 0.413)
+                ),
+            ),
+            (peer_updates.RetryUsage("riders", retries.RequestCounts(20, 3)),),
+            (peer_updates.IngressRoute("riders", "/orders/"),),
         )
         datagram = gossip_messages.Datagram("n1", 7, news=news)
 
--- a/endivewind/tests/nodes/links_tests.py
+++ b/endivewind/tests/nodes/links_tests.py
@@ -46,11 +46,11 @@
                 frame = await codec.read_frame(reader)
                 if frame.heartbeat is not None:
                     if self.present:
-                        writer.write(codec.encode(frame))
+                        writer.write(codec.encode_frame(frame))
                     continue
                 self.forwards += 1
                 for answer in self.script(frame.forward.exchange):
-                    writer.write(codec.encode(answer))
+                    writer.write(codec.encode_frame(answer))
                 await writer.drain()
         except (EOFError, OSError, asyncio.CancelledError):
             writer.close()
@@ -91,8 +91,8 @@
         result = await self._send(
             lambda number: [_answer(number, whole=False), _chunk(number)]
         )
-        await result.ok.rest.__anext__()
-        await result.ok.rest.aclose()
+        await result.ok.stream.__anext__()
+        await result.ok.stream.aclose()
         following = await self._send(lambda number: [_answer(number, b"own")])
 
         self.assertEqual(b"own", following.ok.body)
@@ -108,8 +108,8 @@
 
         result = await self._send(script)
 
-        with self.assertRaises(exchange.TruncatedAnswerError):
-            async for _ in result.ok.rest:
+        with self.assertRaises(exchange.TruncatedResponseError):
+            async for _ in result.ok.stream:
                 pass
 
     async def test_a_silent_home_gets_no_work_that_must_not_repeat(self):
@@ -149,7 +149,7 @@
 
 
 def _answer(number, body=b"", whole=True):
-    answer = codec.messages.Answer(
+    answer = codec.messages.Response(
         exchange=number,
         status=200,
         headers=[],
@@ -160,5 +160,5 @@
 
 
 def _chunk(number):
-    chunk = codec.messages.Chunk(exchange=number, data=b"x", last=False)
+    chunk = codec.messages.BodyChunk(exchange=number, data=b"x", last=False)
     return codec.messages.Frame(chunk=chunk)
--- a/endivewind/tests/nodes/network.py
+++ b/endivewind/tests/nodes/network.py
@@ -42,7 +42,9 @@
         self.members = membership.Membership(self.record, clock, rng, contacts)
         self.core = gossip.Gossip(self.members, self.view, clock, rng)
         identity = registry.HomeIdentity(name, incarnation, *place)
-        self.targets = registry.TargetRegistry(identity, clock, self.view.claim)
+        self.targets = registry.TargetRegistry(
+            identity, clock, self.view.find_target
+        )
 
     def announce(
         self,
@@ -76,7 +78,7 @@
 
     def homes(self, target: str) -> str | None:
         """Where this node would send the target's work."""
-        found = self.view.claim(target)
+        found = self.view.find_target(target)
         return found.home if found else None
 
 
@@ -175,7 +177,7 @@
                 self.largest = max(self.largest, len(payload))
                 link = False
             else:
-                payload = codec.encode(states.frame_out(item.message))
+                payload = codec.encode_frame(states.frame_out(item.message))
                 link = True
                 self.link_frames += 1
             self.sent_bytes += len(payload)
@@ -215,7 +217,7 @@
             sends = node.core.receive(f"{message.sender}:1", datagram)
             self._send(node.name, sends)
         else:
-            frame = states.frame_in(codec.decode(message.payload[4:]))
+            frame = states.frame_in(codec.decode_frame(message.payload[4:]))
             if isinstance(frame, gossip_messages.Pull):
                 parts = [
                     gossip_messages.Send(frame.address, part)
@@ -233,5 +235,5 @@
 
 def health_of(node: Member, target: str) -> records.Health | None:
     """What a node believes of a target's health."""
-    found = node.view.claim(target)
+    found = node.view.find_target(target)
     return found.health if found else None
--- a/endivewind/tests/nodes/view_tests.py
+++ b/endivewind/tests/nodes/view_tests.py
@@ -93,12 +93,12 @@
         self.view.put_change(_change("c", 1))
         self.assertEqual({}, self._homes_by_target())
         self.view.put_node(view.NodeRecord("c", 1, "c:1", "caribe", "caribe-a"))
-        self.assertEqual("caribe", self.view.claim("t1").region)
+        self.assertEqual("caribe", self.view.find_target("t1").region)
 
     def test_whole_state_replaces_older_changes(self):
         self.view.put_change(_change("a", 1, target="t1"))
         self.view.put_change(_change("a", 4, target="t4"))
-        self.view.put_home("a", 1, 3, [_record("a", 2, target="t2")])
+        self.view.put_home_state("a", 1, 3, [_record("a", 2, target="t2")])
         self.assertEqual({"t2": "a", "t4": "a"}, self._homes_by_target())
         self.assertEqual(4, self.view.home_version("a").sequence)
 
--- a/endivewind/tests/proofs/platform_tests.py
+++ b/endivewind/tests/proofs/platform_tests.py
@@ -12,7 +12,7 @@
 
 HOST = "shop.example"
 BORN = 1_700_000_000_000
-STAMP = names.HEADERS.answer_mark
+STAMP = names.HEADERS.response_marker
 
 
 def _configuration(version, service="riders"):
--- a/endivewind/tests/targets/dispatch_tests.py
+++ b/endivewind/tests/targets/dispatch_tests.py
@@ -78,7 +78,7 @@
 class _Case(unittest.TestCase):
     """One target with two slots."""
 
-    names = headers.OWN
+    names = headers.DEFAULT_NAMES
 
     def setUp(self):
         self.loop = virtual.VirtualLoop()
@@ -189,7 +189,7 @@
 
         result = self.run_one()
         held = self.targets.get("t").in_use
-        self.loop.run_until_complete(result.ok.rest.aclose())
+        self.loop.run_until_complete(result.ok.stream.aclose())
 
         self.assertEqual((1, 0), (held, self.targets.get("t").in_use))
         self.assertEqual([evidence.Kind.CANCELLED], self.samples)
@@ -198,11 +198,11 @@
 class MarkedAnswersTest(_Case):
     """Targets that tell whose answer it is, and whether they ran it."""
 
-    names = headers.Names(
+    names = headers.HeaderNames(
         request_id="Own-Id",
         expected_target="Expect",
         not_run="Not-Run",
-        answer_mark="Mark",
+        response_marker="Mark",
     )
 
     def test_an_answer_to_another_request_reaches_nobody(self):
@@ -291,7 +291,7 @@
 
         self.assertIs(exchange.Reason.SUSPECT, result.error.reason)
         self.assertEqual(exchange.Outcome.NOT_RUN, result.error.outcome)
-        self.assertGreater(result.error.glance.suspicion, 0.5)
+        self.assertGreater(result.error.target_status.suspicion, 0.5)
         self.assertEqual(before, self.fresh.requests)
 
     def test_what_may_be_repeated_finds_out_that_it_is_well(self):
--- a/endivewind/tests/targets/registry_tests.py
+++ b/endivewind/tests/targets/registry_tests.py
@@ -111,7 +111,7 @@
         self.assertTrue(self.targets.give_up(self._rival(moves=2)))
         self.assertIsNone(self.targets.get("t1"))
         gone = self.targets.take_changes()[-1]
-        self.assertTrue(gone.gone)
+        self.assertTrue(gone.is_removal)
 
     def test_late_announcement_is_refused(self):
         """An announcement that crossed a later one elsewhere is not taken."""
