--- a/endivewind/targets/dispatch.py
+++ b/endivewind/targets/dispatch.py
@@ -242,7 +242,9 @@
         if result.is_error():
             hand_over.end()
             return expression.Error(
-                dataclasses.replace(result.error, target_status=self._glance(item))
+                dataclasses.replace(
+                    result.error, target_status=self._glance(item)
+                )
             )
         if result.ok.stream is None:
             hand_over.end()
