--- a/endivewind/nodes/__init__.py
+++ b/endivewind/nodes/__init__.py
@@ -1,1 +1,1 @@
-"""The side towards other nodes: messages, links, gossip."""
+"""Communication between nodes: gossip, membership, links and messages."""
--- a/endivewind/nodes/changes.py
+++ b/endivewind/nodes/changes.py
@@ -1,6 +1,6 @@
-"""What gossip carries, as bytes: member records and target changes.
+"""Encodes the changes that gossip carries: member records, target changes.
 
-A change is encoded once, by the node that makes it, and passed on as it is.
+A change is encoded once, by the node that makes it, and forwarded unchanged.
 """
 
 import functools
@@ -19,8 +19,8 @@
 
 @functools.singledispatch
 def encode(change: Change) -> bytes:
-    """A change as thrift bytes."""
-    raise TypeError(f"no encoding of {type(change).__name__}")
+    """Encodes a change in thrift's binary form."""
+    raise TypeError(f"no encoding for {type(change).__name__}")
 
 
 @encode.register
@@ -38,13 +38,17 @@
     return write(codec.messages.Change(target=target))
 
 
-# Each change comes a dozen times; the copies cost a look-up only.
+# A node receives each change about a dozen times; the cache avoids decoding it
+# again.
 @functools.lru_cache(maxsize=2048)
 def decode(payload: bytes) -> Change | None:
-    """A change from bytes; None where a later release has sent a new kind.
+    """Decodes a change.
+
+    Returns:
+      The change, or None if it is of a kind added in a later release.
 
     Raises:
-      codec.FrameError: the bytes are not a change.
+      codec.FrameError: if the bytes are not a valid change.
     """
     change = read(payload, codec.messages.Change())
     try:
@@ -60,7 +64,7 @@
 
 
 def member_out(record: membership.MemberRecord) -> Any:
-    """A member record as a thrift struct."""
+    """Converts a member record to a thrift struct."""
     node = record.node
     return codec.messages.Member(
         name=node.name,
@@ -74,9 +78,9 @@
 
 
 def member_in(member: Any) -> membership.MemberRecord:
-    """A member record from a thrift struct."""
+    """Converts a thrift struct to a member record."""
     if not (member.name and member.address and member.incarnation):
-        raise ValueError("a member without name, address or incarnation")
+        raise ValueError("member without name, address or incarnation")
     node = view.NodeRecord(
         member.name,
         member.incarnation,
@@ -89,7 +93,7 @@
 
 
 def target_out(record: records.TargetRecord) -> Any:
-    """A target record as a thrift struct that does not name its home."""
+    """Converts a target record to a thrift struct without its home."""
     return codec.messages.TargetChange(
         sequence=record.sequence,
         id=record.id,
@@ -104,9 +108,12 @@
 
 
 def target_in(target: Any, home: str, incarnation: int) -> records.TargetRecord:
-    """A target record of a home; the view adds the home's place."""
+    """Converts a thrift struct to a target record.
+
+    The region and zone stay empty; the view adds those of the home.
+    """
     if not (target.id and target.service_name and home):
-        raise ValueError("a target without id, service or home")
+        raise ValueError("target without id, service or home")
     return records.TargetRecord(
         id=target.id,
         service=target.service_name,
@@ -125,7 +132,7 @@
 
 
 def write(struct: Any) -> bytes:
-    """A thrift struct in thrift's binary form."""
+    """Encodes a thrift struct in thrift's binary form."""
     buffer = transport.TCyMemoryBuffer()
     protocol.TCyBinaryProtocol(buffer).write_struct(struct)
     payload: bytes = buffer.getvalue()
@@ -133,11 +140,15 @@
 
 
 def read(payload: bytes, struct: Any) -> Any:
-    """Fills a thrift struct from bytes, or raises codec.FrameError."""
+    """Decodes bytes into a thrift struct and returns it.
+
+    Raises:
+      codec.FrameError: if the bytes are not such a struct.
+    """
     buffer = transport.TCyMemoryBuffer(payload)
     try:
         protocol.TCyBinaryProtocol(buffer).read_struct(struct)
     except Exception as error:
-        # thriftpy2 raises many types on bytes that are not a message.
+        # thriftpy2 raises many exception types on invalid bytes.
         raise codec.FrameError(str(error)) from error
     return struct
--- a/endivewind/nodes/datagrams.py
+++ b/endivewind/nodes/datagrams.py
@@ -1,4 +1,8 @@
-"""UDP for gossip: thrift datagrams, signed where a key is set."""
+"""Sends and receives gossip datagrams over UDP.
+
+A datagram is a thrift struct, compressed if it is large, and authenticated by
+a truncated HMAC if the fleet has a key.
+"""
 
 import asyncio
 import collections.abc
@@ -21,20 +25,21 @@
 log = logging.getLogger(__name__)
 
 _SIGNATURE_BYTES = 16
-_PLAIN = b"\x00"
-_PACKED = b"\x01"
-# Shorter ones gain nothing.
-_WORTH_PACKING = 200
-_FAST = 1
-_THOUSAND = 1000
-# Several times what any datagram of ours holds.
-_MOST_UNPACKED = 65_536
+_UNCOMPRESSED = b"\x00"
+_COMPRESSED = b"\x01"
+# Compression does not make smaller payloads shorter.
+_MIN_COMPRESSED_BYTES = 200
+_COMPRESSION_LEVEL = 1
+_SUSPICION_SCALE = 1000
+# Limits the memory for a malicious datagram; several times the content of any
+# datagram that a node sends.
+_MAX_DECOMPRESSED_BYTES = 65_536
 
 Received = collections.abc.Callable[[str, gossip_messages.Datagram], None]
 
 
 def encode(datagram: gossip_messages.Datagram, key: bytes = b"") -> bytes:
-    """A datagram as bytes, after its signature where there is a key."""
+    """Encodes a datagram, preceded by its signature if there is a key."""
     struct = codec.messages.Datagram(
         sender=datagram.sender,
         summary=datagram.summary,
@@ -44,12 +49,14 @@
         changes=list(datagram.changes) or None,
         buckets=list(datagram.buckets) or None,
         compared=list(datagram.compared) or None,
-        versions=[_version_out(item) for item in datagram.versions] or None,
+        versions=[_encode_version(item) for item in datagram.versions] or None,
         conditions=[
-            _condition_out(item) for item in datagram.news.target_updates
+            _encode_target_update(item) for item in datagram.news.target_updates
         ]
         or None,
-        tallies=[_tally_out(item) for item in datagram.news.retry_usages]
+        tallies=[
+            _encode_retry_usage(item) for item in datagram.news.retry_usages
+        ]
         or None,
         ways=[
             codec.messages.IngressRoute(item.service, item.prefix)
@@ -57,27 +64,28 @@
         ]
         or None,
     )
-    payload = _pack(changes.write(struct))
+    payload = _compress(changes.write(struct))
     return _sign(payload, key) + payload if key else payload
 
 
 def decode(data: bytes, key: bytes = b"") -> gossip_messages.Datagram:
-    """A datagram from bytes.
+    """Decodes a datagram, and verifies its signature if there is a key.
 
-    Without the signature anybody who can send UDP to a node could have its
-    peers taken for dead; a wrong one counts as no message at all.
+    Without a signature anyone who can send UDP packets to a node could have
+    its peers declared dead.
 
     Raises:
-      codec.FrameError: the bytes are not a datagram, or not signed right.
+      codec.FrameError: if the bytes are not a valid datagram, or the signature
+        is missing or wrong.
     """
     payload = data
     if key:
         signature, payload = data[:_SIGNATURE_BYTES], data[_SIGNATURE_BYTES:]
         if not hmac.compare_digest(signature, _sign(payload, key)):
             raise codec.FrameError("wrong signature")
-    struct = changes.read(_unpack(payload), codec.messages.Datagram())
+    struct = changes.read(_decompress(payload), codec.messages.Datagram())
     if not struct.sender:
-        raise codec.FrameError("a datagram without sender")
+        raise codec.FrameError("datagram without a sender")
     try:
         return gossip_messages.Datagram(
             struct.sender,
@@ -85,40 +93,49 @@
             ping=struct.ping or 0,
             ack=struct.ack or 0,
             relay=struct.relay or "",
-            changes=tuple(_bytes(item) for item in struct.changes or ()),
+            changes=tuple(_to_bytes(item) for item in struct.changes or ()),
             buckets=tuple(struct.buckets or ()),
             compared=tuple(struct.compared or ()),
-            versions=tuple(_version_in(item) for item in struct.versions or ()),
+            versions=tuple(
+                _decode_version(item) for item in struct.versions or ()
+            ),
             news=peer_updates.PeerUpdate(
-                tuple(_condition_in(item) for item in struct.conditions or ()),
-                tuple(_tally_in(item) for item in struct.tallies or ()),
-                tuple(_way_in(item) for item in struct.ways or ()),
+                tuple(
+                    _decode_target_update(item)
+                    for item in struct.conditions or ()
+                ),
+                tuple(
+                    _decode_retry_usage(item) for item in struct.tallies or ()
+                ),
+                tuple(
+                    _decode_ingress_route(item) for item in struct.ways or ()
+                ),
             ),
         )
     except (TypeError, ValueError) as error:
         raise codec.FrameError(str(error)) from error
 
 
-def _pack(payload: bytes) -> bytes:
-    """The payload after a byte that tells whether it is compressed.
+def _compress(payload: bytes) -> bytes:
+    """Compresses a payload if it is large enough, and adds a marker byte.
 
-    Records of a fleet repeat names of zones, services and nodes; a datagram
-    of several is half as long, and its bytes are paid for between zones.
+    Records repeat the names of zones, services and nodes, so compression
+    halves a datagram with several of them. Bytes between zones are billed.
     """
-    if len(payload) < _WORTH_PACKING:
-        return _PLAIN + payload
-    return _PACKED + zlib.compress(payload, _FAST)
+    if len(payload) < _MIN_COMPRESSED_BYTES:
+        return _UNCOMPRESSED + payload
+    return _COMPRESSED + zlib.compress(payload, _COMPRESSION_LEVEL)
 
 
-def _unpack(data: bytes) -> bytes:
-    mark, payload = data[:1], data[1:]
-    if mark == _PLAIN:
+def _decompress(data: bytes) -> bytes:
+    marker, payload = data[:1], data[1:]
+    if marker == _UNCOMPRESSED:
         return payload
-    if mark != _PACKED:
-        raise codec.FrameError("neither plain nor packed")
-    unpacker = zlib.decompressobj()
+    if marker != _COMPRESSED:
+        raise codec.FrameError("unknown compression marker")
+    decompressor = zlib.decompressobj()
     try:
-        return unpacker.decompress(payload, _MOST_UNPACKED)
+        return decompressor.decompress(payload, _MAX_DECOMPRESSED_BYTES)
     except zlib.error as error:
         raise codec.FrameError(str(error)) from error
 
@@ -127,12 +144,12 @@
     return hmac.digest(key, payload, "sha256")[:_SIGNATURE_BYTES]
 
 
-def _bytes(item: Any) -> bytes:
-    # thriftpy2 reads binary fields as text where they happen to be UTF-8.
+def _to_bytes(item: Any) -> bytes:
+    # thriftpy2 decodes binary fields that are valid UTF-8 to str.
     return item.encode() if isinstance(item, str) else bytes(item)
 
 
-def _version_out(version: digests.Version) -> Any:
+def _encode_version(version: digests.Version) -> Any:
     incarnation, refutation, state = version.member
     return codec.messages.Version(
         name=version.name,
@@ -144,7 +161,7 @@
     )
 
 
-def _version_in(version: Any) -> digests.Version:
+def _decode_version(version: Any) -> digests.Version:
     return digests.Version(
         version.name,
         (version.incarnation, version.refutation, version.state),
@@ -152,62 +169,62 @@
     )
 
 
-def _condition_out(condition: peer_updates.TargetUpdate) -> Any:
+def _encode_target_update(update: peer_updates.TargetUpdate) -> Any:
     return codec.messages.TargetUpdate(
-        target=condition.target,
-        load=condition.status.load,
-        suspicion=round(_THOUSAND * condition.status.suspicion),
+        target=update.target,
+        load=update.status.load,
+        suspicion=round(_SUSPICION_SCALE * update.status.suspicion),
     )
 
 
-def _condition_in(condition: Any) -> peer_updates.TargetUpdate:
-    if not condition.target:
-        raise ValueError("a condition without its target")
-    suspicion = min(max(0, condition.suspicion or 0), _THOUSAND)
-    load = max(0, condition.load or 0)
-    glance = exchange.TargetStatus(load, suspicion / _THOUSAND)
-    return peer_updates.TargetUpdate(condition.target, glance)
+def _decode_target_update(update: Any) -> peer_updates.TargetUpdate:
+    if not update.target:
+        raise ValueError("target update without a target")
+    suspicion = min(max(0, update.suspicion or 0), _SUSPICION_SCALE)
+    load = max(0, update.load or 0)
+    status = exchange.TargetStatus(load, suspicion / _SUSPICION_SCALE)
+    return peer_updates.TargetUpdate(update.target, status)
 
 
-def _tally_out(tally: peer_updates.RetryUsage) -> Any:
+def _encode_retry_usage(usage: peer_updates.RetryUsage) -> Any:
     return codec.messages.RetryUsage(
-        service_name=tally.service,
-        requests=tally.counts.requests,
-        retries=tally.counts.retries,
+        service_name=usage.service,
+        requests=usage.counts.requests,
+        retries=usage.counts.retries,
     )
 
 
-def _tally_in(tally: Any) -> peer_updates.RetryUsage:
-    if not tally.service_name:
-        raise ValueError("a tally without its service")
-    requests = max(0, tally.requests or 0)
-    count = retries.RequestCounts(requests, max(0, tally.retries or 0))
-    return peer_updates.RetryUsage(tally.service_name, count)
+def _decode_retry_usage(usage: Any) -> peer_updates.RetryUsage:
+    if not usage.service_name:
+        raise ValueError("retry usage without a service")
+    requests = max(0, usage.requests or 0)
+    count = retries.RequestCounts(requests, max(0, usage.retries or 0))
+    return peer_updates.RetryUsage(usage.service_name, count)
 
 
-def _way_in(way: Any) -> peer_updates.IngressRoute:
-    if not way.service_name:
-        raise ValueError("a way without its service")
-    return peer_updates.IngressRoute(way.service_name, way.prefix or "")
+def _decode_ingress_route(route: Any) -> peer_updates.IngressRoute:
+    if not route.service_name:
+        raise ValueError("ingress route without a service")
+    return peer_updates.IngressRoute(route.service_name, route.prefix or "")
 
 
-def _kind(datagram: gossip_messages.Datagram) -> traffic.Kind:
-    """What most of a datagram is for."""
+def _traffic_kind(datagram: gossip_messages.Datagram) -> traffic.Kind:
+    """Returns the traffic kind that a datagram's bytes are counted as."""
     if datagram.news:
         return traffic.Kind.NEWS
     return traffic.Kind.CHANGES if datagram.changes else traffic.Kind.PROBES
 
 
 class DatagramSocket(asyncio.DatagramProtocol):
-    """A node's UDP socket, at the address of its listener for nodes."""
+    """A node's UDP socket, on the same address as its link server."""
 
     def __init__(
         self,
-        received: Received,
+        handler: Received,
         key: bytes = b"",
         meter: traffic.Meter | None = None,
     ) -> None:
-        self._received = received
+        self._handler = handler
         self._key = key
         self._meter = meter or traffic.Unmetered()
         self._transport: asyncio.DatagramTransport | None = None
@@ -216,12 +233,12 @@
 
     @property
     def sent_bytes(self) -> int:
-        """Payload bytes sent so far."""
+        """Payload bytes sent since the start."""
         return self._sent_bytes
 
     @property
     def received_bytes(self) -> int:
-        """Payload bytes received so far."""
+        """Payload bytes received since the start."""
         return self._received_bytes
 
     async def start(self, host: str, port: int) -> None:
@@ -237,22 +254,22 @@
             self._transport.close()
 
     def send(self, address: str, datagram: gossip_messages.Datagram) -> None:
-        """Sends a datagram; UDP may lose it, and gossip lives with that."""
+        """Sends a datagram; gossip tolerates that UDP may lose it."""
         if self._transport is None or self._transport.is_closing():
             return
         host, _, port = address.rpartition(":")
         data = encode(datagram, self._key)
         self._sent_bytes += len(data)
-        self._meter.sent(_kind(datagram), address, len(data))
+        self._meter.sent(_traffic_kind(datagram), address, len(data))
         self._transport.sendto(data, (host.strip("[]"), int(port)))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the bound transport."""
-        # uvloop's transport is one in all but its base class.
+        """Stores the transport of the bound socket."""
+        # uvloop's transport has the same methods but not the base class.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Takes one datagram, or drops it if it is not one of ours."""
+        """Passes on a datagram, or drops it if it is not valid."""
         self._received_bytes += len(data)
         host = f"[{addr[0]}]" if ":" in addr[0] else addr[0]
         try:
@@ -260,8 +277,8 @@
         except codec.FrameError as error:
             log.warning("datagram from %s dropped: %s", host, error)
             return
-        self._received(f"{host}:{addr[1]}", datagram)
+        self._handler(f"{host}:{addr[1]}", datagram)
 
     def error_received(self, exc: Exception) -> None:
-        """A send failed; the next probe tells who is away."""
+        """Logs a failed send; probes detect nodes that can't be reached."""
         log.debug("datagram not sent: %s", exc)
--- a/endivewind/nodes/digests.py
+++ b/endivewind/nodes/digests.py
@@ -1,4 +1,8 @@
-"""Digests by which two nodes find what one of them has missed."""
+"""Digests of record versions, by which nodes detect differences.
+
+Anti-entropy repair compares them. Node names are hashed into buckets, and the
+digest of a bucket is the XOR of the hashes of its nodes' versions.
+"""
 
 import collections.abc
 import dataclasses
@@ -6,13 +10,19 @@
 
 from endivewind.nodes import view
 
-# At 760 nodes a bucket holds six, whose versions fit one datagram.
+# With 760 nodes a bucket holds six, whose versions fit into one datagram.
 BUCKETS = 128
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Version:
-    """Which version of a node's records the sender knows."""
+    """Version of the records of a node.
+
+    Attributes:
+      name: the node's name.
+      member: precedence of its member record.
+      home: version of its targets.
+    """
 
     name: str
     member: tuple[int, int, int]
@@ -20,14 +30,14 @@
 
     @property
     def text(self) -> str:
-        """What digests are made of; the same at every node."""
+        """The input of the hash; equal on all nodes for equal versions."""
         incarnation, refutation, state = self.member
-        own = f"{self.name} {incarnation} {refutation} {int(state)}"
-        return f"{own} {self.home.incarnation} {self.home.sequence}"
+        member_text = f"{self.name} {incarnation} {refutation} {int(state)}"
+        return f"{member_text} {self.home.incarnation} {self.home.sequence}"
 
 
 class Digests:
-    """Digests of every node's versions, kept as versions change."""
+    """Digests of all nodes' versions, updated incrementally."""
 
     def __init__(self) -> None:
         self._hashes: dict[str, int] = {}
@@ -37,38 +47,38 @@
 
     @property
     def summary(self) -> int:
-        """One digest of all."""
+        """Digest of all versions."""
         return self._summary
 
     @property
     def buckets(self) -> tuple[int, ...]:
-        """The digest of each bucket."""
+        """Digests by bucket index."""
         return tuple(self._buckets)
 
     def names(self, bucket: int) -> collections.abc.Set[str]:
-        """The nodes whose versions are in a bucket."""
+        """Returns the names of the nodes in a bucket."""
         return self._names[bucket]
 
     def put(self, name: str, version: Version | None) -> None:
-        """Takes a node's version; None takes the node out."""
+        """Sets the version of a node, or removes the node if it is None."""
         bucket = bucket_of(name)
-        old = self._hashes.pop(name, 0)
-        new = 0
+        old_hash = self._hashes.pop(name, 0)
+        new_hash = 0
         if version is not None:
-            new = _digest(version.text)
-            self._hashes[name] = new
+            new_hash = _hash(version.text)
+            self._hashes[name] = new_hash
             self._names[bucket].add(name)
         else:
             self._names[bucket].discard(name)
-        self._buckets[bucket] ^= old ^ new
-        self._summary ^= old ^ new
+        self._buckets[bucket] ^= old_hash ^ new_hash
+        self._summary ^= old_hash ^ new_hash
 
 
 def bucket_of(name: str) -> int:
-    """The bucket of a node; the same at every node."""
-    return _digest(name) % BUCKETS
+    """Returns the bucket index of a node; the same on all nodes."""
+    return _hash(name) % BUCKETS
 
 
-def _digest(text: str) -> int:
-    raw = hashlib.blake2b(text.encode(), digest_size=8).digest()
-    return int.from_bytes(raw, "big", signed=True)
+def _hash(text: str) -> int:
+    digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
+    return int.from_bytes(digest, "big", signed=True)
--- a/endivewind/nodes/discovery.py
+++ b/endivewind/nodes/discovery.py
@@ -1,4 +1,8 @@
-"""Finds the fleet through the platform's directory, and keeps that tidy."""
+"""Discovers the fleet through the platform's directory of nodes.
+
+Registers this node, passes the addresses of listed nodes to membership, and
+removes registrations of nodes that no longer exist.
+"""
 
 import asyncio
 import collections.abc
@@ -17,24 +21,26 @@
 
 log = logging.getLogger(__name__)
 
-# After its own registration a node waits this long before it looks for those
-# of the same moment; each look that finds something missing doubles it.
+# Delay between a node's registration and its first listing, which should contain
+# nodes that registered at the same time. Doubles with each listing after which
+# nodes may still be missing.
 FIRST_LOOK = datetime.timedelta(milliseconds=500)
-# How often a node looks that misses nobody, to find nodes that gossip has lost
-# for longer than it remembers the dead. At 760 nodes this is 1.3 reads a
-# second.
+# Interval of listings once no node is missing. They find nodes that could not
+# be reached for longer than membership keeps dead members. With 760 nodes this
+# amounts to 1.3 reads per second.
 LOOK_PERIOD = datetime.timedelta(minutes=10)
-# A node that gossip has not known for so long is gone, not on its way back.
+# A registered node that membership has not known for this long is not going to
+# come back.
 GONE_AFTER = datetime.timedelta(minutes=10)
 
 
 class Discovery:
-    """Registers this start, and finds the nodes that gossip must know.
+    """Registers this start and finds nodes for gossip to contact.
 
-    Of two nodes that start at once, the one that registers later finds the
-    other in the first listing that holds its own registration, so that they
-    can't miss each other. One node of another zone is enough to hear of all
-    in it.
+    Of two nodes that start at the same time, the one that registers later
+    finds the other in the first listing that contains its own registration,
+    so they can't miss each other. One known node of another zone suffices, as
+    gossip then brings all nodes of that zone.
     """
 
     def __init__(
@@ -42,149 +48,155 @@
         directory: directories.Directory,
         members: membership.Membership,
         seeds: collections.abc.Iterable[str],
-        at_start: directories.ZoneListing | None,
+        initial_listing: directories.ZoneListing | None,
         clock: clocks.Clock,
         rng: random.Random,
-        registered: collections.abc.Callable[[], None],
+        on_registered: collections.abc.Callable[[], None],
     ) -> None:
-        """Starts with what was listed before.
+        """Initializes discovery with a listing from before this start.
 
         Args:
-          directory: where nodes register.
-          members: what gossip knows; gets the addresses that are found.
-          seeds: addresses to try besides.
-          at_start: this node's zone as it was before this start.
-          clock: its monotonic time.
-          rng: spreads the calls of a fleet.
-          registered: called when this start is registered.
+          directory: the directory in which nodes register.
+          members: receives the addresses that are found.
+          seeds: configured addresses to contact as well.
+          initial_listing: listing of this node's zone from before this start.
+          clock: source of monotonic time.
+          rng: spreads the calls of a fleet over time.
+          on_registered: called when this start has been registered.
         """
         self._directory = directory
         self._members = members
         self._seeds = tuple(seeds)
         self._clock = clock
         self._rng = rng
-        self._registered = registered
+        self._on_registered = on_registered
         self._backoff = retries.Backoff(rng)
         self._listings: dict[str, directories.ZoneListing] = {}
-        self._version: int | None = None
-        self._wait = FIRST_LOOK
-        self._absent: dict[tuple[str, int], datetime.timedelta] = {}
-        self._rounds = itertools.count()
-        if at_start is not None:
-            self._take(self._me.zone, at_start)
+        self._registered_version: int | None = None
+        self._listing_delay = FIRST_LOOK
+        self._absent_since: dict[tuple[str, int], datetime.timedelta] = {}
+        self._listing_count = itertools.count()
+        if initial_listing is not None:
+            self._store_listing(self._me.zone, initial_listing)
 
     @property
     def has_listed(self) -> bool:
-        """Whether there is anybody to try, or surely nobody."""
+        """Whether a zone has been listed or there are seeds."""
         return bool(self._listings or self._seeds)
 
     @property
     def is_settled(self) -> bool:
-        """Whether all that registered in this zone before are known of."""
+        """Whether all nodes that registered earlier in this zone are known."""
         listing = self._listings.get(self._me.zone)
-        if self._version is None or listing is None:
+        if self._registered_version is None or listing is None:
             return False
-        return listing.revision >= self._version
+        return listing.revision >= self._registered_version
 
     async def run(self) -> None:
-        """Registers and looks for ever, until a later start is known."""
+        """Registers and lists zones until a later start of this node is known."""
         while not self._members.superseded:
-            wait = await self._register()
-            await asyncio.sleep(wait or self._next_wait())
-            for zone in self._due():
-                await self._look(zone)
+            delay = await self._register()
+            await asyncio.sleep(delay or self._next_delay())
+            for zone in self._due_zones():
+                await self._list_zone(zone)
 
     async def _register(self) -> float:
-        """Registers where that is owed; returns seconds to wait if it failed."""
-        if self._version is not None:
+        """Registers if necessary; returns the seconds to wait if it failed."""
+        if self._registered_version is not None:
             return 0.0
-        written = await self._directory.register(self._me, self._last_version())
+        written = await self._directory.register(
+            self._me, self._previous_version()
+        )
         if written.is_error():
-            log.warning("can't register: %s", written.error)
+            log.warning("node registration failed: %s", written.error)
             return self._backoff.next_seconds(written.error)
         self._backoff.reset()
-        self._version = written.ok
-        self._wait = FIRST_LOOK
-        self._registered()
+        self._registered_version = written.ok
+        self._listing_delay = FIRST_LOOK
+        self._on_registered()
         return 0.0
 
-    def _last_version(self) -> int:
-        """The version of what an earlier start has left; 0 if none is seen."""
+    def _previous_version(self) -> int:
+        """Returns the version of an earlier start's registration; 0 if none."""
         listing = self._listings.get(self._me.zone)
         known = listing.found.get(self._me.name) if listing else None
         return known.version if known else 0
 
-    def _next_wait(self) -> float:
-        """Seconds until the next look."""
-        wait = LOOK_PERIOD
-        if not self.is_settled or self._silent_zones():
-            wait = self._wait
-            self._wait = min(2 * self._wait, LOOK_PERIOD)
-        return wait.total_seconds() * self._rng.uniform(0.5, 1.5)
-
-    def _due(self) -> list[str]:
-        """The zones to look into now."""
-        found = [] if self.is_settled else [self._me.zone]
-        silent = self._silent_zones()
-        if silent:
-            found.append(self._rng.choice(silent))
-        return found or [self._turn()]
-
-    def _silent_zones(self) -> list[str]:
-        """Zones of which gossip knows no living node."""
-        living = {item.node.zone for item in self._members.peers()}
-        others = self._directory.other_zones(self._me.zone)
-        return [zone for zone in others if zone not in living]
-
-    def _turn(self) -> str:
-        """A zone to look into though nothing is missing; often the own one."""
-        others = self._directory.other_zones(self._me.zone)
-        if not others or next(self._rounds) % 2 == 0:
+    def _next_delay(self) -> float:
+        """Returns the seconds until the next listing."""
+        delay = LOOK_PERIOD
+        if not self.is_settled or self._unreached_zones():
+            delay = self._listing_delay
+            self._listing_delay = min(2 * self._listing_delay, LOOK_PERIOD)
+        return delay.total_seconds() * self._rng.uniform(0.5, 1.5)
+
+    def _due_zones(self) -> list[str]:
+        """Returns the zones to list now."""
+        result = [] if self.is_settled else [self._me.zone]
+        unreached = self._unreached_zones()
+        if unreached:
+            result.append(self._rng.choice(unreached))
+        return result or [self._next_zone()]
+
+    def _unreached_zones(self) -> list[str]:
+        """Returns the zones of which no live member is known."""
+        reached = {item.node.zone for item in self._members.peers()}
+        other_zones = self._directory.other_zones(self._me.zone)
+        return [zone for zone in other_zones if zone not in reached]
+
+    def _next_zone(self) -> str:
+        """Returns a zone to list if no node is missing; half the time its own."""
+        other_zones = self._directory.other_zones(self._me.zone)
+        if not other_zones or next(self._listing_count) % 2 == 0:
             return self._me.zone
-        return self._rng.choice(others)
+        return self._rng.choice(other_zones)
 
-    async def _look(self, zone: str) -> None:
+    async def _list_zone(self, zone: str) -> None:
         listed = await self._directory.listed(zone)
         if listed.is_error():
-            log.warning("can't list nodes: %s", listed.error)
+            log.warning("node listing failed: %s", listed.error)
             await asyncio.sleep(self._backoff.next_seconds(listed.error))
             return
         self._backoff.reset()
-        self._take(zone, listed.ok)
+        self._store_listing(zone, listed.ok)
         if zone == self._me.zone and self.is_settled:
             if self._me.name not in listed.ok.found:
-                log.warning("registration gone; registering again")
-                self._version = None
-            await self._tidy(listed.ok)
+                log.warning("registration is missing; registering again")
+                self._registered_version = None
+            await self._remove_stale(listed.ok)
 
-    def _take(self, zone: str, listing: directories.ZoneListing) -> None:
+    def _store_listing(
+        self, zone: str, listing: directories.ZoneListing
+    ) -> None:
         self._listings[zone] = listing
         addresses = list(self._seeds)
         for known in self._listings.values():
             addresses.extend(known.addresses)
         self._members.set_contacts(addresses)
 
-    async def _tidy(self, listing: directories.ZoneListing) -> None:
-        """Removes objects of nodes that are gone for good.
+    async def _remove_stale(self, listing: directories.ZoneListing) -> None:
+        """Removes registrations of nodes that no longer exist.
 
-        Nothing expires in the platform, and a node that is lost removes
-        nothing: without this each listing would grow with every VM that was
-        ever replaced. The longest-running node of a zone does it, while it
-        has no doubt in itself; a node that lives after all registers again.
+        Registrations don't expire, and a node that crashes does not remove
+        its own: without this each listing would grow with every VM that is
+        replaced. The longest-running node of a zone removes them, unless it
+        is probably isolated. A removed node that is alive registers again.
         """
-        present = {
+        stale = {
             (item.node.name, item.version): item
             for item in listing.found.values()
             if not self._is_known(item.node)
         }
         now = self._clock.monotonic()
-        self._absent = {key: self._absent.get(key, now) for key in present}
+        self._absent_since = {
+            key: self._absent_since.get(key, now) for key in stale
+        }
         peers = [item.node for item in self._members.peers()]
         if self._members.doubtful or not watchers.is_oldest(self._me, peers):
             return
-        for key, since in self._absent.items():
+        for key, since in self._absent_since.items():
             if now - since >= GONE_AFTER:
-                await self._directory.remove(present[key])
+                await self._directory.remove(stale[key])
                 log.info("node removed", extra=logs.fields(node=key[0]))
 
     def _is_known(self, node: view.NodeRecord) -> bool:
--- a/endivewind/nodes/gossip.py
+++ b/endivewind/nodes/gossip.py
@@ -1,7 +1,8 @@
-"""Spreads member records and target changes: the pure core.
+"""Disseminates member records and target changes by epidemic gossip.
 
-News is pushed to a few random nodes in small datagrams. What a node misses,
-it finds by a summary that every datagram carries, and repairs over a link.
+Pure: no I/O; the node service sends what these methods return. Changes are
+pushed to a few random nodes in small datagrams. A node detects what it has
+missed by a digest in every datagram and fetches it over a link (anti-entropy).
 """
 
 import collections.abc
@@ -20,24 +21,26 @@
 from endivewind.nodes import view
 from endivewind.targets import records
 
-# Each tick sends at most FAN_OUT datagrams, so that gossip costs a node no
-# more than FAN_OUT * MAX_DATAGRAM * 10 = 48 KB a second, whatever happens.
+# Datagrams pushed per tick. With ten ticks per second this limits the pushes
+# of a node to FAN_OUT * MAX_DATAGRAM_BYTES * 10 = 48 KB/s under any load.
 FAN_OUT = 4
-# Traffic between regions and between zones is paid for. A change comes into
-# each zone about so many times from others, and as often into each region:
-# one in 400 then gets into a zone by repair only, some seconds later. Within
-# the zone it is passed on for free.
+# Expected number of copies of a change that enter each zone from other zones,
+# and each region from other regions. Traffic between zones and regions is
+# billed, traffic within a zone is free. With six copies, one change in 400
+# reaches a zone only by repair, some seconds later.
 INBOUND = 6
-# The rest stays near, also where a zone has a node or two only.
+# Maximum share of pushes that leave the zone or the region, which matters for
+# zones of only one or two nodes.
 MOST_CROSSING = 1 / 2
-# When a whole fleet restarts, nobody has a state to hand on. Pulls must end
-# then as well, or every node would ask every other for ever, and callers
-# would wait for a fleet of which every node waits for the others.
+# Time after which a node counts as joined without having received a state.
+# When a whole fleet restarts, no node has a state to send. Without a timeout
+# the nodes would send pulls to each other forever, and callers would wait for
+# a fleet in which each node waits for the others.
 JOIN_LIMIT = datetime.timedelta(seconds=1)
 
 
 class Gossip:
-    """One node's part in spreading what the fleet knows."""
+    """Gossip protocol of one node, on top of its membership and view."""
 
     def __init__(
         self,
@@ -52,146 +55,169 @@
         self._rng = rng
         self._queue = transmission.ChangeQueue()
         self._repair = repair.Repair(members, fleet, clock, rng)
-        self._heard: list[records.TargetRecord] = []
-        self._turns: list[membership.MemberRecord] = []
-        self._started = clock.monotonic()
-        self._joined = True
+        self._received_records: list[records.TargetRecord] = []
+        self._member_changes: list[membership.MemberRecord] = []
+        self._join_started = clock.monotonic()
+        self._has_joined = True
         self._has_state = False
-        self._left: list[tuple[str, int]] = []
+        self._departed_targets: list[tuple[str, int]] = []
         for record in members.members.values():
-            self._apply(record)
+            self._update_view(record)
 
     @property
     def joined(self) -> bool:
-        """Whether a peer's whole state has come, or none can be had."""
-        if self._joined or not self._members.has_contacts():
+        """Whether a peer's full state has arrived or none is available."""
+        if self._has_joined or not self._members.has_contacts():
             return True
-        return self._clock.monotonic() - self._started > JOIN_LIMIT
+        return self._clock.monotonic() - self._join_started > JOIN_LIMIT
 
     @property
     def has_state(self) -> bool:
-        """Whether a peer's whole state has come since this start joined."""
+        """Whether a peer's full state has arrived since this node started."""
         return self._has_state
 
     @property
     def summary(self) -> int:
-        """Digest of all that this node knows; equal when nodes agree."""
+        """Digest of the known records; equal on nodes that know the same."""
         return self._repair.summary
 
     @property
     def queued(self) -> int:
-        """Changes still to be passed on."""
+        """Number of changes that are queued for dissemination."""
         return len(self._queue)
 
     def take_heard(self) -> list[records.TargetRecord]:
-        """Records of other homes that have come since the last call."""
-        heard, self._heard = self._heard, []
-        return heard
+        """Returns target records of other homes received since the last call."""
+        received, self._received_records = self._received_records, []
+        return received
 
     def take_left(self) -> list[tuple[str, int]]:
-        """Targets that have left an earlier start of this node."""
-        left, self._left = self._left, []
-        return left
+        """Returns targets that departed from an earlier start of this node.
+
+        Returns:
+          Target ids with the targets' incarnations, each reported once.
+        """
+        departed, self._departed_targets = self._departed_targets, []
+        return departed
 
     def take_turns(self) -> list[membership.MemberRecord]:
-        """Members whose record has changed since the last call."""
-        turns, self._turns = self._turns, []
-        return turns
+        """Returns the member records that have changed since the last call."""
+        changed, self._member_changes = self._member_changes, []
+        return changed
 
     def originate(
-        self, made: collections.abc.Iterable[records.TargetChange]
+        self, target_changes: collections.abc.Iterable[records.TargetChange]
     ) -> None:
-        """Takes changes that this node made to its own targets."""
-        for change in made:
+        """Disseminates changes of this node's own targets."""
+        for change in target_changes:
             if self._view.put_change(change):
                 self._enqueue(change)
         self._repair.refresh(self._members.me.node.name)
 
     def join(self) -> None:
-        """Lets others know of this start, and asks one for its whole state."""
-        self._started = self._clock.monotonic()
-        self._joined = False
+        """Announces this start and begins to ask a peer for its full state."""
+        self._join_started = self._clock.monotonic()
+        self._has_joined = False
         self.introduce()
 
     def introduce(self) -> None:
-        """Lets others know of this start."""
+        """Queues this node's own member record for dissemination."""
         self._enqueue(self._members.me)
 
     def leave(self) -> list[messages.Send]:
-        """Tells a few nodes at once that this one is leaving."""
-        self._run(self._members.leave(), None)
+        """Announces at once, to a few nodes, that this node is leaving."""
+        self._handle_outputs(self._members.leave(), None)
         return self.push()
 
-    def tell(self, news: peer_updates.PeerUpdate) -> list[messages.Send]:
-        """Tells the nodes of this zone, and what they share to the region.
+    def tell(self, update: peer_updates.PeerUpdate) -> list[messages.Send]:
+        """Sends an update to nodes of this zone, and partly to the region.
 
-        Ways go to one node of the zone, and from there to the next.
+        Retry usages go to other zones of the region as well if the region is
+        small enough to share retry budgets. Ingress routes go to one random
+        node of the zone, which passes them on to another.
         """
         me = self._members.me.node
         peers = self._members.peers()
         region = [item for item in peers if item.node.region == me.region]
         zone = [item for item in region if item.node.zone == me.zone]
         sends = []
-        if news.ingress_routes:
-            ways = peer_updates.PeerUpdate(ingress_routes=news.ingress_routes)
-            sends = [self._news(item, ways) for item in self._some(zone, 1)]
-            news = dataclasses.replace(news, ingress_routes=())
-        if news:
+        if update.ingress_routes:
+            routes = peer_updates.PeerUpdate(
+                ingress_routes=update.ingress_routes
+            )
+            sends = [
+                self._make_update(item, routes)
+                for item in self._sample(zone, 1)
+            ]
+            update = dataclasses.replace(update, ingress_routes=())
+        if update:
             sends.extend(
-                self._news(item, news)
-                for item in self._some(zone, peer_updates.MAX_PEERS)
+                self._make_update(item, update)
+                for item in self._sample(zone, peer_updates.MAX_PEERS)
             )
-        if news.retry_usages and peer_updates.shares_retries_in_region(
+        if update.retry_usages and peer_updates.shares_retries_in_region(
             len(region)
         ):
-            tallies = peer_updates.PeerUpdate(retry_usages=news.retry_usages)
+            usages = peer_updates.PeerUpdate(retry_usages=update.retry_usages)
             sends.extend(
-                self._news(item, tallies)
+                self._make_update(item, usages)
                 for item in region
                 if item.node.zone != me.zone
             )
         return sends
 
-    def _news(
-        self, to: membership.MemberRecord, news: peer_updates.PeerUpdate
+    def _make_update(
+        self, receiver: membership.MemberRecord, update: peer_updates.PeerUpdate
     ) -> messages.Send:
         me = self._members.me.node.name
         return messages.Send(
-            to.node.address, messages.Datagram(me, self.summary, news=news)
+            receiver.node.address,
+            messages.Datagram(me, self.summary, news=update),
         )
 
     def tick(self) -> list[messages.Send]:
-        """Runs the timers; call it about every 100 ms."""
-        sends = self._run(self._members.tick(), None)
+        """Runs the protocol's timers; to be called about every 100 ms."""
+        sends = self._handle_outputs(self._members.tick(), None)
         sends.extend(self.push())
         return sends
 
     def receive(
         self, address: str, message: messages.Datagram
     ) -> list[messages.Send]:
-        """Takes a datagram; what is wrong in it is passed over."""
+        """Handles a datagram; ignores changes in it that can't be decoded.
+
+        Args:
+          address: where the datagram came from.
+          message: the datagram.
+        """
         before = self._members.me
         for payload in message.changes:
-            self._take(payload)
+            self._handle_change(payload)
         known = self._members.members.get(message.sender)
-        stranger = known is None or not known.usable
-        refuted = self._members.me is not before
-        extra: tuple[bytes, ...] = ()
-        asked = bool(message.ping) and self._is_doubted(message.changes)
-        if stranger or refuted or asked:
-            extra = (changes.encode(self._members.me),)
-        output: list[membership.Output] = []
+        is_unknown = known is None or not known.usable
+        has_refuted = self._members.me is not before
+        extra_changes: tuple[bytes, ...] = ()
+        is_suspected = bool(message.ping) and self._carries_suspicion(
+            message.changes
+        )
+        if is_unknown or has_refuted or is_suspected:
+            extra_changes = (changes.encode(self._members.me),)
+        outputs: list[membership.Output] = []
         if message.ping and message.relay:
-            output.extend(
+            outputs.extend(
                 self._members.relayed(address, message.ping, message.relay)
             )
         elif message.ping:
-            output.extend(self._members.pinged(address, message.ping))
+            outputs.extend(self._members.pinged(address, message.ping))
         if message.ack:
-            output.extend(self._members.acked(message.ack))
-        sends = self._run(output, extra)
-        if refuted and not message.ping:
-            sends.append(messages.Send(address, self._datagram(changes=extra)))
+            outputs.extend(self._members.acked(message.ack))
+        sends = self._handle_outputs(outputs, extra_changes)
+        if has_refuted and not message.ping:
+            sends.append(
+                messages.Send(
+                    address, self._make_datagram(changes=extra_changes)
+                )
+            )
         sends.extend(
             self._repair.compare(
                 self._link_address(address, message),
@@ -201,10 +227,11 @@
         )
         return sends
 
-    def _is_doubted(self, payloads: tuple[bytes, ...]) -> bool:
-        """Whether a ping brings a doubt in this node, old or new.
+    def _carries_suspicion(self, payloads: tuple[bytes, ...]) -> bool:
+        """Whether a datagram says that this node is suspect or dead.
 
-        An old one was refuted long ago, but the sender has not heard it.
+        Even if this node has refuted that before: the sender has not received
+        the refutation.
         """
         me = self._members.me.node.name
         for payload in payloads:
@@ -219,41 +246,41 @@
         return False
 
     def _link_address(self, address: str, message: messages.Datagram) -> str:
-        """Where the sender takes links: what it tells, else where it is."""
+        """Returns the sender's listener address, or its source if unknown."""
         known = self._members.members.get(message.sender)
         return address if known is None else known.node.address
 
     def receive_state(self, state: messages.FleetState) -> list[messages.Send]:
-        """Takes part of another node's state."""
+        """Stores a part of another node's state."""
         for member in state.members:
-            self._merge(member, pass_on=False)
+            self._merge_member(member, pass_on=False)
         for home in state.homes:
-            self._take_home(home)
-        self._left.extend(state.left)
-        self._joined = self._joined or state.last
+            self._handle_home_state(home)
+        self._departed_targets.extend(state.left)
+        self._has_joined = self._has_joined or state.last
         self._has_state = self._has_state or state.last
         return []
 
     def answer(
         self, pull: messages.Pull
     ) -> collections.abc.Iterator[messages.FleetState]:
-        """What a pull asks for, in parts of bounded size."""
+        """Yields the state that a pull asks for, in parts of bounded size."""
         return self._repair.answer(pull, joined=self.joined)
 
-    def _take(self, payload: bytes) -> None:
+    def _handle_change(self, payload: bytes) -> None:
         try:
             change = changes.decode(payload)
         except codec.FrameError:
             return
         match change:
             case membership.MemberRecord():
-                self._merge(change, pass_on=True)
+                self._merge_member(change, pass_on=True)
             case records.TargetChange():
-                self._take_target(change, payload)
+                self._handle_target_change(change, payload)
             case _:
                 return
 
-    def _take_target(
+    def _handle_target_change(
         self, change: records.TargetChange, payload: bytes
     ) -> None:
         record = change.record
@@ -262,12 +289,12 @@
             return
         if not self._view.put_change(change):
             return
-        self._queue.put(_target_key(record), payload)
+        self._queue.put(_change_key(record), payload)
         self._repair.refresh(record.home)
         if not change.is_removal:
-            self._heard.append(record)
+            self._received_records.append(record)
 
-    def _take_home(self, home: view.HomeState) -> None:
+    def _handle_home_state(self, home: view.HomeState) -> None:
         if home.home == self._members.me.node.name:
             return
         taken = self._view.put_home_state(
@@ -278,25 +305,27 @@
         )
         if taken:
             self._repair.refresh(home.home)
-            self._heard.extend(home.targets)
+            self._received_records.extend(home.targets)
 
-    def _merge(self, record: membership.MemberRecord, *, pass_on: bool) -> None:
+    def _merge_member(
+        self, record: membership.MemberRecord, *, pass_on: bool
+    ) -> None:
         for output in self._members.merge(record):
             if isinstance(output, membership.Spread):
-                mine = output.record.node.name == self._members.me.node.name
-                self._apply(output.record)
-                if pass_on or mine:
+                is_own = output.record.node.name == self._members.me.node.name
+                self._update_view(output.record)
+                if pass_on or is_own:
                     self._enqueue(output.record)
 
-    def _spread(self, record: membership.MemberRecord) -> None:
-        self._apply(record)
+    def _disseminate(self, record: membership.MemberRecord) -> None:
+        self._update_view(record)
         self._enqueue(record)
 
-    def _apply(self, record: membership.MemberRecord) -> None:
-        self._turns.append(record)
-        mine = record.node.name == self._members.me.node.name
-        if record.usable or mine:
-            # A node that is leaving keeps its own targets to the end.
+    def _update_view(self, record: membership.MemberRecord) -> None:
+        self._member_changes.append(record)
+        is_own = record.node.name == self._members.me.node.name
+        if record.usable or is_own:
+            # A leaving node keeps its own targets until it has stopped.
             self._view.put_node(record.node)
         else:
             self._view.remove_node(record.node.name)
@@ -305,46 +334,48 @@
     def _enqueue(self, change: changes.Change) -> None:
         payload = changes.encode(change)
         if isinstance(change, records.TargetChange):
-            self._queue.put(_target_key(change.record), payload)
+            self._queue.put(_change_key(change.record), payload)
         else:
             node = change.node
             kind = -int(change.state)
             key = (node.name, node.incarnation, change.refutation, kind)
             self._queue.put(key, payload)
 
-    def _run(
+    def _handle_outputs(
         self,
-        output: collections.abc.Iterable[membership.Output],
-        extra: tuple[bytes, ...] | None,
+        outputs: collections.abc.Iterable[membership.Output],
+        extra_changes: tuple[bytes, ...] | None,
     ) -> list[messages.Send]:
         sends: list[messages.Send] = []
-        for item in output:
+        for item in outputs:
             match item:
                 case membership.Spread(record):
-                    self._spread(record)
+                    self._disseminate(record)
                 case membership.Forgotten(name):
                     self._view.remove_home(name)
                     self._repair.forget(name)
                 case membership.Ping():
-                    sends.append(self._ping(item))
+                    sends.append(self._make_ping(item))
                 case membership.Relay(address, number, member):
-                    datagram = self._datagram(ping=number, relay=member)
+                    datagram = self._make_datagram(ping=number, relay=member)
                     sends.append(messages.Send(address, datagram))
                 case membership.Ack(address, number):
-                    datagram = self._datagram(ack=number, changes=extra or ())
+                    datagram = self._make_datagram(
+                        ack=number, changes=extra_changes or ()
+                    )
                     sends.append(messages.Send(address, datagram))
         return sends
 
-    def _ping(self, ping: membership.Ping) -> messages.Send:
-        extra: tuple[bytes, ...] = ()
+    def _make_ping(self, ping: membership.Ping) -> messages.Send:
+        extra_changes: tuple[bytes, ...] = ()
         if ping.about is not None:
-            extra = (changes.encode(ping.about),)
+            extra_changes = (changes.encode(ping.about),)
         if ping.contact:
-            extra = (*extra, changes.encode(self._members.me))
-        datagram = self._datagram(ping=ping.number, changes=extra)
+            extra_changes = (*extra_changes, changes.encode(self._members.me))
+        datagram = self._make_datagram(ping=ping.number, changes=extra_changes)
         return messages.Send(ping.address, datagram)
 
-    def _datagram(
+    def _make_datagram(
         self,
         *,
         ping: int = 0,
@@ -363,54 +394,60 @@
         )
 
     def push(self) -> list[messages.Send]:
-        """Passes on what is queued to a few others."""
+        """Sends queued changes to a few random nodes."""
         if not len(self._queue):
             return []
         return [
-            messages.Send(item.node.address, self._datagram())
-            for item in self._listeners()
+            messages.Send(item.node.address, self._make_datagram())
+            for item in self._choose_receivers()
             if len(self._queue)
         ]
 
-    def _listeners(self) -> list[membership.MemberRecord]:
-        """Whom to push to: mostly the own zone, for the price of crossing."""
+    def _choose_receivers(self) -> list[membership.MemberRecord]:
+        """Chooses receivers, mostly in the own zone to limit billed traffic."""
         me = self._members.me.node
         zone: list[membership.MemberRecord] = []
         region: list[membership.MemberRecord] = []
-        far: list[membership.MemberRecord] = []
+        other_regions: list[membership.MemberRecord] = []
         for item in self._members.peers():
             if item.node.zone == me.zone:
                 zone.append(item)
             elif item.node.region == me.region:
                 region.append(item)
             else:
-                far.append(item)
-        pushes = transmission.transmits_of(
-            len(zone) + len(region) + len(far) + 1
+                other_regions.append(item)
+        transmits = transmission.transmits_of(
+            len(zone) + len(region) + len(other_regions) + 1
+        )
+        zone_count = len({item.node.zone for item in region}) + 1
+        region_pushes = (len(zone) + len(region) + 1) * transmits
+        cross_region_share = INBOUND / region_pushes if other_regions else 0
+        cross_zone_share = INBOUND * zone_count / region_pushes if region else 0
+        cross_region_count = self._count_hits(
+            FAN_OUT, min(cross_region_share, MOST_CROSSING)
+        )
+        cross_zone_count = self._count_hits(
+            FAN_OUT - cross_region_count, min(cross_zone_share, MOST_CROSSING)
         )
-        zones = len({item.node.zone for item in region}) + 1
-        sent_here = (len(zone) + len(region) + 1) * pushes
-        to_far = INBOUND / sent_here if far else 0
-        to_region = INBOUND * zones / sent_here if region else 0
-        crossing = self._count(FAN_OUT, min(to_far, MOST_CROSSING))
-        beside = self._count(FAN_OUT - crossing, min(to_region, MOST_CROSSING))
         if not zone:
-            beside = min(FAN_OUT - crossing, len(region))
+            cross_zone_count = min(FAN_OUT - cross_region_count, len(region))
         return [
-            *self._some(zone, FAN_OUT - crossing - beside),
-            *self._some(region, beside),
-            *self._some(far, crossing),
+            *self._sample(
+                zone, FAN_OUT - cross_region_count - cross_zone_count
+            ),
+            *self._sample(region, cross_zone_count),
+            *self._sample(other_regions, cross_region_count),
         ]
 
-    def _count(self, draws: int, share: float) -> int:
-        """How many of some draws hit, each with the same chance."""
-        return sum(self._rng.random() < share for _ in range(draws))
+    def _count_hits(self, draws: int, probability: float) -> int:
+        """Returns how many of some draws succeed at a given probability."""
+        return sum(self._rng.random() < probability for _ in range(draws))
 
-    def _some(
+    def _sample(
         self, members: list[membership.MemberRecord], count: int
     ) -> list[membership.MemberRecord]:
         return self._rng.sample(members, min(len(members), count))
 
 
-def _target_key(record: records.TargetRecord) -> transmission.Key:
+def _change_key(record: records.TargetRecord) -> transmission.Key:
     return (record.home, record.home_incarnation, record.sequence, 1)
--- a/endivewind/nodes/gossip_messages.py
+++ b/endivewind/nodes/gossip_messages.py
@@ -1,4 +1,4 @@
-"""What nodes send each other to spread and repair what the fleet knows."""
+"""Messages of gossip: datagrams, and pulls and states sent over links."""
 
 import dataclasses
 
@@ -10,19 +10,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Datagram:
-    """One datagram of gossip.
+    """A gossip datagram.
 
     Attributes:
-      sender: name of the sender.
-      summary: digest of all that the sender knows.
-      ping: number to answer; 0 for none.
-      ack: number answered; 0 for none.
-      relay: the node to ping for the sender; empty for none.
-      changes: encoded changes.
+      sender: name of the sending node.
+      summary: digest of all records that the sender knows.
+      ping: number of a ping to acknowledge; 0 for none.
+      ack: number of the ping that is acknowledged; 0 for none.
+      relay: name of the node to ping on behalf of the sender; empty for none.
+      changes: encoded member records and target changes.
       buckets: digests of the sender's records by bucket.
-      compared: the buckets that versions covers in full.
-      versions: the sender's versions in those buckets.
-      news: for the nodes of the sender's zone.
+      compared_buckets: indexes of the buckets that versions covers in full.
+      versions: the sender's versions of the nodes in these buckets.
+      peer_update: update for nodes of the sender's zone or region.
     """
 
     sender: str
@@ -39,15 +39,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetState:
-    """Part of what the sender knows.
+    """A part of the sender's state.
 
     Attributes:
-      sender: the node that answers.
-      members: nodes that it knows.
-      homes: their targets.
-      last: whether this ends the answer to a pull.
-      left: targets of the asking node, with their starts, that have told an
-        earlier start of it that they leave.
+      sender: name of the node that sends its state.
+      members: member records that it knows.
+      homes: the targets of these members.
+      is_last: whether this part completes the response to a pull, and the
+        sender has joined the fleet.
+      departed_targets: ids and incarnations of targets that announced their
+        departure to an earlier start of the node that asks.
     """
 
     sender: str
@@ -59,7 +60,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pull:
-    """Asks for some nodes' records; names empty asks for all."""
+    """A request for the records of some nodes.
+
+    Attributes:
+      sender: name of the node that asks.
+      address: its listener, to which the state is sent.
+      names: the nodes whose records are requested; empty for all.
+    """
 
     sender: str
     address: str
@@ -68,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Send:
-    """A message to send: datagrams by UDP, the rest by a link."""
+    """A message to send to an address: datagrams by UDP, others by a link."""
 
     address: str
     message: Datagram | FleetState | Pull
--- a/endivewind/nodes/membership.py
+++ b/endivewind/nodes/membership.py
@@ -1,8 +1,9 @@
-"""Which nodes are alive: the pure core; messages in, messages out.
+"""SWIM membership: detects which nodes are alive.
 
-Each node probes one other a second and, where that one does not answer, asks
-others to probe it. A node that nobody reaches is suspect, and dead unless it
-refutes in time. Records spread by gossip (gossip.py).
+Each node pings one other node per second and, if that does not answer, asks
+others to ping it. A node that can't be reached either way becomes suspect, and
+dead unless it refutes the suspicion in time. Gossip disseminates the records.
+Pure: no I/O; methods return the messages to send.
 """
 
 import collections
@@ -17,45 +18,53 @@
 from endivewind.nodes import view
 
 PROBE_PERIOD = datetime.timedelta(seconds=1)
-# Ten times the round trip between regions; a probe that takes longer is worth
-# a second way.
+# Time without an acknowledgement after which indirect probes are requested.
+# Ten times the round trip between regions.
 DIRECT_TIMEOUT = datetime.timedelta(milliseconds=300)
 PROBE_TIMEOUT = datetime.timedelta(milliseconds=900)
-# Probes of the own zone for each one that crosses.
+# Probes within the own zone for each probe of another zone.
 NEAR_PROBES = 3
-# Enough that one-way loss on a third of the paths leaves a way in 26 of 27.
+# Number of nodes asked to ping a node that does not answer. If a third of the
+# paths lose datagrams in one direction, one of three still gets through in 26
+# of 27 cases.
 RELAYS = 3
-# A suspicion reaches every node in under a second and the refutation comes
-# back as fast; the rest is for a process that is busy or briefly paused.
+# A suspicion reaches all nodes in less than a second, and so does the
+# refutation. The rest is a margin for a process that is busy or briefly paused.
 SUSPICION_TIMEOUT = datetime.timedelta(seconds=4)
-# By then most nodes have heard the refutation of a healthy one. Who has not
-# asks the suspect itself, this often until the time is up.
+# After this time most nodes have received the refutation of a healthy suspect.
+# The others ping the suspect themselves, once per SUSPECT_PING_PERIOD until
+# the suspicion ends.
 ASK_AFTER = datetime.timedelta(seconds=2)
 ASK_PERIOD = datetime.timedelta(milliseconds=500)
-# A zone that fails leaves a hundred suspects; more at once would be a burst.
+# Limits the burst of pings when a failed zone leaves a hundred suspects.
 ASKS_PER_TICK = 4
-# One dead or unknown address is tried this often. Two sides that were apart
-# find each other again by it: hundreds of nodes try at once.
+# Interval at which a node pings one random dead member or contact address. By
+# these pings the two sides of a partition find each other again when it ends;
+# one interval suffices since hundreds of nodes send them.
 CONTACT_PERIOD = datetime.timedelta(seconds=10)
-# A node that knows nobody yet tries several at once.
+# Number of addresses that a node without any peer pings at once.
 JOIN_TRIES = 3
-# Pings under way for others; far above what RELAYS brings.
+# Pending pings on behalf of other nodes; far more than INDIRECT_PROBES causes.
 MAX_ERRANDS = 256
-# Regions lose each other for an hour; dead nodes are remembered for longer, so
-# that both sides still know whom to try.
+# Dead members are kept for longer than a partition between regions lasts, which
+# may be an hour, so that both sides know which addresses to ping.
 DEAD_RETENTION = datetime.timedelta(hours=4)
-# The core is called every 100 ms; a longer gap means a pause of this process.
+# tick() is called every 100 ms; a longer gap means that the process was paused.
 PAUSE_LIMIT = datetime.timedelta(seconds=1)
-# A node that fails to reach three others in a row, or three in four of its
-# last probes, is more likely cut off itself. In a fleet of three there are not
-# enough others to tell, and it never doubts.
+# A node takes itself for isolated if its latest probes of three different nodes
+# all failed, or nine of its last twelve probes, of three nodes or more. A fleet
+# of three has too few other nodes, so its nodes never do so.
 DOUBT_WINDOW = 12
 DOUBT_FAILURES = 9
 DOUBT_MEMBERS = 3
 
 
 class State(enum.IntEnum):
-    """What is known of a node's life; the order decides between records."""
+    """State of a member.
+
+    Of two records with equal incarnation and refutation, the one with the
+    higher state wins.
+    """
 
     ALIVE = 0
     SUSPECT = 1
@@ -65,11 +74,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberRecord:
-    """A node and its state, as gossip carries it.
+    """A node and its state, as disseminated by gossip.
 
     Attributes:
-      node: the node; its incarnation is one start of it.
-      refutation: raised by the node itself to deny a suspicion or its death.
+      node: the node; its incarnation identifies one start of it.
+      refutation: number that only the node itself raises, to refute a record
+        that says it is suspect or dead.
       state: alive, suspect, dead or left.
     """
 
@@ -79,25 +89,25 @@
 
     @property
     def order(self) -> tuple[int, int, int]:
-        """The higher of two records of one node wins."""
+        """Sort key; of two records of a node, the higher one wins."""
         return self.node.incarnation, self.refutation, self.state
 
     @property
     def usable(self) -> bool:
-        """Whether work may go to the node's targets."""
+        """Whether requests may be sent to the node's targets."""
         return self.state <= State.SUSPECT
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ping:
-    """Asks a node to answer with the number.
+    """Asks a node for an acknowledgement.
 
     Attributes:
       address: the node's address.
-      number: comes back in the answer.
-      about: what this node believes of the other, where it is not alive; a
-        node can refute only what it hears.
-      contact: whether the other may not know this node.
+      number: returned in the acknowledgement.
+      known_record: the pinged node's record if it is not alive here. A node
+        can refute only a record that it receives.
+      is_introduction: whether the pinged node may not know this node yet.
     """
 
     address: str
@@ -108,7 +118,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Relay:
-    """Asks a node to ping another and to pass its answer on."""
+    """Asks a node to ping another one and to forward the acknowledgement.
+
+    Attributes:
+      address: address of the node that is asked.
+      number: returned in the acknowledgement.
+      member: name of the node to ping.
+    """
 
     address: str
     number: int
@@ -117,7 +133,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ack:
-    """Answers a ping, or passes on the answer to a relayed one."""
+    """Acknowledges a ping, or forwards the acknowledgement of a relayed one."""
 
     address: str
     number: int
@@ -125,14 +141,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Spread:
-    """A record that has changed here and that others should hear."""
+    """Disseminates a record that has changed on this node."""
 
     record: MemberRecord
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forgotten:
-    """A node that has been dead for so long that its records may go."""
+    """A member that was removed; other records of the node may go as well."""
 
     name: str
 
@@ -149,14 +165,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Outcome:
+class _ProbeResult:
     member: str
     answered: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Errand:
-    """A ping sent for another node."""
+class _RelayedPing:
+    """A pending ping on behalf of another node."""
 
     address: str
     number: int
@@ -164,7 +180,7 @@
 
 
 class Membership:
-    """The nodes that this one knows, and its part in watching over them."""
+    """The members known to a node, and its failure detector."""
 
     def __init__(
         self,
@@ -173,13 +189,13 @@
         rng: random.Random,
         contacts: collections.abc.Iterable[str] = (),
     ) -> None:
-        """Starts knowing itself only.
+        """Initializes a membership that contains only this node.
 
         Args:
           me: this start of this node.
-          clock: its monotonic time.
-          rng: chooses whom to probe.
-          contacts: addresses to try although no member is known there.
+          clock: source of monotonic time.
+          rng: chooses the nodes to probe.
+          contacts: addresses to ping even if no member with them is known.
         """
         self._me = MemberRecord(me, 0, State.ALIVE)
         self._clock = clock
@@ -187,16 +203,16 @@
         self._contacts = [item for item in contacts if item != me.address]
         self._members: dict[str, MemberRecord] = {me.name: self._me}
         self._changed_at: dict[str, datetime.timedelta] = {}
-        self._asked: dict[str, datetime.timedelta] = {}
-        self._round: list[str] = []
+        self._suspect_pinged_at: dict[str, datetime.timedelta] = {}
+        self._probe_round: list[str] = []
         self._probe: _Probe | None = None
-        self._errands: dict[int, _Errand] = {}
-        self._number = 0
-        self._ticked = clock.monotonic()
+        self._relayed_pings: dict[int, _RelayedPing] = {}
+        self._last_number = 0
+        self._last_tick = clock.monotonic()
         self._next_probe = clock.monotonic()
         self._next_contact = clock.monotonic()
-        self._outcomes: collections.deque[_Outcome] = collections.deque(
-            maxlen=DOUBT_WINDOW
+        self._probe_results: collections.deque[_ProbeResult] = (
+            collections.deque(maxlen=DOUBT_WINDOW)
         )
         self._superseded = False
 
@@ -207,36 +223,38 @@
 
     @property
     def members(self) -> collections.abc.Mapping[str, MemberRecord]:
-        """Every node known, this one and the dead included."""
+        """All known members by name, including this node and dead nodes."""
         return self._members
 
     @property
     def superseded(self) -> bool:
-        """Whether a later start of this node's name has been heard of."""
+        """Whether a later start of a node with this name is known."""
         return self._superseded
 
     @property
     def doubtful(self) -> bool:
-        """Whether this node reaches so few that it doubts itself.
+        """Whether so many probes failed that this node itself is at fault.
 
-        Without this a node behind a broken switch would spread suspicion of
-        the whole fleet. While in doubt it accuses nobody, and keeps what it
-        knows; its own work shows it which paths fail.
+        Without this check a node behind a broken switch would make the whole
+        fleet suspect. While it is isolated a node suspects no member and
+        declares none dead; its own requests show it which paths fail.
         """
-        last = {
+        latest_failed = {
             item.member
             for item in itertools.takewhile(
-                lambda item: not item.answered, reversed(self._outcomes)
+                lambda item: not item.answered, reversed(self._probe_results)
             )
         }
-        if len(last) >= DOUBT_MEMBERS:
+        if len(latest_failed) >= DOUBT_MEMBERS:
             return True
-        failed = [item.member for item in self._outcomes if not item.answered]
-        enough = len(set(failed)) >= DOUBT_MEMBERS
-        return enough and len(failed) >= DOUBT_FAILURES
+        failed = [
+            item.member for item in self._probe_results if not item.answered
+        ]
+        enough_members = len(set(failed)) >= DOUBT_MEMBERS
+        return enough_members and len(failed) >= DOUBT_FAILURES
 
     def peers(self) -> list[MemberRecord]:
-        """Other nodes that may be alive."""
+        """Returns the other members that are alive or suspect."""
         return [
             item
             for item in self._members.values()
@@ -244,24 +262,24 @@
         ]
 
     def set_contacts(self, addresses: collections.abc.Iterable[str]) -> None:
-        """Takes addresses to try although no member is known there."""
-        mine = self._me.node.address
-        self._contacts = [item for item in addresses if item != mine]
+        """Replaces the addresses to ping even if no member is known there."""
+        own = self._me.node.address
+        self._contacts = [item for item in addresses if item != own]
         if not self.peers():
             self._next_contact = self._clock.monotonic()
 
     def has_contacts(self) -> bool:
-        """Whether any other node could be there to join."""
+        """Whether there may be any other node to join."""
         return bool(self._contacts) or len(self._members) > 1
 
     def leave(self) -> list[Output]:
-        """Tells that this node is leaving."""
+        """Marks this node as leaving."""
         self._me = dataclasses.replace(self._me, state=State.LEFT)
         self._members[self._me.node.name] = self._me
         return [Spread(self._me)]
 
     def merge(self, record: MemberRecord) -> list[Output]:
-        """Takes a record unless a higher one is known."""
+        """Stores a record unless one of the same or higher precedence is known."""
         name = record.node.name
         if name == self._me.node.name:
             return self._refute(record)
@@ -270,86 +288,91 @@
             return []
         if known is None and not record.usable:
             return []
-        self._put(record)
+        self._store(record)
         return [Spread(record)]
 
     def pinged(self, address: str, number: int) -> list[Output]:
-        """A ping came."""
+        """Handles a ping."""
         return [Ack(address, number)]
 
     def relayed(self, address: str, number: int, member: str) -> list[Output]:
-        """A node asks to ping another for it."""
+        """Handles a request to ping a member on behalf of another node."""
         target = self._members.get(member)
-        if target is None or len(self._errands) >= MAX_ERRANDS:
+        if target is None or len(self._relayed_pings) >= MAX_ERRANDS:
             return []
-        own = self._next_number()
+        relay_number = self._next_number()
         now = self._clock.monotonic()
-        self._errands[own] = _Errand(address, number, now)
-        return [Ping(target.node.address, own)]
+        self._relayed_pings[relay_number] = _RelayedPing(address, number, now)
+        return [Ping(target.node.address, relay_number)]
 
     def acked(self, number: int) -> list[Output]:
-        """The answer to a ping came."""
-        errand = self._errands.pop(number, None)
-        if errand is not None:
-            return [Ack(errand.address, errand.number)]
+        """Handles an acknowledgement."""
+        relayed_ping = self._relayed_pings.pop(number, None)
+        if relayed_ping is not None:
+            return [Ack(relayed_ping.address, relayed_ping.number)]
         probe = self._probe
         if probe is not None and probe.number == number:
             self._probe = None
-            self._outcomes.append(_Outcome(probe.member, answered=True))
+            self._probe_results.append(
+                _ProbeResult(probe.member, answered=True)
+            )
         return []
 
     def tick(self) -> list[Output]:
-        """Runs the timers; call it about every 100 ms."""
+        """Runs the timers; to be called about every 100 ms."""
         now = self._clock.monotonic()
-        gap = now - self._ticked
-        self._ticked = now
+        gap = now - self._last_tick
+        self._last_tick = now
         if gap > PAUSE_LIMIT:
             self._resume(gap)
-        output = self._judge(now)
-        output.extend(self._expire(now))
-        output.extend(self._ask_suspects(now))
+        output = self._check_probe(now)
+        output.extend(self._expire_states(now))
+        output.extend(self._ping_suspects(now))
         if now >= self._next_contact:
             self._next_contact = now + CONTACT_PERIOD
-            output.extend(self._contact())
+            output.extend(self._ping_contacts())
         if now >= self._next_probe and self._probe is None:
             self._next_probe = now + PROBE_PERIOD
-            output.extend(self._start(now))
+            output.extend(self._start_probe(now))
         return output
 
     def _resume(self, gap: datetime.timedelta) -> None:
-        """Forgets what this node missed while it was paused.
+        """Discards pending pings and extends suspicions after a pause.
 
-        Its probes ran out and its suspicions ripened while nobody could
-        answer it. Without this a resumed node would evict healthy ones.
+        They timed out while the paused process could not receive any
+        acknowledgement or refutation. Without this a resumed node would
+        declare healthy nodes dead.
         """
         self._probe = None
-        self._errands.clear()
+        self._relayed_pings.clear()
         for name in self._changed_at:
             self._changed_at[name] += gap
 
-    def _judge(self, now: datetime.timedelta) -> list[Output]:
-        """Follows the probe that is out: a second way, then the verdict."""
-        old = [
+    def _check_probe(self, now: datetime.timedelta) -> list[Output]:
+        """Requests indirect probes, and ends probes that have timed out."""
+        expired = [
             number
-            for number, errand in self._errands.items()
-            if now - errand.started > PROBE_TIMEOUT
+            for number, relayed_ping in self._relayed_pings.items()
+            if now - relayed_ping.started > PROBE_TIMEOUT
         ]
-        for number in old:
-            del self._errands[number]
+        for number in expired:
+            del self._relayed_pings[number]
         probe = self._probe
         if probe is None:
             return []
         waited = now - probe.started
         if waited >= PROBE_TIMEOUT:
             self._probe = None
-            self._outcomes.append(_Outcome(probe.member, answered=False))
-            return self._accuse(probe.member)
+            self._probe_results.append(
+                _ProbeResult(probe.member, answered=False)
+            )
+            return self._suspect(probe.member)
         if waited >= DIRECT_TIMEOUT and not probe.relayed:
             probe.relayed = True
-            return self._ask_relays(probe)
+            return self._request_pings(probe)
         return []
 
-    def _ask_relays(self, probe: _Probe) -> list[Output]:
+    def _request_pings(self, probe: _Probe) -> list[Output]:
         others = [
             item
             for item in self.peers()
@@ -361,16 +384,16 @@
             for item in chosen
         ]
 
-    def _accuse(self, name: str) -> list[Output]:
+    def _suspect(self, name: str) -> list[Output]:
         known = self._members.get(name)
         if self.doubtful or known is None or known.state is not State.ALIVE:
             return []
         suspect = dataclasses.replace(known, state=State.SUSPECT)
-        self._put(suspect)
+        self._store(suspect)
         return [Spread(suspect)]
 
-    def _expire(self, now: datetime.timedelta) -> list[Output]:
-        """Ends suspicions that nobody refuted, and forgets the long dead."""
+    def _expire_states(self, now: datetime.timedelta) -> list[Output]:
+        """Declares unrefuted suspects dead, and removes old dead members."""
         output: list[Output] = []
         for name, since in list(self._changed_at.items()):
             known = self._members[name]
@@ -378,7 +401,7 @@
                 if now - since < SUSPICION_TIMEOUT or self.doubtful:
                     continue
                 dead = dataclasses.replace(known, state=State.DEAD)
-                self._put(dead)
+                self._store(dead)
                 output.append(Spread(dead))
             elif now - since > DEAD_RETENTION:
                 del self._members[name]
@@ -386,37 +409,37 @@
                 output.append(Forgotten(name))
         return output
 
-    def _ask_suspects(self, now: datetime.timedelta) -> list[Output]:
-        """Asks those whose suspicion has been refuted by nobody for a while.
+    def _ping_suspects(self, now: datetime.timedelta) -> list[Output]:
+        """Pings suspects that have not refuted the suspicion for a while.
 
         Failure: datagrams are lost, and the refutation of a healthy node does
-        not come here before the suspicion ends. Symptom: this node evicts it,
-        tells the fleet, and its targets lose their work for some seconds. The
-        suspect answers such a question with its refutation, at once.
+        not arrive before the suspicion ends. Symptom: this node declares it
+        dead to the whole fleet, and its targets get no requests for some
+        seconds. The suspect answers such a ping with its refutation at once.
         """
         due = [
             name
             for name, since in self._changed_at.items()
             if self._members[name].state is State.SUSPECT
             and now - since >= ASK_AFTER
-            and now - self._asked.get(name, since) >= ASK_PERIOD
+            and now - self._suspect_pinged_at.get(name, since) >= ASK_PERIOD
         ]
         output: list[Output] = []
         for name in due[:ASKS_PER_TICK]:
-            self._asked[name] = now
+            self._suspect_pinged_at[name] = now
             known = self._members[name]
             number = self._next_number()
             output.append(Ping(known.node.address, number, known))
         return output
 
-    def _start(self, now: datetime.timedelta) -> list[Output]:
-        """Probes the next node of a shuffled round: all, each once."""
+    def _start_probe(self, now: datetime.timedelta) -> list[Output]:
+        """Starts a probe of the next member in the shuffled round."""
         while True:
-            if not self._round:
-                self._round = self._next_round()
-            if not self._round:
+            if not self._probe_round:
+                self._probe_round = self._next_round()
+            if not self._probe_round:
                 return []
-            known = self._members.get(self._round.pop())
+            known = self._members.get(self._probe_round.pop())
             if known is not None and known.usable:
                 break
         number = self._next_number()
@@ -425,23 +448,28 @@
         return [Ping(known.node.address, number, about)]
 
     def _next_round(self) -> list[str]:
-        """Whom to probe next: those of the own zone more often than others.
+        """Returns the members to probe in the next round, shuffled.
 
-        Bytes between zones are paid for, and a dead node is found by its
-        neighbours as well as by others; what parts zones is found by the
-        probes that cross.
+        It contains all members of the own zone, but only a sample of the
+        others: bytes between zones are billed, and the nodes of a dead node's
+        own zone suffice to detect it. Probes of other zones detect
+        partitions between zones.
         """
         peers = [item.node for item in self.peers()]
         zone = self._me.node.zone
-        near = [node.name for node in peers if node.zone == zone]
-        far = [node.name for node in peers if node.zone != zone]
-        crossing = max(1, len(near) // NEAR_PROBES) if near else len(far)
-        chosen = near + self._rng.sample(far, min(len(far), crossing))
+        local = [node.name for node in peers if node.zone == zone]
+        remote = [node.name for node in peers if node.zone != zone]
+        remote_count = (
+            max(1, len(local) // NEAR_PROBES) if local else len(remote)
+        )
+        chosen = local + self._rng.sample(
+            remote, min(len(remote), remote_count)
+        )
         self._rng.shuffle(chosen)
         return chosen
 
-    def _contact(self) -> list[Output]:
-        """Tries an address that may have come back."""
+    def _ping_contacts(self) -> list[Output]:
+        """Pings addresses of contacts and dead members, which may be back."""
         peers = {item.node.address for item in self.peers()}
         absent: dict[str, MemberRecord | None] = {
             item: None for item in self._contacts if item not in peers
@@ -449,40 +477,40 @@
         for item in self._members.values():
             if item.state is State.DEAD:
                 absent[item.node.address] = item
-        tries = 1
+        count = 1
         if not peers:
-            # Alone: nothing else to do than to find the fleet.
+            # A node without peers tries more often, to find the fleet.
             self._next_contact = self._clock.monotonic() + PROBE_PERIOD
-            tries = JOIN_TRIES
-        chosen = self._rng.sample(list(absent), min(len(absent), tries))
+            count = JOIN_TRIES
+        chosen = self._rng.sample(list(absent), min(len(absent), count))
         return [
             Ping(address, self._next_number(), absent[address], contact=True)
             for address in chosen
         ]
 
     def _refute(self, record: MemberRecord) -> list[Output]:
-        mine = self._me
-        if record.node.incarnation > mine.node.incarnation:
+        own = self._me
+        if record.node.incarnation > own.node.incarnation:
             self._superseded = True
             return []
-        if record.order <= mine.order or mine.state is State.LEFT:
+        if record.order <= own.order or own.state is State.LEFT:
             return []
         self._me = dataclasses.replace(
-            mine, refutation=record.refutation + 1, state=State.ALIVE
+            own, refutation=record.refutation + 1, state=State.ALIVE
         )
         self._members[self._me.node.name] = self._me
         return [Spread(self._me)]
 
-    def _put(self, record: MemberRecord) -> None:
+    def _store(self, record: MemberRecord) -> None:
         name = record.node.name
         self._members[name] = record
-        self._asked.pop(name, None)
+        self._suspect_pinged_at.pop(name, None)
         if record.state is State.ALIVE:
             self._changed_at.pop(name, None)
         else:
             self._changed_at[name] = self._clock.monotonic()
 
     def _next_number(self) -> int:
-        # Thrift's i32; a fresh number is never 0, which stands for none.
-        self._number = self._number % (2**31 - 1) + 1
-        return self._number
+        # Numbers fit thrift's i32 and are never 0, which stands for none.
+        self._last_number = self._last_number % (2**31 - 1) + 1
+        return self._last_number
--- a/endivewind/nodes/repair.py
+++ b/endivewind/nodes/repair.py
@@ -1,8 +1,8 @@
-"""Finds what two nodes have missed of each other's knowledge, and mends it.
+"""Anti-entropy: finds and repairs differences between two nodes' records.
 
-Every datagram carries a digest of all that its sender knows. Where it differs,
-two nodes compare digests of their records by bucket, then the versions in the
-buckets that differ, and send the missing records over a link.
+Every datagram carries a digest of all records that its sender knows. If it
+differs, two nodes compare their digests by bucket, then the versions in the
+buckets that differ, and send each other the missing records over a link.
 """
 
 import collections.abc
@@ -16,26 +16,29 @@
 from endivewind.nodes import membership
 from endivewind.nodes import view
 
-# Fits every path's MTU, with room for the headers and the signature.
+# Fits the MTU of every path, including headers and signature.
 MAX_DATAGRAM = 1200
 _OVERHEAD = 160
 ROOM = MAX_DATAGRAM - _OVERHEAD
-# A node repairs with one other at a time, and leaves news time to spread: what
-# it has heard in the last REPAIR_PERIOD others may simply not have heard yet.
-# Without that each change would make every node compare its buckets.
+# Minimum time between two comparisons that a node starts. For REPAIR_PERIOD
+# after its last change BUSY_REPAIR_PERIOD applies instead, since others may
+# simply not have received the change yet. Without this each change would make
+# every node compare its buckets.
 REPAIR_PERIOD = datetime.timedelta(seconds=2)
 BUSY_REPAIR_PERIOD = datetime.timedelta(seconds=10)
 MAX_VERSION_DATAGRAMS = 4
-# A joining node differs in most buckets; all at once is cheaper for it.
+# Number of differing buckets from which on a node pulls the full state. A joining
+# node differs in most buckets, and one pull is cheaper than many comparisons.
 WHOLE_BUCKETS = 100
-# A whole state is about 1.4 MB at full size and takes a second or two; asking
-# again while it comes would double the work of a fleet that restarts.
+# Minimum time between two pulls of the full state, which has about 1.4 MB at 760
+# nodes and takes a second or two. Asking again while it arrives would double
+# the work of a fleet that restarts.
 PULL_PERIOD = datetime.timedelta(seconds=3)
 HOMES_PER_FRAME = 16
 
 
 class Repair:
-    """One node's comparisons with others, and the records that they need."""
+    """Compares this node's records with those of others, and answers pulls."""
 
     def __init__(
         self,
@@ -55,46 +58,46 @@
 
     @property
     def summary(self) -> int:
-        """Digest of all that this node knows; equal when nodes agree."""
+        """Digest of the known records; equal on nodes that know the same."""
         return self._digests.summary
 
     def refresh(self, name: str) -> None:
-        """Takes note that a node's record or targets may have changed."""
+        """Updates the digests after a possible change of a node's records."""
         before = self._digests.summary
-        self._digests.put(name, self._version(name))
+        self._digests.put(name, self._current_version(name))
         if self._digests.summary != before:
             self._changed_at = self._clock.monotonic()
 
     def forget(self, name: str) -> None:
-        """Takes a node out."""
+        """Removes a node from the digests."""
         self._digests.put(name, None)
 
     def answer(
         self, pull: messages.Pull, *, joined: bool
     ) -> collections.abc.Iterator[messages.FleetState]:
-        """What a pull asks for, in parts of bounded size.
+        """Yields the state that a pull asks for, in parts of bounded size.
 
         Args:
-          pull: names nodes, or none for all.
-          joined: whether this node knows the fleet itself.
+          pull: the request.
+          has_joined: whether this node has received the fleet's state itself.
         """
         names = pull.names or tuple(self._members.members)
         for start in range(0, len(names), HOMES_PER_FRAME):
             part = names[start : start + HOMES_PER_FRAME]
             last = start + HOMES_PER_FRAME >= len(names)
-            state = self._state(part, last=last and joined)
+            state = self._make_state(part, last=last and joined)
             left = tuple(self._view.departed_targets(pull.sender).items())
             yield dataclasses.replace(state, left=left) if last else state
 
     def compare(
         self, address: str, message: messages.Datagram, *, joined: bool
     ) -> list[messages.Send]:
-        """What a datagram's digest asks for, if anything.
+        """Compares a datagram's digests; returns the messages to send.
 
         Args:
-          address: where its sender takes links.
+          address: listener address of its sender.
           message: the datagram.
-          joined: whether this node knows the fleet itself.
+          has_joined: whether this node has received the fleet's state itself.
         """
         if message.buckets:
             return self._compare_buckets(address, message.buckets)
@@ -105,9 +108,9 @@
         now = self._clock.monotonic()
         if not joined and now - self._last_pull >= PULL_PERIOD:
             self._last_pull = now
-            return [messages.Send(address, self._pull(()))]
-        settled = now - self._changed_at >= REPAIR_PERIOD
-        period = REPAIR_PERIOD if settled else BUSY_REPAIR_PERIOD
+            return [messages.Send(address, self._make_pull(()))]
+        is_quiet = now - self._changed_at >= REPAIR_PERIOD
+        period = REPAIR_PERIOD if is_quiet else BUSY_REPAIR_PERIOD
         if now - self._last_repair < period:
             return []
         self._last_repair = now
@@ -119,7 +122,7 @@
             )
         ]
 
-    def _pull(self, names: tuple[str, ...]) -> messages.Pull:
+    def _make_pull(self, names: tuple[str, ...]) -> messages.Pull:
         node = self._members.me.node
         return messages.Pull(node.name, node.address, names)
 
@@ -136,45 +139,47 @@
         ]
         sends: list[messages.Send] = []
         now = self._clock.monotonic()
-        whole = len(differing) >= WHOLE_BUCKETS
-        if whole and now - self._last_pull >= PULL_PERIOD:
+        needs_full_pull = len(differing) >= WHOLE_BUCKETS
+        if needs_full_pull and now - self._last_pull >= PULL_PERIOD:
             self._last_pull = now
-            sends.append(messages.Send(address, self._pull(())))
+            sends.append(messages.Send(address, self._make_pull(())))
         self._rng.shuffle(differing)
         sends.extend(
             messages.Send(address, item)
-            for item in self._version_datagrams(differing)
+            for item in self._make_version_datagrams(differing)
         )
         return sends
 
-    def _version_datagrams(
+    def _make_version_datagrams(
         self, differing: list[int]
     ) -> list[messages.Datagram]:
-        found: list[messages.Datagram] = []
+        result: list[messages.Datagram] = []
         compared: list[int] = []
         versions: list[digests.Version] = []
-        room = ROOM
+        remaining_bytes = ROOM
         for index in differing:
             names = self._digests.names(index)
-            more = [item for name in names if (item := self._version(name))]
-            size = 8 + sum(_version_size(item) for item in more)
-            if size > room and compared:
-                found.append(self._versions(compared, versions))
-                compared, versions, room = [], [], ROOM
-                if len(found) == MAX_VERSION_DATAGRAMS:
-                    return found
-            if size > room:
-                # One bucket that fills more than a datagram: a fleet much
-                # larger than the buckets are made for. Repair it piecemeal.
+            bucket_versions = [
+                item for name in names if (item := self._current_version(name))
+            ]
+            size = 8 + sum(_version_size(item) for item in bucket_versions)
+            if size > remaining_bytes and compared:
+                result.append(self._make_version_datagram(compared, versions))
+                compared, versions, remaining_bytes = [], [], ROOM
+                if len(result) == MAX_VERSION_DATAGRAMS:
+                    return result
+            if size > remaining_bytes:
+                # The bucket alone exceeds a datagram, because the fleet is
+                # much larger than BUCKET_COUNT is chosen for. Skip it.
                 continue
             compared.append(index)
-            versions.extend(more)
-            room -= size
+            versions.extend(bucket_versions)
+            remaining_bytes -= size
         if compared:
-            found.append(self._versions(compared, versions))
-        return found
+            result.append(self._make_version_datagram(compared, versions))
+        return result
 
-    def _versions(
+    def _make_version_datagram(
         self, compared: list[int], versions: list[digests.Version]
     ) -> messages.Datagram:
         return messages.Datagram(
@@ -192,39 +197,43 @@
         for index in message.compared:
             if 0 <= index < digests.BUCKETS:
                 names |= self._digests.names(index)
-        wanted: list[str] = []
-        offered: list[str] = []
+        names_behind: list[str] = []
+        names_ahead: list[str] = []
         for name in sorted(names):
-            behind, ahead = self._relation(name, theirs.get(name))
-            if behind:
-                wanted.append(name)
-            if ahead:
-                offered.append(name)
+            is_behind, is_ahead = self._compare_node(name, theirs.get(name))
+            if is_behind:
+                names_behind.append(name)
+            if is_ahead:
+                names_ahead.append(name)
         sends: list[messages.Send] = []
-        if wanted:
-            sends.append(messages.Send(address, self._pull(tuple(wanted))))
-        for start in range(0, len(offered), HOMES_PER_FRAME):
-            part = offered[start : start + HOMES_PER_FRAME]
-            sends.append(messages.Send(address, self._state(part, last=False)))
+        if names_behind:
+            sends.append(
+                messages.Send(address, self._make_pull(tuple(names_behind)))
+            )
+        for start in range(0, len(names_ahead), HOMES_PER_FRAME):
+            part = names_ahead[start : start + HOMES_PER_FRAME]
+            sends.append(
+                messages.Send(address, self._make_state(part, last=False))
+            )
         return sends
 
-    def _relation(
+    def _compare_node(
         self, name: str, theirs: digests.Version | None
     ) -> tuple[bool, bool]:
-        """Whether this node is behind, and whether it is ahead."""
+        """Returns whether this node is behind, and whether it is ahead."""
         member = self._members.members.get(name)
         if theirs is None:
             return False, member is not None
         if member is None:
             return True, False
-        own = self._view.home_version(name)
-        mine_home = (own.incarnation, own.sequence)
-        their_home = (theirs.home.incarnation, theirs.home.sequence)
-        behind = theirs.member > member.order or their_home > mine_home
-        ahead = member.order > theirs.member or mine_home > their_home
-        return behind, ahead
-
-    def _state(
+        own_home = self._view.home_version(name)
+        own_version = (own_home.incarnation, own_home.sequence)
+        their_version = (theirs.home.incarnation, theirs.home.sequence)
+        is_behind = theirs.member > member.order or their_version > own_version
+        is_ahead = member.order > theirs.member or own_version > their_version
+        return is_behind, is_ahead
+
+    def _make_state(
         self, names: collections.abc.Iterable[str], *, last: bool
     ) -> messages.FleetState:
         members = []
@@ -240,7 +249,7 @@
         me = self._members.me.node.name
         return messages.FleetState(me, tuple(members), tuple(homes), last)
 
-    def _version(self, name: str) -> digests.Version | None:
+    def _current_version(self, name: str) -> digests.Version | None:
         member = self._members.members.get(name)
         if member is None or not member.usable:
             return None
@@ -250,5 +259,5 @@
 
 
 def _version_size(version: digests.Version) -> int:
-    # Six fields of three bytes, five numbers, the name and the list's share.
+    # Six field headers of 3 bytes, five numbers, the name and list overhead.
     return len(version.name) + 60
--- a/endivewind/nodes/states.py
+++ b/endivewind/nodes/states.py
@@ -1,4 +1,4 @@
-"""Link frames of gossip: pulls, and the states that answer them."""
+"""Converts gossip's pulls and states to and from link frames."""
 
 import functools
 from typing import Any
@@ -13,7 +13,7 @@
 def frame_out(
     message: gossip_messages.FleetState | gossip_messages.Pull,
 ) -> Any:
-    """A message of gossip as a link frame."""
+    """Converts a gossip message to a link frame."""
     raise TypeError(f"no frame for {type(message).__name__}")
 
 
@@ -22,7 +22,7 @@
     state = codec.messages.FleetState(
         sender=message.sender,
         members=[changes.member_out(item) for item in message.members],
-        homes=[_home_out(item) for item in message.homes],
+        homes=[_encode_home(item) for item in message.homes],
         last=message.last,
         left=[codec.messages.DepartedTarget(*item) for item in message.left]
         or None,
@@ -41,14 +41,14 @@
 
 
 def frame_in(frame: Any) -> gossip_messages.FleetState | gossip_messages.Pull:
-    """A message of gossip from a link frame.
+    """Converts a link frame to a gossip message.
 
     Raises:
-      codec.FrameError: the frame holds no such message, or a bad one.
+      codec.FrameError: if the frame holds no valid gossip message.
     """
     try:
         if frame.fleet_state:
-            return _state_in(frame.fleet_state)
+            return _decode_state(frame.fleet_state)
         if frame.pull:
             pull = frame.pull
             return gossip_messages.Pull(
@@ -56,20 +56,20 @@
             )
     except (TypeError, ValueError) as error:
         raise codec.FrameError(str(error)) from error
-    raise codec.FrameError("not a frame of gossip")
+    raise codec.FrameError("not a gossip frame")
 
 
-def _state_in(state: Any) -> gossip_messages.FleetState:
+def _decode_state(state: Any) -> gossip_messages.FleetState:
     return gossip_messages.FleetState(
         state.sender or "",
         tuple(changes.member_in(item) for item in state.members or ()),
-        tuple(_home_in(item) for item in state.homes or ()),
+        tuple(_decode_home(item) for item in state.homes or ()),
         bool(state.last),
         tuple((item.target, item.incarnation) for item in state.left or ()),
     )
 
 
-def _home_out(home: view.HomeState) -> Any:
+def _encode_home(home: view.HomeState) -> Any:
     return codec.messages.HomeState(
         home=home.home,
         incarnation=home.version.incarnation,
@@ -78,7 +78,7 @@
     )
 
 
-def _home_in(home: Any) -> view.HomeState:
+def _decode_home(home: Any) -> view.HomeState:
     targets = tuple(
         changes.target_in(item, home.home, home.incarnation)
         for item in home.targets or ()
--- a/endivewind/nodes/traffic.py
+++ b/endivewind/nodes/traffic.py
@@ -1,4 +1,4 @@
-"""Bytes sent to other nodes, by what they are for and how far they went."""
+"""Counts the bytes sent to other nodes, by purpose and distance."""
 
 import collections
 import collections.abc
@@ -9,13 +9,13 @@
 
 
 class Kind(enum.StrEnum):
-    """What bytes are for.
+    """Purpose of the bytes.
 
-    REQUESTS and ANSWERS are callers' work. STATE is pulled by nodes that
-    join or have missed changes; CHANGES are news of members and targets;
-    NEWS is what nodes near each other tell; PROBES ask who is alive, and
-    carry the digests that find what was missed. QUESTIONS ask for proofs of
-    freshness and for parts of a quota.
+    REQUESTS and RESPONSES are those of callers. STATE is pulled by nodes that
+    join or have missed changes. CHANGES are gossiped changes of members and
+    targets. PEER_UPDATES are sent to nodes of the same zone or region. PROBES
+    detect failed nodes and carry the digests for anti-entropy. QUERIES ask
+    other nodes for proofs of freshness and for shares of a quota.
     """
 
     REQUESTS = "requests"
@@ -29,7 +29,12 @@
 
 
 class Distance(enum.StrEnum):
-    """How far bytes go; they are paid for from REGION on."""
+    """How far bytes go.
+
+    ZONE: within the sender's zone, free of charge. REGION: to another zone of
+    the sender's region, billed. OTHER_REGION: to another region, billed.
+    UNKNOWN: to a host that is not known as a node.
+    """
 
     ZONE = "zone"
     REGION = "region"
@@ -41,21 +46,21 @@
 
 
 class Meter(Protocol):
-    """Takes note of bytes that were sent."""
+    """Counts sent bytes."""
 
     def sent(self, kind: Kind, address: str, size: int) -> None:
-        """Counts bytes to an address: host, and port if it is known."""
+        """Counts bytes sent to an address: a host, optionally with a port."""
 
 
 class Unmetered:
-    """Counts nothing."""
+    """A meter that ignores everything."""
 
     def sent(self, kind: Kind, address: str, size: int) -> None:
-        """Takes no notice."""
+        """Does nothing."""
 
 
 class Traffic:
-    """Counts a node's bytes; VMs are told apart by their host."""
+    """Counts a node's sent bytes; finds the receiving node by its host."""
 
     def __init__(self, region: str, zone: str, fleet: view.FleetView) -> None:
         self._region = region
@@ -68,19 +73,19 @@
 
     @property
     def counts(self) -> Counts:
-        """Bytes since the start."""
+        """Bytes sent since the start."""
         return self._counts
 
     def sent(self, kind: Kind, address: str, size: int) -> None:
-        """Counts bytes to an address."""
+        """Counts bytes sent to an address."""
         self._counts[kind, self._distance(_host(address))] += size
 
     def by_kind(self) -> dict[str, dict[str, int]]:
-        """The counts as fields of a log line."""
-        found: dict[str, dict[str, int]] = {}
+        """Returns bytes by kind and distance, as fields of a log line."""
+        counts_by_kind: dict[str, dict[str, int]] = {}
         for (kind, distance), size in self._counts.items():
-            found.setdefault(kind.value, {})[distance.value] = size
-        return found
+            counts_by_kind.setdefault(kind.value, {})[distance.value] = size
+        return counts_by_kind
 
     def _distance(self, host: str) -> Distance:
         known = self._distances.get(host)
@@ -88,9 +93,9 @@
             return known
         for node in self._fleet.nodes.values():
             if _host(node.address) == host:
-                found = self._distance_of(node)
-                self._distances[host] = found
-                return found
+                distance = self._distance_of(node)
+                self._distances[host] = distance
+                return distance
         return Distance.UNKNOWN
 
     def _distance_of(self, node: view.NodeRecord) -> Distance:
@@ -100,7 +105,7 @@
 
 
 def _host(address: str) -> str:
-    """The host of an address; its port may be missing."""
+    """Returns the host of an address with or without a port."""
     if address.startswith("["):
         return address[1:].partition("]")[0]
     return address.partition(":")[0]
--- a/endivewind/nodes/transmission.py
+++ b/endivewind/nodes/transmission.py
@@ -1,28 +1,33 @@
-"""Changes that a node has still to pass on, and how often it does so."""
+"""Queue of the changes that a node disseminates.
+
+Gossip takes the content of each datagram from it. Each change is sent a number
+of times that grows with the logarithm of the fleet's size, as in SWIM.
+"""
 
 import math
 
-# Each node passes a change on ln(N) + this many times. With all pushes random
-# a node then misses one with e^-3 / N, so that all hear of it in 95 of 100
-# cases; digests repair the rest in seconds. Each further one costs a fleet of
-# two dozen a tenth of its bytes.
+# Each node sends a change ln(N) + EXTRA_TRANSMITS times. With random receivers
+# a node misses a change with probability e^-3 / N, so all nodes receive it in
+# 95 of 100 cases; anti-entropy repairs the rest within seconds. Each further
+# transmission would add a tenth to the bytes sent by a fleet of 24 nodes.
 EXTRA_TRANSMITS = 3
 MAX_TRANSMITS = 16
-# A change takes about a hundred bytes; a full queue holds 0.4 MB.
+# A change takes about 100 bytes, so a full queue takes 0.4 MB.
 MAX_QUEUED = 4096
 
-# Node, its incarnation, then sequence and 1 or refutation and state.
+# Node name, incarnation, and for a target change its sequence number and 1, for
+# a member record its refutation number and negative state.
 Key = tuple[str, int, int, int]
 
 
 def transmits_of(nodes: int) -> int:
-    """How often each of so many nodes passes on a change."""
-    wanted = math.ceil(math.log(nodes + 1)) + EXTRA_TRANSMITS
-    return min(wanted, MAX_TRANSMITS)
+    """Returns how often each node of a fleet of this size sends a change."""
+    count = math.ceil(math.log(nodes + 1)) + EXTRA_TRANSMITS
+    return min(count, MAX_TRANSMITS)
 
 
 class ChangeQueue:
-    """Changes to pass on, the least often sent first."""
+    """Changes to send, ordered by how often they have been sent."""
 
     def __init__(self) -> None:
         self._levels: list[dict[Key, bytes]] = [
@@ -36,8 +41,9 @@
     def put(self, key: Key, payload: bytes) -> None:
         """Adds a change.
 
-        A full queue drops what was sent most: others have it, and the digest
-        repairs the rest. Without a bound a mass restart would fill memory.
+        A full queue drops the oldest of the changes that were sent most often:
+        other nodes have it already, or get it by anti-entropy. Without the
+        limit a mass restart would exhaust memory.
         """
         if self._length >= MAX_QUEUED:
             fullest = next(item for item in reversed(self._levels) if item)
@@ -46,27 +52,27 @@
         self._levels[0][key] = payload
         self._length += 1
 
-    def take(self, room: int, nodes: int) -> tuple[bytes, ...]:
-        """Changes for one datagram, within so many bytes.
+    def take(self, remaining_bytes: int, nodes: int) -> tuple[bytes, ...]:
+        """Returns changes for one datagram, the least often sent first.
 
         Args:
-          room: bytes that they may take.
-          nodes: how many nodes are to hear of them.
+          remaining_bytes: maximum size of the changes.
+          nodes: number of nodes in the fleet.
         """
         transmits = transmits_of(nodes)
-        taken: list[tuple[int, Key, bytes]] = []
+        selected: list[tuple[int, Key, bytes]] = []
         for level, items in enumerate(self._levels):
             for key, payload in items.items():
-                room -= len(payload) + 4
-                if room < 0:
+                remaining_bytes -= len(payload) + 4
+                if remaining_bytes < 0:
                     break
-                taken.append((level, key, payload))
-            if room < 0:
+                selected.append((level, key, payload))
+            if remaining_bytes < 0:
                 break
-        for level, key, payload in taken:
+        for level, key, payload in selected:
             del self._levels[level][key]
             if level + 1 < transmits:
                 self._levels[level + 1][key] = payload
             else:
                 self._length -= 1
-        return tuple(payload for _, _, payload in taken)
+        return tuple(payload for _, _, payload in selected)
--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -276,8 +276,8 @@
     Mutant(
         "a doubt that was refuted long ago gets no answer",
         "nodes/gossip.py",
-        "        if stranger or refuted or asked:\n",
-        "        if stranger or refuted:\n",
+        "        if is_unknown or has_refuted or is_suspected:\n",
+        "        if is_unknown or has_refuted:\n",
         "nodes.membership_tests",
     ),
     Mutant(
