--- a/endivewind/nodes/discovery.py
+++ b/endivewind/nodes/discovery.py
@@ -21,9 +21,9 @@
 
 log = logging.getLogger(__name__)
 
-# Delay between a node's registration and its first listing, which should contain
-# nodes that registered at the same time. Doubles with each listing after which
-# nodes may still be missing.
+# Delay between a node's registration and its first listing, which should
+# contain nodes that registered at the same time. Doubles with each listing
+# after which nodes may still be missing.
 FIRST_LOOK = datetime.timedelta(milliseconds=500)
 # Interval of listings once no node is missing. They find nodes that could not
 # be reached for longer than membership keeps dead members. With 760 nodes this
@@ -93,7 +93,7 @@
         return listing.revision >= self._registered_version
 
     async def run(self) -> None:
-        """Registers and lists zones until a later start of this node is known."""
+        """Registers and lists zones until a later start replaces this one."""
         while not self._members.superseded:
             delay = await self._register()
             await asyncio.sleep(delay or self._next_delay())
@@ -145,7 +145,7 @@
         return [zone for zone in other_zones if zone not in reached]
 
     def _next_zone(self) -> str:
-        """Returns a zone to list if no node is missing; half the time its own."""
+        """Returns a zone to list if no node is missing, alternately its own."""
         other_zones = self._directory.other_zones(self._me.zone)
         if not other_zones or next(self._listing_count) % 2 == 0:
             return self._me.zone
--- a/endivewind/nodes/gossip.py
+++ b/endivewind/nodes/gossip.py
@@ -87,7 +87,7 @@
         return len(self._queue)
 
     def take_heard(self) -> list[records.TargetRecord]:
-        """Returns target records of other homes received since the last call."""
+        """Returns other homes' target records received since the last call."""
         received, self._received_records = self._received_records, []
         return received
 
--- a/endivewind/nodes/membership.py
+++ b/endivewind/nodes/membership.py
@@ -279,7 +279,7 @@
         return [Spread(self._me)]
 
     def merge(self, record: MemberRecord) -> list[Output]:
-        """Stores a record unless one of the same or higher precedence is known."""
+        """Stores a record unless one of at least its precedence is known."""
         name = record.node.name
         if name == self._me.node.name:
             return self._refute(record)
--- a/endivewind/nodes/repair.py
+++ b/endivewind/nodes/repair.py
@@ -27,12 +27,13 @@
 REPAIR_PERIOD = datetime.timedelta(seconds=2)
 BUSY_REPAIR_PERIOD = datetime.timedelta(seconds=10)
 MAX_VERSION_DATAGRAMS = 4
-# Number of differing buckets from which on a node pulls the full state. A joining
-# node differs in most buckets, and one pull is cheaper than many comparisons.
+# Number of differing buckets from which on a node pulls the full state. A
+# joining node differs in most buckets, and one pull is cheaper than many
+# comparisons.
 WHOLE_BUCKETS = 100
-# Minimum time between two pulls of the full state, which has about 1.4 MB at 760
-# nodes and takes a second or two. Asking again while it arrives would double
-# the work of a fleet that restarts.
+# Minimum time between two pulls of the full state, which takes about 1.4 MB and
+# a second or two at 760 nodes. Asking again while it arrives would double the
+# work of a fleet that restarts.
 PULL_PERIOD = datetime.timedelta(seconds=3)
 HOMES_PER_FRAME = 16
 
--- a/endivewind/tests/nodes/discovery_tests.py
+++ b/endivewind/tests/nodes/discovery_tests.py
@@ -1,4 +1,4 @@
-"""How a start finds the fleet, in virtual time and without a network."""
+"""Discovery of the fleet, in virtual time and with a fake directory."""
 
 import asyncio
 import datetime
@@ -19,46 +19,46 @@
 
 
 class _Directory:
-    """The platform's directory, whose listings are some seconds old."""
+    """A fake of the platform's directory, with outdated listings."""
 
-    def __init__(self, clock, behind=0.0, zones=ZONES):
+    def __init__(self, clock, delay_seconds=0.0, zones=ZONES):
         self.calls = []
-        self.fails = False
-        self.removed = []
+        self.is_failing = False
+        self.removed_names = []
         self._clock = clock
-        self._behind = datetime.timedelta(seconds=behind)
+        self._delay = datetime.timedelta(seconds=delay_seconds)
         self._zones = zones
         self._revision = 0
-        self._states = [(datetime.timedelta(-1), 0, {})]
+        self._history = [(datetime.timedelta(-1), 0, {})]
 
     def other_zones(self, zone):
         return tuple(item for item in self._zones if item != zone)
 
     def put(self, record):
-        """Writes an object; returns its version."""
+        """Registers a node; returns the version."""
         self._revision += 1
-        found = dict(self._states[-1][2])
+        found = dict(self._history[-1][2])
         found[record.name] = directories.Registered(record, self._revision)
-        self._keep(found)
+        self._append(found)
         return self._revision
 
     async def register(self, record, version=0):
         self.calls.append(("register", record.zone, version))
-        if self.fails:
+        if self.is_failing:
             return expression.Error(UNAVAILABLE)
         return expression.Ok(self.put(record))
 
     async def listed(self, zone):
         self.calls.append(("list", zone))
-        if self.fails:
+        if self.is_failing:
             return expression.Error(UNAVAILABLE)
-        return expression.Ok(self.now(zone))
+        return expression.Ok(self.listing_of(zone))
 
-    def now(self, zone):
-        """A zone's listing, as old as listings are."""
-        then = self._clock.monotonic() - self._behind
+    def listing_of(self, zone):
+        """Returns a zone's listing as it was before the delay."""
+        as_of = self._clock.monotonic() - self._delay
         _, revision, found = max(
-            (item for item in self._states if item[0] <= then),
+            (item for item in self._history if item[0] <= as_of),
             key=lambda item: item[1],
         )
         in_zone = {
@@ -66,74 +66,75 @@
         }
         return directories.ZoneListing(revision, in_zone)
 
-    async def remove(self, gone):
-        self.removed.append(gone.node.name)
+    async def remove(self, registration):
+        self.removed_names.append(registration.node.name)
         self._revision += 1
-        found = dict(self._states[-1][2])
-        del found[gone.node.name]
-        self._keep(found)
+        found = dict(self._history[-1][2])
+        del found[registration.node.name]
+        self._append(found)
 
-    def _keep(self, found):
-        self._states.append((self._clock.monotonic(), self._revision, found))
+    def _append(self, found):
+        self._history.append((self._clock.monotonic(), self._revision, found))
 
 
 def _node(name, zone="z", incarnation=1):
     return view.NodeRecord(name, incarnation, f"{name}:1", "r", zone)
 
 
-class _Case(unittest.TestCase):
+class _TestCase(unittest.TestCase):
     def setUp(self):
         self.loop = virtual.VirtualLoop()
         self.addCleanup(self.loop.close)
         self.clock = virtual.LoopClock(self.loop)
-        self.registered = []
+        self.registered_names = []
 
-    def start(self, directory, record, *, seeds=(), at_start=None):
-        """Starts a node; returns its discovery and its members."""
+    def start_node(self, directory, record, *, seeds=(), initial_listing=None):
+        """Starts a node; returns its discovery and membership."""
         rng = random.Random(1)
         members = membership.Membership(record, self.clock, rng)
         found = discovery.Discovery(
             directory,
             members,
             seeds,
-            at_start,
+            initial_listing,
             self.clock,
             rng,
-            lambda: self.registered.append(record.name),
+            lambda: self.registered_names.append(record.name),
         )
         task = self.loop.create_task(found.run())
-        self.addCleanup(self.loop.run_until_complete, _ended(task))
+        self.addCleanup(self.loop.run_until_complete, _cancel(task))
         return found, members
 
     def run_for(self, seconds):
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
 
-async def _ended(task):
+async def _cancel(task):
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
 
 
-def _knows(members, *records):
-    """Lets gossip know some nodes as living."""
+def _add_members(members, *records):
+    """Adds live nodes to a membership."""
     for record in records:
         members.merge(
             membership.MemberRecord(record, 0, membership.State.ALIVE)
         )
 
 
-class ColdStartTest(_Case):
-    """All nodes start at once, with nobody registered."""
+class ColdStartTest(_TestCase):
+    """All nodes start at once, with none registered before."""
 
-    def test_the_later_of_two_finds_the_earlier_by_stale_listings(self):
-        """Neither is in the other's first listing, which is seconds old.
+    def test_later_node_finds_earlier_one_despite_outdated_listings(self):
+        """Of two nodes that start at once, the later one finds the other.
 
-        Both would take themselves for the whole fleet. The later one looks
-        until a listing holds its own registration, and so the other's.
+        Listings are seconds old, so neither node is in the other's first one,
+        and each would take itself for the whole fleet. The later one repeats
+        listings until they contain its own registration, and thus the other.
         """
-        directory = _Directory(self.clock, behind=2.5, zones=())
-        first, _ = self.start(directory, _node("a"))
-        second, members = self.start(directory, _node("b", incarnation=2))
+        directory = _Directory(self.clock, delay_seconds=2.5, zones=())
+        first, _ = self.start_node(directory, _node("a"))
+        second, members = self.start_node(directory, _node("b", incarnation=2))
         self.run_for(1)
         self.assertFalse(first.is_settled or second.is_settled)
 
@@ -142,57 +143,61 @@
         self.assertTrue(first.is_settled and second.is_settled)
         self.assertIn("a:1", members._contacts)
 
-    def test_calls_end_once_the_fleet_is_known(self):
-        """A call costs more than most requests are worth.
+    def test_no_frequent_calls_once_the_fleet_is_known(self):
+        """A start makes one registration and a few listings.
 
-        One registration and a few stale listings are all of a start.
+        Each platform call costs more than most requests are worth.
         """
-        directory = _Directory(self.clock, behind=1)
-        _, members = self.start(directory, _node("a"))
-        _knows(members, _node("y1", "y"), _node("x1", "x"))
+        directory = _Directory(self.clock, delay_seconds=1)
+        _, members = self.start_node(directory, _node("a"))
+        _add_members(members, _node("y1", "y"), _node("x1", "x"))
 
         self.run_for(300)
 
-        written = [item for item in directory.calls if item[0] == "register"]
-        self.assertEqual(1, len(written))
+        registrations = [
+            item for item in directory.calls if item[0] == "register"
+        ]
+        self.assertEqual(1, len(registrations))
         self.assertLessEqual(len(directory.calls), 5)
-        self.assertEqual(["a"], self.registered)
+        self.assertEqual(["a"], self.registered_names)
 
-    def test_every_zone_is_looked_for_until_a_node_of_it_is_known(self):
+    def test_zones_without_known_node_are_listed(self):
         directory = _Directory(self.clock)
         directory.put(_node("y1", "y"))
         directory.put(_node("x1", "x"))
-        _, members = self.start(directory, _node("a"))
+        _, members = self.start_node(directory, _node("a"))
 
         self.run_for(10)
 
         self.assertLessEqual({"y1:1", "x1:1"}, set(members._contacts))
 
-    def test_a_platform_that_is_away_is_asked_seldom(self):
+    def test_calls_back_off_while_the_platform_is_unavailable(self):
         directory = _Directory(self.clock)
-        directory.fails = True
-        found, _ = self.start(directory, _node("a"))
+        directory.is_failing = True
+        found, _ = self.start_node(directory, _node("a"))
 
         self.run_for(60)
 
         self.assertLess(len(directory.calls), 60)
         self.assertFalse(found.has_listed)
-        directory.fails = False
+        directory.is_failing = False
         self.run_for(12)
         self.assertTrue(found.is_settled)
 
 
-class RestartTest(_Case):
-    """A node starts again in a fleet that runs."""
+class RestartTest(_TestCase):
+    """A node restarts in a running fleet."""
 
-    def test_what_was_listed_before_the_start_is_tried_at_once(self):
+    def test_nodes_of_initial_listing_are_contacted_at_once(self):
         directory = _Directory(self.clock)
         directory.put(_node("b"))
         version = directory.put(_node("a"))
         self.run_for(1)
 
-        found, members = self.start(
-            directory, _node("a", incarnation=2), at_start=directory.now("z")
+        found, members = self.start_node(
+            directory,
+            _node("a", incarnation=2),
+            initial_listing=directory.listing_of("z"),
         )
 
         self.assertTrue(found.has_listed)
@@ -200,22 +205,22 @@
         self.run_for(0.1)
         self.assertIn(("register", "z", version), directory.calls)
 
-    def test_a_registration_that_is_gone_is_made_again(self):
+    def test_missing_registration_is_made_again(self):
         directory = _Directory(self.clock, zones=())
-        found, _ = self.start(directory, _node("a"))
+        found, _ = self.start_node(directory, _node("a"))
         self.run_for(5)
         self.loop.run_until_complete(
-            directory.remove(directory.now("z").found["a"])
+            directory.remove(directory.listing_of("z").found["a"])
         )
 
         self.run_for(2000)
 
-        self.assertIn("a", directory.now("z").found)
+        self.assertIn("a", directory.listing_of("z").found)
         self.assertTrue(found.is_settled)
 
 
-class TidyTest(_Case):
-    """Nodes that are gone for good; nothing expires in the platform."""
+class StaleRegistrationTest(_TestCase):
+    """Removal of nodes that no longer exist; registrations don't expire."""
 
     def setUp(self):
         super().setUp()
@@ -223,21 +228,25 @@
         for number, name in enumerate(("gone", "old", "young")):
             self.directory.put(_node(name, incarnation=number))
 
-    def test_the_oldest_of_a_zone_removes_what_is_gone_for_long(self):
-        """Without it each listing grows with every VM ever replaced."""
-        _, members = self.start(self.directory, _node("old", incarnation=1))
-        _knows(members, _node("young", incarnation=2))
+    def test_oldest_node_removes_long_absent_nodes(self):
+        """Otherwise listings would grow with every VM that is replaced."""
+        _, members = self.start_node(
+            self.directory, _node("old", incarnation=1)
+        )
+        _add_members(members, _node("young", incarnation=2))
 
         self.run_for(500)
-        self.assertEqual([], self.directory.removed)
+        self.assertEqual([], self.directory.removed_names)
         self.run_for(3000)
 
-        self.assertEqual(["gone"], self.directory.removed)
+        self.assertEqual(["gone"], self.directory.removed_names)
 
-    def test_others_leave_it_to_the_oldest(self):
-        _, members = self.start(self.directory, _node("young", incarnation=2))
-        _knows(members, _node("old", incarnation=1))
+    def test_other_nodes_remove_nothing(self):
+        _, members = self.start_node(
+            self.directory, _node("young", incarnation=2)
+        )
+        _add_members(members, _node("old", incarnation=1))
 
         self.run_for(3500)
 
-        self.assertEqual([], self.directory.removed)
+        self.assertEqual([], self.directory.removed_names)
--- a/endivewind/tests/nodes/gossip_tests.py
+++ b/endivewind/tests/nodes/gossip_tests.py
@@ -1,4 +1,4 @@
-"""Spreading and repair between the cores that nodes run."""
+"""Dissemination and anti-entropy repair, in an in-memory network."""
 
 import unittest
 
@@ -18,18 +18,18 @@
 EJECTED = records.Health.EJECTED
 
 
-class SpreadingTest(unittest.TestCase):
-    """A change of one home among forty nodes."""
+class DisseminationTest(unittest.TestCase):
+    """A change by one home in a fleet of forty nodes."""
 
     def setUp(self):
         self.net = network.Network(NAMES)
         self.net.run(8)
-        self.assertTrue(self.net.agreed())
+        self.assertTrue(self.net.has_converged())
         self.home = self.net.nodes["n0"]
         self.home.announce("t1", lease_ms=60_000)
         self.net.run(1)
 
-    def _ejected(self) -> int:
+    def _count_ejected(self) -> int:
         return sum(
             network.health_of(node, "t1") is EJECTED
             for node in self.net.nodes.values()
@@ -37,43 +37,45 @@
 
     def _eject(self) -> None:
         self.home.targets.set_health("t1", EJECTED)
-        self.home.spread()
+        self.home.publish_changes()
 
     def test_ejection_is_known_everywhere_within_a_second(self):
-        """No entry sends work to an ejected target a second later."""
+        """After a second no entry node sends requests to an ejected target."""
         self._eject()
         self.net.run(1)
-        self.assertEqual(len(NAMES), self._ejected())
+        self.assertEqual(len(NAMES), self._count_ejected())
 
-    def test_what_a_node_missed_is_repaired(self):
-        """A node that heard nothing for a while catches up in seconds.
+    def test_missed_change_is_repaired(self):
+        """A node that has missed a change gets it by repair within seconds.
 
-        Everything sent to it is lost while the change spreads, and nobody
-        tells it again; its next exchange of summaries shows the difference.
+        All messages to it are lost while the change is disseminated, and the
+        change is not sent again. A later datagram's digest differs from its
+        own.
         """
-        deaf = {(name, "n7") for name in NAMES}
-        self.net.cut = deaf
+        paths_to_n7 = {(name, "n7") for name in NAMES}
+        self.net.blocked_paths = paths_to_n7
         self._eject()
         self.net.run(2)
-        self.assertEqual(len(NAMES) - 1, self._ejected())
-        self.net.cut = set()
+        self.assertEqual(len(NAMES) - 1, self._count_ejected())
+        self.net.blocked_paths = set()
         self.net.run(15)
-        self.assertEqual(len(NAMES), self._ejected())
-        self.assertTrue(self.net.agreed())
+        self.assertEqual(len(NAMES), self._count_ejected())
+        self.assertTrue(self.net.has_converged())
 
-    def test_quiet_fleet_sends_little(self):
-        """Without changes a node sends its probes and answers only."""
+    def test_idle_fleet_sends_few_bytes(self):
+        """Without changes a node sends only probes and acknowledgements."""
         self.net.run(10)
         before = self.net.sent_bytes
         self.net.run(10)
         rate = (self.net.sent_bytes - before) / 10 / len(NAMES)
         self.assertLess(rate, 200)
 
-    def test_fleet_that_has_nothing_to_hand_on_stops_asking(self):
-        """A whole fleet restarts; nobody asks for whole states for ever.
+    def test_pulls_end_if_no_node_has_a_state(self):
+        """Pulls of the full state end after a restart of the whole fleet.
 
-        Each node asks one that has just started itself and has no state to
-        hand on. Were each to ask on, all would send all to all every second.
+        Each node pulls from a node that has just started as well and has no
+        complete state. If they went on, all nodes would send their full state
+        to each other every second.
         """
         net = network.Network(NAMES)
         net.run(10)
@@ -83,11 +85,11 @@
             net.run(0.5)
         self.assertLess(net.link_frames - before, len(NAMES))
 
-    def test_mass_restart_keeps_to_the_limits(self):
-        """A third of the fleet comes back at once, each with targets.
+    def test_mass_restart_keeps_limits(self):
+        """A third of the fleet restarts at once, each node with targets.
 
-        No datagram grows above its bound, no queue above its own, and all
-        agree soon after.
+        Datagrams and queues keep within their limits, and all nodes know the
+        same records soon after.
         """
         for name in NAMES[:13]:
             self.net.crash(name)
@@ -103,17 +105,22 @@
                     if node.name in NAMES[:13]:
                         node.announce(f"{node.name}-{number}")
                 self.assertLessEqual(node.core.queued, transmission.MAX_QUEUED)
-        self.assertLessEqual(self.net.largest, repair.MAX_DATAGRAM)
-        self.assertTrue(self.net.agreed())
-        known = {len(n.view.all_targets()) for n in self.net.nodes.values()}
-        self.assertEqual({13 * 16}, known)
+        self.assertLessEqual(
+            self.net.largest_datagram_bytes, repair.MAX_DATAGRAM
+        )
+        self.assertTrue(self.net.has_converged())
+        target_counts = {
+            len(n.view.all_targets()) for n in self.net.nodes.values()
+        }
+        self.assertEqual({13 * 16}, target_counts)
 
 
-class LeaveOutlivesItsHomeTest(unittest.TestCase):
-    """A home acknowledges that its target leaves, and is ended at once.
+class DepartureSurvivesRestartTest(unittest.TestCase):
+    """A home is killed after it has acknowledged a target's departure.
 
-    A heartbeat of the target from before that is held up, and reaches the
-    home's next start. Taken, the target would get work past its drain time.
+    A delayed heartbeat that the target sent before reaches the home after its
+    restart. If it were accepted, the target would get requests after its drain
+    time.
     """
 
     def setUp(self):
@@ -123,91 +130,95 @@
         self.home.announce("t1", incarnation=5, lease_ms=60_000)
         self.net.run(1)
 
-    def restart(self):
-        """Ends the home in the moment of its acknowledgement."""
-        self.home.spread()
+    def restart_home(self):
+        """Kills the home right after its acknowledgement, and restarts it."""
+        self.home.publish_changes()
         self.net.push("n0")
         self.net.crash("n0")
         self.net.run(2)
         self.home = self.net.start("n0")
         self.net.run(0.3)
 
-    def test_what_has_left_does_not_come_back_by_a_late_word(self):
+    def test_delayed_heartbeat_of_departed_target_is_refused(self):
         self.home.targets.depart("t1", 5)
-        self.restart()
+        self.restart_home()
 
         self.assertFalse(self.home.announce("t1", incarnation=5))
         self.assertTrue(self.home.announce("t1", incarnation=6))
 
-    def test_what_drains_does_not_come_back_by_a_late_word(self):
-        """It may say again that it leaves, which is acknowledged."""
+    def test_delayed_heartbeat_of_draining_target_is_refused(self):
+        """Another announcement that it is draining is accepted."""
         draining = records.State.DRAINING
         self.home.announce("t1", incarnation=5, state=draining)
-        self.restart()
+        self.restart_home()
 
         self.assertFalse(self.home.announce("t1", incarnation=5))
         self.assertTrue(self.home.announce("t1", incarnation=5, state=draining))
 
-    def test_one_that_stays_after_all_is_taken_again(self):
+    def test_target_that_stays_is_accepted_after_the_retention(self):
         self.home.targets.depart("t1", 5)
-        self.restart()
+        self.restart_home()
         self.net.run(registry.DEPARTED_FOR.total_seconds())
 
         self.assertTrue(self.home.announce("t1", incarnation=5))
 
 
-def _place(name):
-    """One of six zones in three regions, as a users' fleet has."""
+def _location(name):
+    """Distributes nodes over six zones in three regions."""
     number = int(name[1:]) % 6
     return f"r{number // 2}", f"z{number}"
 
 
-class CrossingTest(unittest.TestCase):
-    """Ninety-six nodes in six zones; bytes that leave a zone are paid for."""
+class CrossZoneTrafficTest(unittest.TestCase):
+    """Ninety-six nodes in six zones; bytes between zones are billed."""
 
-    def test_news_gets_everywhere_with_few_bytes_between_zones(self):
-        """Each zone hears a change a few times, and passes it on itself.
+    def test_changes_reach_all_nodes_with_few_bytes_between_zones(self):
+        """A few copies of a change enter each zone, which forwards it itself.
 
-        A change whose copies cross for every node would cost the fleet more
-        between zones than its requests do, when all nodes start at once.
+        If a copy came from another zone for each node, a start of all nodes
+        would cause more traffic between zones than the requests do.
         """
         names = [f"n{number}" for number in range(96)]
-        net = network.Network(names, place_of=_place)
+        net = network.Network(names, location_of=_location)
         net.run(8)
-        self.assertTrue(net.agreed())
-        before = net.sent_bytes, net.beside_bytes, net.far_bytes
+        self.assertTrue(net.has_converged())
+        before = net.sent_bytes, net.cross_zone_bytes, net.cross_region_bytes
 
         for name in names:
             net.nodes[name].announce(f"t-{name}", lease_ms=60_000)
         net.run(1.5)
 
-        known = [len(node.view.all_targets()) for node in net.nodes.values()]
-        self.assertGreater(sum(known) / len(known), 0.95 * len(names))
+        target_counts = [
+            len(node.view.all_targets()) for node in net.nodes.values()
+        ]
+        self.assertGreater(
+            sum(target_counts) / len(target_counts), 0.95 * len(names)
+        )
         sent = net.sent_bytes - before[0]
-        self.assertLess(net.beside_bytes - before[1], 0.1 * sent)
-        self.assertLess(net.far_bytes - before[2], 0.1 * sent)
+        self.assertLess(net.cross_zone_bytes - before[1], 0.1 * sent)
+        self.assertLess(net.cross_region_bytes - before[2], 0.1 * sent)
         net.run(10)
-        self.assertTrue(net.agreed())
+        self.assertTrue(net.has_converged())
 
 
 class ChangeQueueTest(unittest.TestCase):
-    """What is passed on, and how often."""
+    """Order and number of transmissions of changes."""
 
-    def test_least_often_sent_goes_first(self):
+    def test_least_often_sent_change_is_first(self):
         queue = transmission.ChangeQueue()
         queue.put(("a", 1, 1, 1), b"a" * 100)
         queue.take(150, 760)
         queue.put(("b", 1, 1, 1), b"b" * 100)
         self.assertEqual((b"b" * 100,), queue.take(150, 760))
 
-    def test_each_change_is_sent_a_bounded_number_of_times(self):
+    def test_change_is_sent_a_limited_number_of_times(self):
         queue = transmission.ChangeQueue()
         queue.put(("a", 1, 1, 1), b"a")
         sent = sum(len(queue.take(100, 760)) for _ in range(50))
         self.assertEqual(10, sent)
         self.assertEqual(0, len(queue))
 
-    def test_full_queue_drops_what_was_sent_most(self):
+    def test_full_queue_drops_most_often_sent_change(self):
         queue = transmission.ChangeQueue()
         queue.put(("old", 1, 1, 1), b"old")
         queue.take(100, 760)
@@ -218,10 +229,10 @@
 
 
 class DatagramTest(unittest.TestCase):
-    """Bytes that are not from a node with the key."""
+    """Encoding and signatures of datagrams."""
 
-    def test_news_of_a_zone_come_through(self):
-        news = peer_updates.PeerUpdate(
+    def test_peer_update_survives_round_trip(self):
+        update = peer_updates.PeerUpdate(
             (
                 peer_updates.TargetUpdate(
                     "riders-1", exchange.TargetStatus(2, 0.413)
@@ -230,22 +241,22 @@
             (peer_updates.RetryUsage("riders", retries.RequestCounts(20, 3)),),
             (peer_updates.IngressRoute("riders", "/orders/"),),
         )
-        datagram = gossip_messages.Datagram("n1", 7, news=news)
+        datagram = gossip_messages.Datagram("n1", 7, news=update)
 
         self.assertEqual(datagram, datagrams.decode(datagrams.encode(datagram)))
 
-    def test_wrong_or_missing_signature_is_no_message(self):
-        """Nobody without the key can have a node taken for dead."""
+    def test_wrong_or_missing_signature_is_rejected(self):
+        """Without the key nobody can have a node declared dead."""
         datagram = gossip_messages.Datagram(
             "n1", 7, ping=3, changes=(b"x", b"\xff")
         )
         data = datagrams.encode(datagram, b"k" * 16)
         self.assertEqual(datagram, datagrams.decode(data, b"k" * 16))
         forged = datagrams.encode(datagram, b"z" * 16)
-        spoiled = data[:-1] + bytes([data[-1] ^ 1])
-        for bad in (forged, spoiled, datagrams.encode(datagram), b""):
+        corrupted = data[:-1] + bytes([data[-1] ^ 1])
+        for invalid in (forged, corrupted, datagrams.encode(datagram), b""):
             with self.assertRaises(codec.FrameError):
-                datagrams.decode(bad, b"k" * 16)
+                datagrams.decode(invalid, b"k" * 16)
 
 
 if __name__ == "__main__":
--- a/endivewind/tests/nodes/membership_tests.py
+++ b/endivewind/tests/nodes/membership_tests.py
@@ -1,4 +1,4 @@
-"""Membership under faults, on the cores that nodes run."""
+"""Membership under faults, in an in-memory network."""
 
 import dataclasses
 import datetime
@@ -19,55 +19,56 @@
 
 
 class MembershipTest(unittest.TestCase):
-    """What a fleet of twelve believes of one another."""
+    """Failure detection in a fleet of twelve nodes."""
 
     def setUp(self):
         self.net = network.Network(NAMES)
         self.net.run(20)
-        self.assertTrue(self.net.agreed())
+        self.assertTrue(self.net.has_converged())
         self.assertEqual({ALIVE}, _states(self.net, "n0"))
 
     def test_killed_node_is_dead_everywhere_in_seconds(self):
-        """Entries stop sending work to a home that has died.
+        """Entry nodes stop sending requests to a home that has crashed.
 
-        The node dies without a word; probes of it fail, by relays as well,
-        and the suspicion ripens at every node.
+        The node crashes without leaving. Direct and indirect probes of it
+        fail, and the suspicion times out at every node.
         """
         self.net.crash("n0")
         self.net.run(12)
         self.assertEqual({DEAD}, _states(self.net, "n0"))
 
-    def test_one_way_partition_accuses_nobody(self):
-        """Callers keep all healthy capacity.
+    def test_one_way_partition_causes_no_suspicion(self):
+        """A one-way partition takes no healthy capacity from callers.
 
-        Three nodes don't hear n0 although it hears them. Their own probes of
-        it fail; each has a relay that n0 does answer.
+        Datagrams of n0 to three nodes are lost, but not those to n0. The
+        direct probes of these nodes fail, and the indirect ones succeed.
         """
-        self.net.cut = {("n0", name) for name in NAMES[1:4]}
+        self.net.blocked_paths = {("n0", name) for name in NAMES[1:4]}
         for _ in range(300):
             self.net.run(0.1)
             self.assertEqual({ALIVE}, _states(self.net, "n0"))
 
-    def test_half_deaf_fleet_evicts_nobody(self):
-        """Half of the fleet doesn't hear n0; it refutes by the other half."""
-        self.net.cut = {("n0", name) for name in NAMES[1:7]}
+    def test_one_way_partition_to_half_of_the_fleet_causes_no_death(self):
+        """n0's refutations reach one half of the nodes through the other half."""
+        self.net.blocked_paths = {("n0", name) for name in NAMES[1:7]}
         for _ in range(300):
             self.net.run(0.1)
             self.assertNotIn(DEAD, _states(self.net, "n0"))
 
-    def test_loss_evicts_nobody(self):
-        """One datagram in five is lost, and no healthy node goes."""
+    def test_datagram_loss_causes_no_death(self):
+        """No healthy node is declared dead while 20% of datagrams are lost."""
         self.net.loss = 0.2
         for _ in range(300):
             self.net.run(0.1)
             for name in NAMES:
                 self.assertNotIn(DEAD, _states(self.net, name))
 
-    def test_a_refutation_that_is_lost_evicts_nobody(self):
-        """One datagram in five is lost, in several fleets.
+    def test_lost_refutation_causes_no_death(self):
+        """Suspects are pinged before they are declared dead.
 
-        A healthy node is suspected and denies it, and the denial gets lost on
-        its way to one other. That one would evict it for all; it asks first.
+        With 20% datagram loss a healthy node is suspected, and its refutation
+        does not reach one other node. That node would declare it dead to the
+        whole fleet if it did not ping it first. Several seeds are run.
         """
         for seed in range(2, 12):
             net = network.Network(NAMES, seed=seed)
@@ -78,11 +79,12 @@
                 dead = [name for name in NAMES if DEAD in _states(net, name)]
                 self.assertEqual([], dead, seed)
 
-    def test_paused_node_evicts_nobody_and_returns(self):
-        """After a long pause the node is back, and the healthy never left.
+    def test_paused_node_returns_and_causes_no_death(self):
+        """A paused node is alive again after it resumes, and others stay so.
 
-        The others declare it dead. When it goes on, its probes have run out
-        and its sockets hold old news; it must blame neither on the others.
+        The others declare it dead. When it resumes, its probes have timed out
+        and its sockets hold outdated datagrams. Because of neither may it
+        suspect the other nodes.
         """
         paused = self.net.nodes["n0"]
         paused.paused = True
@@ -96,11 +98,11 @@
                 self.assertEqual({ALIVE}, _states(self.net, name) - {None})
         self.assertEqual({ALIVE}, _states(self.net, "n0"))
 
-    def test_pause_blames_nobody(self):
-        """A resumed node doesn't act on what ran out while it was stopped.
+    def test_resumed_node_suspects_nobody(self):
+        """A resumed node ignores timers that expired during the pause.
 
-        It was stopped with a probe under way and with a suspicion that is
-        refuted by now; its timers run before it has read its sockets.
+        It was paused with a pending probe and with a suspicion that has been
+        refuted since. Its timers run before it reads its sockets.
         """
         core = self.net.nodes["n0"].members
         suspect = dataclasses.replace(
@@ -116,52 +118,56 @@
         spread = [i for i in output if isinstance(i, membership.Spread)]
         self.assertEqual([], spread)
 
-    def test_node_that_reaches_nobody_doubts_itself(self):
-        """A cut-off node keeps its view in place of declaring all dead."""
+    def test_isolated_node_declares_nobody_dead(self):
+        """A node that reaches no other one keeps its view of the fleet."""
         others = NAMES[1:]
-        self.net.cut = {("n0", name) for name in others}
-        self.net.cut |= {(name, "n0") for name in others}
+        self.net.blocked_paths = {("n0", name) for name in others}
+        self.net.blocked_paths |= {(name, "n0") for name in others}
         self.net.run(60)
-        alone = self.net.nodes["n0"]
-        self.assertTrue(alone.members.doubtful)
-        dead = [name for name in others if alone.state(name) is DEAD]
+        isolated_node = self.net.nodes["n0"]
+        self.assertTrue(isolated_node.members.doubtful)
+        dead = [name for name in others if isolated_node.state(name) is DEAD]
         self.assertEqual([], dead)
 
     def test_two_sides_rejoin_after_a_long_partition(self):
-        """After the partition every node has every node back.
+        """After a partition all nodes see each other as alive again.
 
-        Each side declares the other dead and goes on alone; a node of
-        the far side is replaced in that time.
+        Each side declares the other one dead. During the partition a node of
+        the second side is restarted.
         """
-        near, far = NAMES[:6], NAMES[6:]
+        first_side, second_side = NAMES[:6], NAMES[6:]
         for node in self.net.nodes.values():
-            # No seeds and no platform: only memory of the dead is left.
+            # Without contacts, only records of dead members have addresses.
             node.members.set_contacts(())
-        self.net.cut = {(a, b) for a in near for b in far}
-        self.net.cut |= {(b, a) for a in near for b in far}
+        self.net.blocked_paths = {
+            (a, b) for a in first_side for b in second_side
+        }
+        self.net.blocked_paths |= {
+            (b, a) for a in first_side for b in second_side
+        }
         self.net.run(120)
         self.assertEqual(DEAD, self.net.nodes["n0"].state("n11"))
         self.assertEqual(DEAD, self.net.nodes["n11"].state("n0"))
         self.net.start("n11", contacts=("n10:1",))
         self.net.run(120)
-        self.net.cut = set()
+        self.net.blocked_paths = set()
         self.net.run(60)
-        self.assertTrue(self.net.agreed())
+        self.assertTrue(self.net.has_converged())
         for name in NAMES:
             self.assertEqual({ALIVE}, _states(self.net, name))
 
-    def test_leaving_is_known_at_once(self):
-        """Entries turn to others within a second of a planned stop."""
+    def test_leaving_node_is_known_within_a_second(self):
+        """Entry nodes use other homes within a second of a graceful stop."""
         self.net.leave("n0")
         self.net.run(1)
         self.assertEqual({membership.State.LEFT}, _states(self.net, "n0"))
 
-    def test_later_start_replaces_the_earlier(self):
-        """The old start, paused while it was replaced, steps down."""
+    def test_later_start_supersedes_earlier_one(self):
+        """A start that was paused while it was replaced detects this."""
         old = self.net.nodes["n0"]
         new = self.net.start("n0")
         self.net.run(10)
-        self.assertTrue(self.net.agreed())
+        self.assertTrue(self.net.has_converged())
         old.members.merge(new.members.me)
         self.assertTrue(old.members.superseded)
 
--- a/endivewind/tests/nodes/network.py
+++ b/endivewind/tests/nodes/network.py
@@ -1,6 +1,6 @@
-"""Nodes' pure cores joined by a network of lists, for tests of gossip.
+"""In-memory network of membership and gossip state machines, for tests.
 
-Messages pass through the bytes that real nodes send. Time moves by ticks.
+Messages are encoded and decoded as on real sockets. Time advances in ticks.
 """
 
 import collections.abc
@@ -20,11 +20,11 @@
 from endivewind.targets import registry
 
 TICK = datetime.timedelta(milliseconds=100)
-LEASE_MS = 2000
+DEFAULT_LEASE_MS = 2000
 
 
 class Member:
-    """One node: its cores, and its own targets."""
+    """A node: its membership, gossip and view, and its own targets."""
 
     def __init__(
         self,
@@ -33,15 +33,15 @@
         clock: clocks.Clock,
         rng: random.Random,
         contacts: tuple[str, ...],
-        place: tuple[str, str] = ("andina", "andina-a"),
+        location: tuple[str, str] = ("andina", "andina-a"),
     ) -> None:
         self.name = name
         self.paused = False
-        self.record = view.NodeRecord(name, incarnation, f"{name}:1", *place)
+        self.record = view.NodeRecord(name, incarnation, f"{name}:1", *location)
         self.view = view.FleetView()
         self.members = membership.Membership(self.record, clock, rng, contacts)
         self.core = gossip.Gossip(self.members, self.view, clock, rng)
-        identity = registry.HomeIdentity(name, incarnation, *place)
+        identity = registry.HomeIdentity(name, incarnation, *location)
         self.targets = registry.TargetRegistry(
             identity, clock, self.view.find_target
         )
@@ -51,10 +51,10 @@
         target: str,
         moves: int = 0,
         incarnation: int = 1,
-        lease_ms: int = LEASE_MS,
+        lease_ms: int = DEFAULT_LEASE_MS,
         state: records.State = records.State.READY,
     ) -> bool:
-        """A target announces itself here; whether it is taken."""
+        """Announces a target to this node; returns whether it is accepted."""
         announcement = registry.Announcement(
             state=state,
             service="riders",
@@ -64,25 +64,25 @@
             lease_ms=lease_ms,
         )
         result = self.targets.announce(target, announcement, 3)
-        self.spread()
+        self.publish_changes()
         return result.is_ok()
 
-    def spread(self) -> None:
-        """Hands what changed here to gossip."""
+    def publish_changes(self) -> None:
+        """Passes changes of the node's own targets to gossip."""
         self.core.originate(self.targets.take_changes())
 
     def state(self, name: str) -> membership.State | None:
-        """What this node believes of another."""
-        found = self.members.members.get(name)
-        return found.state if found else None
+        """Returns the state in which this node sees another one."""
+        known = self.members.members.get(name)
+        return known.state if known else None
 
-    def homes(self, target: str) -> str | None:
-        """Where this node would send the target's work."""
-        found = self.view.find_target(target)
-        return found.home if found else None
+    def home_of(self, target: str) -> str | None:
+        """Returns the home that this node would send a target's requests to."""
+        known = self.view.find_target(target)
+        return known.home if known else None
 
 
-PlaceOf = collections.abc.Callable[[str], tuple[str, str]]
+LocationOf = collections.abc.Callable[[str], tuple[str, str]]
 
 
 def _one_zone(name: str) -> tuple[str, str]:
@@ -94,37 +94,54 @@
     sender: str
     receiver: str
     payload: bytes
-    link: bool
+    is_link: bool
 
 
 class Network:
-    """A fleet whose messages can be lost, doubled, delayed and cut."""
+    """A fleet whose messages can be lost, duplicated, delayed and blocked.
+
+    Attributes:
+      clock: the time of all nodes.
+      rng: the source of all randomness.
+      nodes: running nodes by name.
+      blocked_paths: pairs of sender and receiver whose messages are dropped.
+      loss: probability that a datagram is lost.
+      duplication: probability that a message is delivered twice.
+      largest_datagram_bytes: size of the largest datagram so far.
+      sent_bytes: bytes sent by all nodes.
+      cross_zone_bytes: those sent to other zones of the same region.
+      cross_region_bytes: those sent to other regions.
+      link_frames: number of frames sent over links.
+    """
 
     def __init__(
-        self, names: list[str], seed: int = 1, place_of: PlaceOf = _one_zone
+        self,
+        names: list[str],
+        seed: int = 1,
+        location_of: LocationOf = _one_zone,
     ) -> None:
-        self._place_of = place_of
-        self.far_bytes = 0
-        self.beside_bytes = 0
+        self._location_of = location_of
+        self.cross_region_bytes = 0
+        self.cross_zone_bytes = 0
         self.clock = clocks.ManualClock()
         self.rng = random.Random(seed)
         self.nodes: dict[str, Member] = {}
-        self.cut: set[tuple[str, str]] = set()
+        self.blocked_paths: set[tuple[str, str]] = set()
         self.loss = 0.0
-        self.doubled = 0.0
-        self.largest = 0
+        self.duplication = 0.0
+        self.largest_datagram_bytes = 0
         self.sent_bytes = 0
         self.link_frames = 0
         self._incarnations = 0
         self._contacts = tuple(f"{name}:1" for name in names)
-        self._waiting: list[_Message] = []
+        self._in_flight: list[_Message] = []
         for name in names:
             self.start(name)
 
     def start(
         self, name: str, contacts: tuple[str, ...] | None = None
     ) -> Member:
-        """Starts a node, or a new start of one."""
+        """Starts or restarts a node."""
         self._incarnations += 1
         node = Member(
             name,
@@ -132,40 +149,40 @@
             self.clock,
             self.rng,
             self._contacts if contacts is None else contacts,
-            self._place_of(name),
+            self._location_of(name),
         )
         node.core.join()
         self.nodes[name] = node
         return node
 
     def push(self, name: str) -> None:
-        """Passes on what a node has changed, as it does at once."""
+        """Lets a node push its queued changes without waiting for a tick."""
         self._send(name, self.nodes[name].core.push())
 
     def crash(self, name: str) -> None:
-        """Ends a node without a word."""
+        """Removes a node without letting it announce that it leaves."""
         del self.nodes[name]
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Runs the fleet for some seconds."""
         for _ in range(round(seconds / TICK.total_seconds())):
             self.clock.advance(TICK)
             self._deliver()
             for node in list(self.nodes.values()):
                 if not node.paused:
                     node.targets.expire()
-                    node.spread()
+                    node.publish_changes()
                     self._send(node.name, node.core.tick())
-            # Answers within the round trip, as on a fast network.
+            # Replies arrive within the same tick, as on a fast network.
             for _ in range(3):
                 self._deliver()
 
-    def agreed(self) -> bool:
-        """Whether all nodes know the same."""
+    def has_converged(self) -> bool:
+        """Whether all nodes know the same records."""
         return len({node.core.summary for node in self.nodes.values()}) == 1
 
     def leave(self, name: str) -> None:
-        """Ends a node as planned."""
+        """Removes a node after it has announced that it leaves."""
         node = self.nodes.pop(name)
         self._send(name, node.core.leave())
 
@@ -174,45 +191,54 @@
             receiver = item.address.partition(":")[0]
             if isinstance(item.message, gossip_messages.Datagram):
                 payload = datagrams.encode(item.message, b"k" * 16)
-                self.largest = max(self.largest, len(payload))
-                link = False
+                self.largest_datagram_bytes = max(
+                    self.largest_datagram_bytes, len(payload)
+                )
+                is_link = False
             else:
                 payload = codec.encode_frame(states.frame_out(item.message))
-                link = True
+                is_link = True
                 self.link_frames += 1
             self.sent_bytes += len(payload)
-            self._count_crossing(sender, receiver, len(payload))
-            message = _Message(sender, receiver, payload, link)
-            copies = 2 if self.rng.random() < self.doubled else 1
-            if not link and self.rng.random() < self.loss:
+            self._count_remote_bytes(sender, receiver, len(payload))
+            message = _Message(sender, receiver, payload, is_link)
+            copies = 2 if self.rng.random() < self.duplication else 1
+            if not is_link and self.rng.random() < self.loss:
                 copies = 0
-            self._waiting.extend([message] * copies)
+            self._in_flight.extend([message] * copies)
 
-    def _count_crossing(self, sender: str, receiver: str, size: int) -> None:
-        here, there = self._place_of(sender), self._place_of(receiver)
-        if here[0] != there[0]:
-            self.far_bytes += size
-        elif here != there:
-            self.beside_bytes += size
+    def _count_remote_bytes(
+        self, sender: str, receiver: str, size: int
+    ) -> None:
+        sender_location, receiver_location = (
+            self._location_of(sender),
+            self._location_of(receiver),
+        )
+        if sender_location[0] != receiver_location[0]:
+            self.cross_region_bytes += size
+        elif sender_location != receiver_location:
+            self.cross_zone_bytes += size
 
     def _deliver(self) -> None:
-        waiting, self._waiting = self._waiting, []
-        self.rng.shuffle(waiting)
-        for message in waiting:
+        in_flight, self._in_flight = self._in_flight, []
+        self.rng.shuffle(in_flight)
+        for message in in_flight:
             node = self.nodes.get(message.receiver)
             path = (message.sender, message.receiver)
-            back = (message.receiver, message.sender)
-            broken = path in self.cut or (message.link and back in self.cut)
-            if node is None or broken:
+            reverse_path = (message.receiver, message.sender)
+            is_blocked = path in self.blocked_paths or (
+                message.is_link and reverse_path in self.blocked_paths
+            )
+            if node is None or is_blocked:
                 continue
             if node.paused:
-                # A paused process keeps what its sockets hold.
-                self._waiting.append(message)
+                # The socket buffers of a paused process keep its messages.
+                self._in_flight.append(message)
                 continue
             self._receive(node, message)
 
     def _receive(self, node: Member, message: _Message) -> None:
-        if not message.link:
+        if not message.is_link:
             datagram = datagrams.decode(message.payload, b"k" * 16)
             sends = node.core.receive(f"{message.sender}:1", datagram)
             self._send(node.name, sends)
@@ -230,10 +256,10 @@
             node.targets.remember_left(target, incarnation)
         for record in node.core.take_heard():
             node.targets.give_up(record)
-        node.spread()
+        node.publish_changes()
 
 
 def health_of(node: Member, target: str) -> records.Health | None:
-    """What a node believes of a target's health."""
-    found = node.view.find_target(target)
-    return found.health if found else None
+    """Returns the health of a target as known to a node."""
+    known = node.view.find_target(target)
+    return known.health if known else None
--- a/endivewind/tests/nodes/traffic_tests.py
+++ b/endivewind/tests/nodes/traffic_tests.py
@@ -1,4 +1,4 @@
-"""Bytes to other nodes, counted by kind and by how far they go."""
+"""Counts of bytes sent to other nodes, by kind and distance."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 
 class TrafficTest(unittest.TestCase):
-    """A node of zone a-x; others in its zone, its region and elsewhere."""
+    """A node in zone a-x with nodes in its zone, its region and another."""
 
     def setUp(self):
         self.fleet = view.FleetView()
@@ -21,7 +21,7 @@
             self.fleet.put_node(record)
         self.traffic = traffic.Traffic("a", "a-x", self.fleet)
 
-    def sent(self, address):
+    def counted_distances(self, address):
         before = dict(self.traffic.counts)
         self.traffic.sent(traffic.Kind.STATE, address, 10)
         return [
@@ -30,22 +30,38 @@
             if size != before.get((traffic.Kind.STATE, distance), 0)
         ]
 
-    def test_the_place_of_the_other_node_tells_the_distance(self):
-        self.assertEqual([traffic.Distance.ZONE], self.sent("10.0.0.2:7"))
-        self.assertEqual([traffic.Distance.REGION], self.sent("10.0.0.3:7"))
-        self.assertEqual([traffic.Distance.FAR], self.sent("[fd00::4]:7"))
+    def test_distance_depends_on_the_location_of_the_receiver(self):
+        self.assertEqual(
+            [traffic.Distance.ZONE],
+            self.counted_distances("10.0.0.2:7"),
+        )
+        self.assertEqual(
+            [traffic.Distance.REGION],
+            self.counted_distances("10.0.0.3:7"),
+        )
+        self.assertEqual(
+            [traffic.Distance.FAR],
+            self.counted_distances("[fd00::4]:7"),
+        )
 
-    def test_an_answer_goes_to_a_port_that_nobody_announced(self):
-        self.assertEqual([traffic.Distance.ZONE], self.sent("10.0.0.2"))
+    def test_host_suffices_for_responses_to_ephemeral_ports(self):
+        self.assertEqual(
+            [traffic.Distance.ZONE], self.counted_distances("10.0.0.2")
+        )
 
-    def test_a_node_is_told_apart_once_it_is_known(self):
-        self.assertEqual([traffic.Distance.UNKNOWN], self.sent("10.0.0.9:7"))
+    def test_distance_is_unknown_until_the_node_is_known(self):
+        self.assertEqual(
+            [traffic.Distance.UNKNOWN],
+            self.counted_distances("10.0.0.9:7"),
+        )
 
         self.fleet.put_node(view.NodeRecord("n", 1, "10.0.0.9:7", "b", "b-x"))
 
-        self.assertEqual([traffic.Distance.FAR], self.sent("10.0.0.9:7"))
+        self.assertEqual(
+            [traffic.Distance.FAR], self.counted_distances("10.0.0.9:7")
+        )
 
-    def test_a_log_line_groups_by_kind(self):
+    def test_log_fields_are_grouped_by_kind(self):
         self.traffic.sent(traffic.Kind.NEWS, "10.0.0.2:7", 5)
         self.traffic.sent(traffic.Kind.NEWS, "10.0.0.3:7", 6)
 
