--- a/endivewind/tests/nodes/membership_tests.py
+++ b/endivewind/tests/nodes/membership_tests.py
@@ -49,7 +49,7 @@
             self.assertEqual({ALIVE}, _states(self.net, "n0"))
 
     def test_one_way_partition_to_half_of_the_fleet_causes_no_death(self):
-        """n0's refutations reach one half of the nodes through the other half."""
+        """n0's refutations reach these nodes through the other half."""
         self.net.blocked_paths = {("n0", name) for name in NAMES[1:7]}
         for _ in range(300):
             self.net.run(0.1)
