--- a/endivewind/nodes/gossip.py
+++ b/endivewind/nodes/gossip.py
@@ -215,7 +215,7 @@
         if has_refuted and not message.ping:
             sends.append(
                 messages.Send(
-                    address, self._make_datagram(changes=extra_changes)
+                    address, self._make_datagram(extra_changes=extra_changes)
                 )
             )
         sends.extend(
@@ -240,8 +240,8 @@
             except codec.FrameError:
                 continue
             if isinstance(change, membership.MemberRecord):
-                alive = change.state is membership.State.ALIVE
-                if change.node.name == me and not alive:
+                is_alive = change.state is membership.State.ALIVE
+                if change.node.name == me and not is_alive:
                     return True
         return False
 
@@ -253,7 +253,7 @@
     def receive_state(self, state: messages.FleetState) -> list[messages.Send]:
         """Stores a part of another node's state."""
         for member in state.members:
-            self._merge_member(member, pass_on=False)
+            self._merge_member(member, is_forwarded=False)
         for home in state.homes:
             self._handle_home_state(home)
         self._departed_targets.extend(state.left)
@@ -274,7 +274,7 @@
             return
         match change:
             case membership.MemberRecord():
-                self._merge_member(change, pass_on=True)
+                self._merge_member(change, is_forwarded=True)
             case records.TargetChange():
                 self._handle_target_change(change, payload)
             case _:
@@ -297,24 +297,24 @@
     def _handle_home_state(self, home: view.HomeState) -> None:
         if home.home == self._members.me.node.name:
             return
-        taken = self._view.put_home_state(
+        was_stored = self._view.put_home_state(
             home.home,
             home.version.incarnation,
             home.version.sequence,
             home.targets,
         )
-        if taken:
+        if was_stored:
             self._repair.refresh(home.home)
             self._received_records.extend(home.targets)
 
     def _merge_member(
-        self, record: membership.MemberRecord, *, pass_on: bool
+        self, record: membership.MemberRecord, *, is_forwarded: bool
     ) -> None:
         for output in self._members.merge(record):
             if isinstance(output, membership.Spread):
                 is_own = output.record.node.name == self._members.me.node.name
                 self._update_view(output.record)
-                if pass_on or is_own:
+                if is_forwarded or is_own:
                     self._enqueue(output.record)
 
     def _disseminate(self, record: membership.MemberRecord) -> None:
@@ -337,8 +337,13 @@
             self._queue.put(_change_key(change.record), payload)
         else:
             node = change.node
-            kind = -int(change.state)
-            key = (node.name, node.incarnation, change.refutation, kind)
+            negative_state = -int(change.state)
+            key = (
+                node.name,
+                node.incarnation,
+                change.refutation,
+                negative_state,
+            )
             self._queue.put(key, payload)
 
     def _handle_outputs(
@@ -346,6 +351,12 @@
         outputs: collections.abc.Iterable[membership.Output],
         extra_changes: tuple[bytes, ...] | None,
     ) -> list[messages.Send]:
+        """Applies outputs of membership; returns the messages to send.
+
+        Args:
+          outputs: what membership asks for.
+          extra_changes: encoded changes to add to acknowledgements.
+        """
         sends: list[messages.Send] = []
         for item in outputs:
             match item:
@@ -361,7 +372,7 @@
                     sends.append(messages.Send(address, datagram))
                 case membership.Ack(address, number):
                     datagram = self._make_datagram(
-                        ack=number, changes=extra_changes or ()
+                        ack=number, extra_changes=extra_changes or ()
                     )
                     sends.append(messages.Send(address, datagram))
         return sends
@@ -372,7 +383,9 @@
             extra_changes = (changes.encode(ping.about),)
         if ping.contact:
             extra_changes = (*extra_changes, changes.encode(self._members.me))
-        datagram = self._make_datagram(ping=ping.number, changes=extra_changes)
+        datagram = self._make_datagram(
+            ping=ping.number, extra_changes=extra_changes
+        )
         return messages.Send(ping.address, datagram)
 
     def _make_datagram(
@@ -381,16 +394,17 @@
         ping: int = 0,
         ack: int = 0,
         relay: str = "",
-        changes: tuple[bytes, ...] = (),
+        extra_changes: tuple[bytes, ...] = (),
     ) -> messages.Datagram:
-        room = repair.ROOM - sum(len(item) + 4 for item in changes)
+        max_bytes = repair.ROOM - sum(len(item) + 4 for item in extra_changes)
         return messages.Datagram(
             self._members.me.node.name,
             self.summary,
             ping=ping,
             ack=ack,
             relay=relay,
-            changes=changes + self._queue.take(room, len(self._view.nodes)),
+            changes=extra_changes
+            + self._queue.take(max_bytes, len(self._view.nodes)),
         )
 
     def push(self) -> list[messages.Send]:
@@ -407,22 +421,24 @@
         """Chooses receivers, mostly in the own zone to limit billed traffic."""
         me = self._members.me.node
         zone: list[membership.MemberRecord] = []
-        region: list[membership.MemberRecord] = []
+        other_zones: list[membership.MemberRecord] = []
         other_regions: list[membership.MemberRecord] = []
         for item in self._members.peers():
             if item.node.zone == me.zone:
                 zone.append(item)
             elif item.node.region == me.region:
-                region.append(item)
+                other_zones.append(item)
             else:
                 other_regions.append(item)
         transmits = transmission.transmits_of(
-            len(zone) + len(region) + len(other_regions) + 1
+            len(zone) + len(other_zones) + len(other_regions) + 1
         )
-        zone_count = len({item.node.zone for item in region}) + 1
-        region_pushes = (len(zone) + len(region) + 1) * transmits
+        zone_count = len({item.node.zone for item in other_zones}) + 1
+        region_pushes = (len(zone) + len(other_zones) + 1) * transmits
         cross_region_share = INBOUND / region_pushes if other_regions else 0
-        cross_zone_share = INBOUND * zone_count / region_pushes if region else 0
+        cross_zone_share = (
+            INBOUND * zone_count / region_pushes if other_zones else 0
+        )
         cross_region_count = self._count_hits(
             FAN_OUT, min(cross_region_share, MOST_CROSSING)
         )
@@ -430,12 +446,14 @@
             FAN_OUT - cross_region_count, min(cross_zone_share, MOST_CROSSING)
         )
         if not zone:
-            cross_zone_count = min(FAN_OUT - cross_region_count, len(region))
+            cross_zone_count = min(
+                FAN_OUT - cross_region_count, len(other_zones)
+            )
         return [
             *self._sample(
                 zone, FAN_OUT - cross_region_count - cross_zone_count
             ),
-            *self._sample(region, cross_zone_count),
+            *self._sample(other_zones, cross_zone_count),
             *self._sample(other_regions, cross_region_count),
         ]
 
