--- a/endivewind/nodes/membership.py
+++ b/endivewind/nodes/membership.py
@@ -39,8 +39,8 @@
 # Limits the burst of pings when a failed zone leaves a hundred suspects.
 ASKS_PER_TICK = 4
 # Interval at which a node pings one random dead member or contact address. By
-# these pings the two sides of a partition find each other again when it ends;
-# one interval suffices since hundreds of nodes send them.
+# these pings the two sides of a partition find each other again when it ends.
+# The interval can be long because hundreds of nodes send them.
 CONTACT_PERIOD = datetime.timedelta(seconds=10)
 # Number of addresses that a node without any peer pings at once.
 JOIN_TRIES = 3
