--- a/endivewind/nodes/asking.py
+++ b/endivewind/nodes/asking.py
@@ -1,4 +1,8 @@
-"""Asks every node what it has in force, for operators who want to know."""
+"""Queries all nodes for the configuration versions that they have in force.
+
+The operators' HTTP interface uses it to show which nodes have not applied an
+object yet. Queries and responses are single frames on the links between nodes.
+"""
 
 import asyncio
 import collections.abc
@@ -12,8 +16,7 @@
 from endivewind.nodes import links
 from endivewind.nodes import view
 
-# An operator's question is rare, but with 760 nodes it must not open all
-# links at once.
+# Queries are rare, but with 760 nodes one must not open all links at once.
 MAX_AT_ONCE = 32
 MAX_KEYS = 100
 WAIT = datetime.timedelta(seconds=2)
@@ -21,11 +24,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class State:
-    """One object at one node.
+    """The versions of one object at one node.
 
     Attributes:
-      known: the highest version that the node knows.
-      in_force: the version in force; lower where the node refused the other.
+      known: the highest version that the node has received.
+      in_force: the version in force; lower if the node rejected later ones.
     """
 
     known: int
@@ -37,11 +40,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetStates:
-    """What the fleet has in force.
+    """The versions of configuration objects across the fleet.
 
     Attributes:
-      nodes: what each node that answered has.
-      silent: nodes that are known and have not answered.
+      nodes: the versions at each node that responded, by node name.
+      unresponsive: names of known nodes that did not respond in time.
     """
 
     nodes: dict[str, States]
@@ -49,7 +52,7 @@
 
 
 class Asking:
-    """Sends questions on the links, answers others', collects answers."""
+    """Sends queries to other nodes, collects responses and answers queries."""
 
     def __init__(
         self,
@@ -63,16 +66,16 @@
         self._fleet = fleet
         self._pool = pool
         self._numbers = itertools.count(1)
-        self._open: dict[int, dict[str, States]] = {}
-        self._heard = asyncio.Event()
+        self._pending: dict[int, dict[str, States]] = {}
+        self._response_arrived = asyncio.Event()
 
     async def ask(
         self, keys: collections.abc.Sequence[store.Key]
     ) -> FleetStates:
-        """Asks every known node; waits no longer than WAIT."""
+        """Queries all known nodes; waits for QUERY_TIMEOUT at most."""
         number = next(self._numbers)
-        found = {self._name: self._own(keys)}
-        self._open[number] = found
+        versions = {self._name: self._own_versions(keys)}
+        self._pending[number] = versions
         others = {
             name: peer
             for name, peer in self._fleet.nodes.items()
@@ -88,23 +91,23 @@
         try:
             async with asyncio.timeout(WAIT.total_seconds()):
                 await self._send_all(others, frame)
-                while others.keys() - found.keys():
-                    self._heard.clear()
-                    await self._heard.wait()
+                while others.keys() - versions.keys():
+                    self._response_arrived.clear()
+                    await self._response_arrived.wait()
         except TimeoutError:
             pass
         finally:
-            del self._open[number]
-        silent = tuple(sorted(others.keys() - found.keys()))
-        return FleetStates(found, silent)
-
-    def answer(self, ask: Any) -> Any:
-        """The answer to a node's question, as a frame."""
-        keys = [store.Key(item.kind, item.name) for item in ask.keys or ()]
-        own = self._own(keys[:MAX_KEYS])
+            del self._pending[number]
+        unresponsive = tuple(sorted(others.keys() - versions.keys()))
+        return FleetStates(versions, unresponsive)
+
+    def answer(self, query: Any) -> Any:
+        """Returns the response frame to another node's query."""
+        keys = [store.Key(item.kind, item.name) for item in query.keys or ()]
+        own = self._own_versions(keys[:MAX_KEYS])
         state = codec.messages.ConfigurationState(
             sender=self._name,
-            number=ask.number,
+            number=query.number,
             known=[
                 stamp_out(key, store.Stamp(item.known, 0))
                 for key, item in own.items()
@@ -117,22 +120,24 @@
         return codec.messages.Frame(configuration_state=state)
 
     def answered(self, state: Any) -> None:
-        """Takes an answer; one that comes too late is dropped."""
-        found = self._open.get(state.number)
-        if found is None:
+        """Records a response; one that arrives too late is ignored."""
+        versions = self._pending.get(state.number)
+        if versions is None:
             return
         known = {
             store.Key(item.kind, item.name): item.version
             for item in state.known or ()
         }
-        found[state.sender] = {
+        versions[state.sender] = {
             key: State(known.get(key, 0), item.version)
             for item in state.in_force or ()
             for key in (store.Key(item.kind, item.name),)
         }
-        self._heard.set()
+        self._response_arrived.set()
 
-    def _own(self, keys: collections.abc.Iterable[store.Key]) -> States:
+    def _own_versions(
+        self, keys: collections.abc.Iterable[store.Key]
+    ) -> States:
         return {
             key: State(
                 self._store.stamp(key).version, self._store.in_force(key)
@@ -143,17 +148,17 @@
     async def _send_all(
         self, others: dict[str, view.NodeRecord], frame: Any
     ) -> None:
-        free = asyncio.Semaphore(MAX_AT_ONCE)
+        semaphore = asyncio.Semaphore(MAX_AT_ONCE)
 
         async def send(address: str) -> None:
-            async with free:
+            async with semaphore:
                 await self._pool.send(address, frame)
 
         await asyncio.gather(*(send(peer.address) for peer in others.values()))
 
 
 def stamp_out(key: store.Key, stamp: store.Stamp) -> Any:
-    """A key and its state as a thrift struct."""
+    """Converts a key and its stamp to a thrift struct."""
     return codec.messages.ConfigurationStamp(
         kind=key.kind,
         name=key.name,
--- a/endivewind/nodes/configuration.py
+++ b/endivewind/nodes/configuration.py
@@ -1,4 +1,9 @@
-"""Runs the spreading of configuration on the links between nodes."""
+"""Propagates configuration over the links between nodes.
+
+Objects come from the platform and from peers; peers exchange digests to find
+what they lack (anti-entropy). The protocol, without input and output, is in
+`config/`; this module sends, receives and converts its messages.
+"""
 
 import asyncio
 import collections.abc
@@ -24,28 +29,29 @@
 
 log = logging.getLogger(__name__)
 
-# A peer that takes nothing must not pile up tasks; a message dropped here is
-# made up for by the next digest.
+# Bounds the tasks that an unresponsive peer can accumulate. The next digest
+# repairs the effect of a dropped message.
 MAX_SENDING = 64
-# A node that starts among others has its configuration from them by then.
+# A node that joins running peers has received its configuration by then.
 PEERS_FIRST = datetime.timedelta(milliseconds=500)
-# Where nobody has answered by then, all start at once, and the first ones ask
-# the platform; until they have an answer their callers are refused.
+# If no peer has responded by then, all nodes are starting at once, and the
+# first ones query the platform. Callers are refused until it responds.
 ALONE_FIRST = datetime.timedelta(milliseconds=150)
-# How long it holds who watches, while as many nodes are known.
+# How long the watcher role is cached while the number of nodes is unchanged.
 ROLE_LIFE = datetime.timedelta(seconds=1)
-# Digests go to one peer about every two seconds; one in ten is lost.
+# Each node sends a digest to one peer about every two seconds; one in ten is
+# lost.
 PEERS_SILENT = datetime.timedelta(seconds=30)
 
 InForce = collections.abc.Callable[[store.Key], None]
 
 
 class ConfigurationPeer:
-    """Takes configuration from the platform and from peers, and passes it on."""
+    """Receives configuration from the platform and peers, and propagates it."""
 
     def __init__(
         self,
-        place: view.NodeRecord,
+        own_record: view.NodeRecord,
         configuration: store.ConfigurationStore,
         kinds: collections.abc.Iterable[str],
         fleet: view.FleetView,
@@ -55,7 +61,7 @@
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
-        self._place = place
+        self._own_record = own_record
         self._store = configuration
         self._fleet = fleet
         self._pool = pool
@@ -64,64 +70,71 @@
         self._clock = clock
         self._rng = rng
         self._spreader = spreading.Spreader(
-            place.name, place.region, configuration, self._peers, rng
+            own_record.name, own_record.region, configuration, self._peers, rng
         )
         self._joining = joining.Joining(self._spreader, kinds)
-        self._asking = asking.Asking(place.name, configuration, fleet, pool)
-        self._sending: set[asyncio.Task[None]] = set()
-        # For how many nodes it was decided who watches, and when.
-        self._decided = (0, -ROLE_LIFE)
+        self._version_queries = asking.Asking(
+            own_record.name, configuration, fleet, pool
+        )
+        self._send_tasks: set[asyncio.Task[None]] = set()
+        # Number of nodes and time at the last update of the watcher role.
+        self._role_updated = (0, -ROLE_LIFE)
         self._is_watcher = True
         self._started = clock.monotonic()
 
     @property
     def asking(self) -> asking.Asking:
-        """Asks the fleet what is in force."""
-        return self._asking
+        """Queries the fleet for the versions in force."""
+        return self._version_queries
 
     @property
     def is_watcher(self) -> bool:
-        """Whether this node is to hold the platform's watch.
+        """Whether this node should watch the platform.
 
-        Asked for many times a second, and each answer looks at every node: one
-        holds for a while as long as as many nodes are known.
+        The result is cached for a short time, unless the number of known nodes
+        changes: it is read many times per second and depends on all nodes.
         """
         now = self._clock.monotonic()
         nodes = len(self._fleet.nodes)
-        if nodes != self._decided[0] or now - self._decided[1] >= ROLE_LIFE:
-            self._decided = (nodes, now)
+        if (
+            nodes != self._role_updated[0]
+            or now - self._role_updated[1] >= ROLE_LIFE
+        ):
+            self._role_updated = (nodes, now)
             self._is_watcher = watchers.is_watcher(
-                self._place, self._fleet.nodes.values()
+                self._own_record, self._fleet.nodes.values()
             )
         return self._is_watcher
 
     @property
     def lacks_peers(self) -> bool:
-        """Whether no peer tells what is in force, so that the platform must.
+        """Whether this node must query the platform because no peer responds.
 
-        Peers answer a starting node within some hundred milliseconds, and
-        each later one agrees with some peer every few seconds.
+        Peers respond to a starting node within a few hundred milliseconds.
+        Afterwards a node finds itself in agreement with some peer every few
+        seconds.
         """
-        limit = PEERS_SILENT
+        timeout = PEERS_SILENT
         if self.missing():
-            # The oldest asks at once, and the others have it from there.
-            others = self._peers() and not self.is_watcher
-            limit = PEERS_FIRST if others else ALONE_FIRST
-        last = max(self._spreader.agreed_at, self._started)
-        return self._clock.monotonic() - last >= limit
+            # The oldest node queries the platform early, the others get the
+            # configuration from it.
+            waits_for_peers = self._peers() and not self.is_watcher
+            timeout = PEERS_FIRST if waits_for_peers else ALONE_FIRST
+        last_agreed = max(self._spreader.agreed_at, self._started)
+        return self._clock.monotonic() - last_agreed >= timeout
 
     def missing(self) -> str | None:
-        """None when the configuration is whole, else what is missing."""
+        """Returns what is missing from the configuration; None if nothing."""
         return self._joining.missing(len(self._peers()))
 
     def seen(self, stored: messages.StoredObject) -> None:
-        """Takes an object of the platform."""
+        """Applies an object that was read from the platform."""
         key = store.Key(stored.kind, stored.name)
         before = self._store.stamp(key)
-        taken = self._store.apply(*key, stored.version, stored.value)
-        match taken:
+        applied = self._store.apply(*key, stored.version, stored.value)
+        match applied:
             case expression.Result(tag="ok", ok=True):
-                self._log_in_force(key, "platform")
+                self._notify_in_force(key, "platform")
             case expression.Result(tag="error", error=rejection):
                 log.error("object refused: %s", rejection)
         if self._store.stamp(key) != before:
@@ -129,51 +142,51 @@
             self._send(self._spreader.tick(self._clock.monotonic()))
 
     def listed(self, kind: str) -> None:
-        """Takes that all objects of a kind have been seen."""
+        """Records that all objects of a kind have been read."""
         self._joining.listed(kind)
 
     def frame(self, frame: Any) -> None:
-        """Takes a peer's frame."""
+        """Processes a frame from a peer."""
         if frame.configuration:
-            self._received(frame.configuration)
+            self._handle_message(frame.configuration)
         elif frame.configuration_ask:
-            answer = self._asking.answer(frame.configuration_ask)
+            answer = self._version_queries.answer(frame.configuration_ask)
             peer = self._fleet.nodes.get(frame.configuration_ask.sender)
             if peer is not None:
                 self._send_frame(peer.address, answer)
         else:
-            self._asking.answered(frame.configuration_state)
+            self._version_queries.answered(frame.configuration_state)
 
-    def _received(self, message: Any) -> None:
+    def _handle_message(self, message: Any) -> None:
         now = self._clock.monotonic()
         result = self._spreader.received(message_in(message), now)
         for key in result.in_force:
-            self._log_in_force(key, message.sender)
+            self._notify_in_force(key, message.sender)
         for rejection in result.rejections:
             log.error("object refused: %s", rejection)
         self._send(result.outgoing)
 
     async def run(self) -> None:
-        """Ticks for ever."""
-        told = False
+        """Sends digests periodically until cancelled."""
+        is_ready = False
         while True:
-            period = spreading.TICK if told else spreading.JOINING_PERIOD
+            period = spreading.TICK if is_ready else spreading.JOINING_PERIOD
             await asyncio.sleep(period.total_seconds())
-            self._budget.set_nodes(self._sharers())
-            if not told and self.missing() is None:
-                told = True
+            self._budget.set_nodes(self._budget_sharer_count())
+            if not is_ready and self.missing() is None:
+                is_ready = True
                 agreed = sorted(self._spreader.agreed)
                 log.info("ready", extra=logs.fields(agreed=agreed))
             self._send(self._spreader.tick(self._clock.monotonic()))
 
-    def _sharers(self) -> int:
-        return watchers.sharers(self._place, self._fleet.nodes.values())
+    def _budget_sharer_count(self) -> int:
+        return watchers.sharers(self._own_record, self._fleet.nodes.values())
 
     def _peers(self) -> list[view.NodeRecord]:
-        own = self._place.name
+        own = self._own_record.name
         return [peer for peer in self._fleet.nodes.values() if peer.name != own]
 
-    def _log_in_force(self, key: store.Key, source: str) -> None:
+    def _notify_in_force(self, key: store.Key, source: str) -> None:
         self._in_force(key)
         fields = logs.fields(
             kind=key.kind,
@@ -186,24 +199,24 @@
     def _send(self, outgoing: list[spreading.Outgoing]) -> None:
         for item in outgoing:
             peer = self._fleet.nodes.get(item.to)
-            if peer is None or len(self._sending) >= MAX_SENDING:
+            if peer is None or len(self._send_tasks) >= MAX_SENDING:
                 continue
             wire = message_out(item.message)
             frame = codec.messages.Frame(configuration=wire)
             self._send_frame(peer.address, frame)
 
     def _send_frame(self, address: str, frame: Any) -> None:
-        task = asyncio.create_task(self._send_one(address, frame))
-        self._sending.add(task)
-        task.add_done_callback(self._sending.discard)
+        task = asyncio.create_task(self._send_to(address, frame))
+        self._send_tasks.add(task)
+        task.add_done_callback(self._send_tasks.discard)
 
-    async def _send_one(self, address: str, frame: Any) -> None:
+    async def _send_to(self, address: str, frame: Any) -> None:
         if not await self._pool.send(address, frame):
-            log.debug("can't send to %s", address)
+            log.debug("sending configuration to %s failed", address)
 
 
 def message_out(message: spreading.Message) -> Any:
-    """A message as a thrift struct."""
+    """Converts a message to a thrift struct."""
     return codec.messages.Configuration(
         sender=message.sender,
         ready=message.ready,
@@ -225,7 +238,7 @@
 
 
 def message_in(message: Any) -> spreading.Message:
-    """A message from a thrift struct; missing fields are empty."""
+    """Converts a thrift struct to a message; missing fields become empty."""
     return spreading.Message(
         sender=message.sender or "",
         ready=bool(message.ready),
--- a/endivewind/nodes/leaving.py
+++ b/endivewind/nodes/leaving.py
@@ -1,4 +1,8 @@
-"""A node's planned departure: what is refused when, and what is waited for."""
+"""Graceful shutdown (drain) of a node.
+
+The node runs it when it is stopped. It defines the order in which the parts of
+the node refuse new requests, and what is waited for in between.
+"""
 
 import asyncio
 import collections.abc
@@ -9,26 +13,27 @@
 
 log = logging.getLogger(__name__)
 
-# Work that is still there at the limit is cut; without this bound the HTTP
-# server waits another minute for it and the VM can't be replaced.
+# Connections still open at the stop limit are closed after this. Without this
+# timeout the HTTP server waits another minute, and the VM can't be replaced.
 CUT_AFTER = datetime.timedelta(milliseconds=500)
-# Answers to requests that are ended at the limit are short and written at
-# once; a caller that does not read them must not hold up the rest.
+# Responses to requests that are aborted at the limit are short and written
+# immediately; a caller that does not read them must not delay the shutdown.
 LAST_ANSWERS = datetime.timedelta(milliseconds=100)
 
 
-# When the fleet is told to send a home no more, as a part of the stop's limit.
-# Its target can't move and stands idle from then until the next start has
-# heard of it: told at once, a rolling stop of half the nodes took a quarter of
-# all targets out of use. Work that comes last still has most of the limit.
+# When other nodes are told to send no more requests to this home, as a share of
+# the stop limit. A target that can't move is idle from then until the restarted
+# node has received its announcement: with the notice sent at once, a rolling
+# stop of half the nodes took a quarter of all targets out of use. Requests that
+# arrive last still have most of the limit.
 TURN_AWAY_SHARE = 0.3
 
 
 class Door(Protocol):
-    """A way in for work."""
+    """A component that accepts requests."""
 
     def refuse_new(self) -> None:
-        """Refuses new work from now on."""
+        """Refuses new requests from now on."""
 
 
 class Entry(Door, Protocol):
@@ -38,7 +43,7 @@
         """Waits until nothing is being served."""
 
     def end(self) -> None:
-        """Ends what is being served, each with its outcome."""
+        """Aborts running requests, each with a response on its outcome."""
 
 
 class Links(Protocol):
@@ -49,26 +54,26 @@
 
 
 class Tickets(Protocol):
-    """Work that must not repeat."""
+    """Handles non-idempotent requests, which carry tickets."""
 
     def close(self) -> None:
-        """Starts nothing more."""
+        """Refuses to start new requests."""
 
     async def drained(self) -> None:
-        """Waits until nothing runs."""
+        """Waits until no request is running."""
 
     def kept_for(self) -> datetime.timedelta:
-        """How long a resend may still be answered from here."""
+        """Returns how long stored responses may still be requested."""
 
 
 class Departure:
-    """Leads a node out in order, so that no request is cut.
+    """Shuts a node down in stages so that no running request is aborted.
 
-    First all work is still taken: callers' balancers see within a probe or
-    two that the node is not ready. Then peers hear that its target is to get
-    no more. After the notice new work is refused with the time to come back;
-    what is in flight ends; kept answers stay reachable until the
-    limit.
+    At first all requests are still accepted: callers' load balancers notice
+    within one or two probes that the node is not ready. Then peers are told to
+    send no more requests for its target. After the notice period new requests
+    are refused with a retry delay, and running ones complete. Stored responses
+    stay available until the limit.
     """
 
     def __init__(
@@ -78,33 +83,33 @@
         links: Links,
         tickets: Tickets,
         notice: datetime.timedelta,
-        turn_away: collections.abc.Callable[[], None],
+        announce_drain: collections.abc.Callable[[], None],
     ) -> None:
-        """Builds a departure.
+        """Builds a shutdown.
 
         Args:
           entry: the listener for callers.
-          home: hands work over to this node's targets.
+          home: dispatches requests to this node's targets.
           links: the listener for other nodes.
-          tickets: work that must not repeat.
-          notice: how long new work of callers is still taken.
-          turn_away: tells the fleet to send this home no more.
+          tickets: handles non-idempotent requests.
+          notice: how long new requests of callers are still accepted.
+          announce_drain: tells the fleet to send no more requests to this home.
         """
         self._notice = notice
-        self._turn_away = turn_away
+        self._announce_drain = announce_drain
         self._entry = entry
         self._home = home
         self._links = links
         self._tickets = tickets
 
-    async def run(self, limit: datetime.timedelta) -> None:
-        """Returns when the node may end; after the limit at the latest."""
+    async def run(self, timeout: datetime.timedelta) -> None:
+        """Returns when the process may exit, after the limit at the latest."""
         try:
-            async with asyncio.timeout(limit.total_seconds()):
-                first = min(self._notice, TURN_AWAY_SHARE * limit)
-                await asyncio.sleep(first.total_seconds())
-                self._turn_away()
-                await asyncio.sleep((self._notice - first).total_seconds())
+            async with asyncio.timeout(timeout.total_seconds()):
+                delay = min(self._notice, TURN_AWAY_SHARE * timeout)
+                await asyncio.sleep(delay.total_seconds())
+                self._announce_drain()
+                await asyncio.sleep((self._notice - delay).total_seconds())
                 self._entry.refuse_new()
                 self._tickets.close()
                 await self._entry.drained()
@@ -115,9 +120,9 @@
                 await asyncio.sleep(self._tickets.kept_for().total_seconds())
         except TimeoutError:
             log.info("stop limit reached")
-            await self._end()
+            await self._abort()
 
-    async def _end(self) -> None:
+    async def _abort(self) -> None:
         self._entry.end()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LAST_ANSWERS.total_seconds()):
--- a/endivewind/nodes/link_server.py
+++ b/endivewind/nodes/link_server.py
@@ -1,4 +1,8 @@
-"""Links of other nodes, the accepting end: runs what they forward."""
+"""Server for links from other nodes; executes the requests they forward.
+
+The client side is `LinkPool` in `nodes/links.py`. The node implements
+`LinkHandler` to process requests, gossip, queries and configuration.
+"""
 
 import asyncio
 import collections.abc
@@ -18,14 +22,14 @@
 
 log = logging.getLogger(__name__)
 
-# A quarter of the silence after which the other end gives a link up.
+# A quarter of the time after which the client gives up a link.
 HEARTBEAT_PERIOD = links.SILENCE_LIMIT / 4
-# A peer closes idle links before; one that is open longer has lost its peer.
+# Clients close idle links earlier; the client of an older one is gone.
 IDLE_LIMIT = datetime.timedelta(seconds=60)
 
 
 class Home:
-    """What a link server needs of the node behind it."""
+    """Processes what other nodes send over their links."""
 
     async def run(
         self,
@@ -34,7 +38,7 @@
         head: exchange.RequestHead,
         body: exchange.RequestBody,
     ) -> links.AnswerResult:
-        """Runs a forwarded request at one of this node's targets."""
+        """Sends a forwarded request to one of this node's targets."""
         raise NotImplementedError
 
     async def run_as_issuer(
@@ -44,27 +48,27 @@
         body: exchange.RequestBody,
         priority: str,
     ) -> links.AnswerResult:
-        """Runs a send of a ticket that this node issued."""
+        """Executes a request whose ticket this node has issued."""
         raise NotImplementedError
 
     def gossiped(self, frame: Any) -> None:
-        """Takes a frame of another node's gossip."""
+        """Processes a gossip frame of another node."""
         raise NotImplementedError
 
     async def answer(self, question: Any) -> Any:
-        """The answer to a question, both as frames."""
+        """Returns the response frame to a query frame."""
         raise NotImplementedError
 
     def configuration(self, frame: Any) -> None:
-        """Takes what a peer tells of its configuration, or asks."""
+        """Processes a frame about configuration: data, query or response."""
         raise NotImplementedError
 
 
 class _CancellingProtocol(asyncio.StreamReaderProtocol):
-    """Cancels the connection's task as soon as the peer closes.
+    """Cancels the connection's task as soon as the peer closes it.
 
-    Without it a home would learn only at its next write that the caller has
-    gone, and the target would keep working for nobody.
+    Without this a home would notice only at its next write that the entry node
+    is gone, and until then the target would work on an abandoned request.
     """
 
     task: asyncio.Task[None] | None = None
@@ -86,34 +90,37 @@
 class LinkServer:
     """Accepts links from other nodes."""
 
-    def __init__(self, home: Home, meter: traffic.Meter | None = None) -> None:
-        self._home = home
+    def __init__(
+        self, handler: Home, meter: traffic.Meter | None = None
+    ) -> None:
+        self._handler = handler
         self._meter = meter or traffic.Unmetered()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._in_flight = 0
-        self._idle = asyncio.Event()
-        self._idle.set()
+        self._drained = asyncio.Event()
+        self._drained.set()
 
     @property
     def in_flight(self) -> int:
-        """Exchanges being served now."""
+        """Number of exchanges that are being served."""
         return self._in_flight
 
     async def drained(self) -> None:
         """Waits until no exchange is being served."""
-        await self._idle.wait()
+        await self._drained.wait()
 
     async def bind(
         self, host: str, port: int, tls: ssl.SSLContext | None = None
     ) -> str:
-        """Binds and returns the address; nothing is accepted before serve().
+        """Binds the socket and returns its address, without listening yet.
 
-        The node needs the address to build what answers the links.
+        The node needs the address to build the objects that process frames.
+        `serve` accepts connections.
         """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            self._protocol,
+            self._build_protocol,
             host,
             port,
             ssl=tls,
@@ -124,20 +131,24 @@
         return f"{host}:{bound[1]}"
 
     async def serve(self) -> None:
-        """Accepts links from now on."""
+        """Starts accepting links.
+
+        Raises:
+          RuntimeError: if the socket is not bound.
+        """
         if self._server is None:
-            raise RuntimeError("bind() comes first")
+            raise RuntimeError("link server is not bound")
         await self._server.start_serving()
 
     async def stop(self) -> None:
-        """Stops listening and closes every link."""
+        """Stops listening and closes all links."""
         if self._server:
             self._server.close()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _protocol(self) -> asyncio.BaseProtocol:
+    def _build_protocol(self) -> asyncio.BaseProtocol:
         reader = asyncio.StreamReader()
 
         def connected(
@@ -159,22 +170,22 @@
                 async with asyncio.timeout(IDLE_LIMIT.total_seconds()):
                     frame = await codec.read_frame(reader)
                 if frame.fleet_state or frame.pull:
-                    self._home.gossiped(frame)
+                    self._handler.gossiped(frame)
                 elif (
                     frame.configuration
                     or frame.configuration_ask
                     or frame.configuration_state
                 ):
-                    self._home.configuration(frame)
+                    self._handler.configuration(frame)
                 elif frame.forward:
-                    await self._counted(frame.forward, reader, writer)
+                    await self._serve_exchange(frame.forward, reader, writer)
                 elif frame.freshness_ask or frame.quota_ask:
-                    await self._answer(frame, writer)
+                    await self._handle_query(frame, writer)
                 elif frame.heartbeat:
-                    # A question whether this end is there.
+                    # The client checks that this node is responsive.
                     writer.write(codec.encode_frame(frame))
                 else:
-                    raise codec.FrameError("a frame out of turn")
+                    raise codec.FrameError("unexpected frame")
         except (EOFError, OSError, asyncio.CancelledError):
             # The peer has closed the link, or this node is stopping.
             return
@@ -183,34 +194,34 @@
         finally:
             writer.close()
 
-    async def _answer(
-        self, question: Any, writer: asyncio.StreamWriter
+    async def _handle_query(
+        self, query: Any, writer: asyncio.StreamWriter
     ) -> None:
-        """Answers a question on the link that it came on."""
-        data = codec.encode_frame(await self._home.answer(question))
-        asker = writer.get_extra_info("peername")
-        if asker is not None:
+        """Responds to a query on the same link."""
+        data = codec.encode_frame(await self._handler.answer(query))
+        client = writer.get_extra_info("peername")
+        if client is not None:
             kind = traffic.Kind.QUESTIONS
-            self._meter.sent(kind, asker[0], len(data))
+            self._meter.sent(kind, client[0], len(data))
         writer.write(data)
 
-    async def _counted(
+    async def _serve_exchange(
         self,
         forward: Any,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         self._in_flight += 1
-        self._idle.clear()
+        self._drained.clear()
         try:
-            with _Heart(writer, forward.exchange):
-                await self._exchange(forward, reader, writer)
+            with _HeartbeatSender(writer, forward.exchange):
+                await self._run_exchange(forward, reader, writer)
         finally:
             self._in_flight -= 1
             if not self._in_flight:
-                self._idle.set()
+                self._drained.set()
 
-    async def _exchange(
+    async def _run_exchange(
         self,
         forward: Any,
         reader: asyncio.StreamReader,
@@ -218,19 +229,19 @@
     ) -> None:
         body = exchange.RequestBody(forward.body)
         if not forward.body_complete:
-            body.stream = _chunks_in(reader, forward.exchange)
+            body.stream = _read_chunks(reader, forward.exchange)
         result = await self._run(forward, body)
         match result:
-            case expression.Result(tag="ok", ok=answer):
-                size = await _send_answer(writer, forward.exchange, answer)
+            case expression.Result(tag="ok", ok=response):
+                size = await _send_response(writer, forward.exchange, response)
             case expression.Result(error=refusal):
                 size = _send_refusal(writer, forward.exchange, refusal)
         await writer.drain()
-        caller = writer.get_extra_info("peername")
-        if caller is not None:
-            self._meter.sent(traffic.Kind.ANSWERS, caller[0], size)
+        client = writer.get_extra_info("peername")
+        if client is not None:
+            self._meter.sent(traffic.Kind.ANSWERS, client[0], size)
         if body.stream is not None:
-            # Chunks that nobody read would be taken for the next exchange.
+            # Unread chunks would be taken for frames of the next exchange.
             async with contextlib.aclosing(body.stream):  # type: ignore[type-var]
                 async for _ in body.stream:
                     pass
@@ -238,31 +249,31 @@
     async def _run(
         self, forward: Any, body: exchange.RequestBody
     ) -> links.AnswerResult:
-        head = _head_in(forward)
+        head = _decode_head(forward)
         if forward.to_issuer:
-            return await self._home.run_as_issuer(
+            return await self._handler.run_as_issuer(
                 forward.home_incarnation, head, body, forward.priority
             )
-        return await self._home.run(
+        return await self._handler.run(
             forward.target, forward.home_incarnation, head, body
         )
 
 
-async def _chunks_in(
+async def _read_chunks(
     reader: asyncio.StreamReader, number: int
 ) -> collections.abc.AsyncGenerator[bytes, None]:
     while True:
         frame = await codec.read_frame(reader)
         chunk = frame.chunk
         if chunk is None or chunk.exchange != number:
-            raise codec.FrameError("a chunk of another exchange")
+            raise codec.FrameError("chunk of another exchange")
         if chunk.data:
             yield chunk.data
         if chunk.last:
             return
 
 
-def _head_in(forward: Any) -> exchange.RequestHead:
+def _decode_head(forward: Any) -> exchange.RequestHead:
     return exchange.RequestHead(
         request_id=forward.request_id,
         method=forward.method,
@@ -280,30 +291,30 @@
     )
 
 
-async def _send_answer(
-    writer: asyncio.StreamWriter, number: int, answer: exchange.Response
+async def _send_response(
+    writer: asyncio.StreamWriter, number: int, response: exchange.Response
 ) -> int:
-    """Sends an answer; returns its bytes."""
+    """Sends a response; returns its size in bytes."""
     head = codec.messages.Response(
         exchange=number,
-        status=answer.status,
-        headers=codec.encode_headers(answer.headers),
-        body=answer.body,
-        body_complete=answer.stream is None,
-        glance=codec.encode_target_status(answer.target_status),
+        status=response.status,
+        headers=codec.encode_headers(response.headers),
+        body=response.body,
+        body_complete=response.stream is None,
+        glance=codec.encode_target_status(response.target_status),
     )
     data = codec.encode_frame(codec.messages.Frame(answer=head))
     writer.write(data)
-    if answer.stream is None:
+    if response.stream is None:
         return len(data)
-    async with contextlib.aclosing(answer.stream):
-        return len(data) + await chunks.send(writer, number, answer.stream)
+    async with contextlib.aclosing(response.stream):
+        return len(data) + await chunks.send(writer, number, response.stream)
 
 
 def _send_refusal(
     writer: asyncio.StreamWriter, number: int, refusal: exchange.Refusal
 ) -> int:
-    """Sends a refusal; returns its bytes."""
+    """Sends a refusal; returns its size in bytes."""
     wait = refusal.retry_after
     message = codec.messages.Refusal(
         exchange=number,
@@ -319,12 +330,12 @@
     return len(data)
 
 
-class _Heart:
-    """Sends heartbeats of one exchange while the home works on it."""
+class _HeartbeatSender:
+    """Sends heartbeats of an exchange until its response is complete."""
 
     def __init__(self, writer: asyncio.StreamWriter, number: int) -> None:
-        beat = codec.messages.Heartbeat(exchange=number)
-        self._frame = codec.messages.Frame(heartbeat=beat)
+        heartbeat = codec.messages.Heartbeat(exchange=number)
+        self._frame = codec.messages.Frame(heartbeat=heartbeat)
         self._writer = writer
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
@@ -337,11 +348,11 @@
             self._timer.cancel()
 
     def _schedule(self) -> None:
-        period = HEARTBEAT_PERIOD.total_seconds()
-        self._timer = self._loop.call_later(period, self._beat)
+        delay = HEARTBEAT_PERIOD.total_seconds()
+        self._timer = self._loop.call_later(delay, self._send_heartbeat)
 
-    def _beat(self) -> None:
-        # Bytes that wait to be sent say as much as a heartbeat would.
+    def _send_heartbeat(self) -> None:
+        # Buffered bytes show the client as well that this node is alive.
         if not self._writer.transport.get_write_buffer_size():
             self._writer.write(codec.encode_frame(self._frame))
         self._schedule()
--- a/endivewind/nodes/links.py
+++ b/endivewind/nodes/links.py
@@ -1,8 +1,9 @@
-"""Links to other nodes, the connecting end: forwards requests.
+"""Connection pool for links to other nodes; the client side.
 
-A link carries one exchange at a time, so that TCP gives the backpressure and
-closing the link is the cancellation. Every frame carries the exchange's
-number, and a link whose state is in doubt is closed, never used again.
+The gateway forwards requests over it; gossip, quotas and freshness proofs send
+their frames. A link carries one exchange at a time, so TCP provides the
+backpressure, and closing the link cancels the exchange. Every frame carries the
+exchange's number; a link in an uncertain state is closed and not reused.
 """
 
 import asyncio
@@ -25,20 +26,22 @@
 
 log = logging.getLogger(__name__)
 
-# Four round trips between regions. A VM without power answers nothing, and
-# what waits here longer could be on its way to another home.
+# Four round trips between regions. A VM without power does not even refuse
+# connections; beyond this, a request is better sent to another home.
 CONNECT_TIMEOUT = datetime.timedelta(milliseconds=250)
-# A middlebox forgets idle connections without a word; these bounds keep the
-# pool from handing out one that has gone silent.
+# Middleboxes drop the state of idle connections without closing them; these
+# limits keep the pool from reusing such a connection.
 IDLE_LIMIT = datetime.timedelta(seconds=15)
 AGE_LIMIT = datetime.timedelta(minutes=5)
 MAX_IDLE_PER_PEER = 32
-# Four heartbeats lost in a row are not jitter on links that take 30 ms.
+# Four missed heartbeats; jitter on links with 30 ms latency does not explain
+# them.
 SILENCE_LIMIT = datetime.timedelta(seconds=1)
-# Four round trips between regions; a process that stands still for longer
-# does not get work that would be lost with it.
+# Four round trips between regions. A process that is paused for longer is not
+# sent requests that would be lost with it.
 ANSWER_LIMIT = datetime.timedelta(milliseconds=250)
-# The home answers at the deadline itself; this is its time to say so.
+# The home responds at the deadline at the latest; this is the time that its
+# response may take to arrive.
 DEADLINE_GRACE = datetime.timedelta(milliseconds=500)
 ISSUER_LOST_RETRY = datetime.timedelta(seconds=1)
 
@@ -49,15 +52,15 @@
 class _Link:
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    opened: datetime.timedelta
-    used: datetime.timedelta
+    opened_at: datetime.timedelta
+    last_used: datetime.timedelta
 
     def close(self) -> None:
         self.writer.close()
 
 
 class LinkPool:
-    """Connections to peers, for forwarding and for gossip's repairs."""
+    """A pool of connections to other nodes."""
 
     def __init__(
         self,
@@ -73,7 +76,7 @@
 
     @property
     def idle(self) -> int:
-        """Open links that carry nothing now."""
+        """Number of open links that carry no exchange."""
         return sum(len(links) for links in self._idle.values())
 
     async def forward(
@@ -83,13 +86,13 @@
         head: exchange.RequestHead,
         body: exchange.RequestBody,
     ) -> AnswerResult:
-        """Sends a request to the home of a target and returns its answer.
+        """Sends a request to the home of a target and returns the response.
 
         Returns:
-          The answer or the home's refusal. A link that breaks after the
-          request was sent leaves the outcome unknown.
+          The response or the home's refusal. If the link breaks after the
+          request was sent, the outcome is unknown.
         """
-        forward = _forward_out(head, body)
+        forward = _encode_request(head, body)
         forward.target = target
         forward.home_incarnation = home.incarnation
         return await self._call(home, forward, head, body, HOME_FAILURES)
@@ -105,10 +108,10 @@
         """Sends a request to the issuer of its ticket.
 
         Returns:
-          The answer or the issuer's refusal. Any failure of the link leaves
-          the outcome unknown: an earlier send may have run.
+          The response or the issuer's refusal. After any failure of the link
+          the outcome is unknown: an earlier attempt may have been executed.
         """
-        forward = _forward_out(head, body)
+        forward = _encode_request(head, body)
         forward.to_issuer = True
         forward.home_incarnation = incarnation
         forward.priority = priority
@@ -124,23 +127,23 @@
     ) -> AnswerResult:
         number = next(self._numbers)
         try:
-            link = await self._open(
-                peer.address, number, once=bool(head.ticket)
+            link = await self._acquire(
+                peer.address, number, check=bool(head.ticket)
             )
         except (EOFError, OSError, codec.FrameError) as error:
-            detail = f"{peer.name}: {error or 'no answer'}"
+            detail = f"{peer.name}: {error or 'no response'}"
             return expression.Error(failures.unreachable(detail))
         forward.exchange = number
-        limit = head.remaining + DEADLINE_GRACE
+        timeout = head.remaining + DEADLINE_GRACE
         try:
-            async with asyncio.timeout(limit.total_seconds()):
+            async with asyncio.timeout(timeout.total_seconds()):
                 size = await _send_request(link, forward, body)
                 self._meter.sent(traffic.Kind.REQUESTS, peer.address, size)
-                return await self._receive(peer.address, link, number)
+                return await self._read_response(peer.address, link, number)
         except (OSError, EOFError, codec.FrameError) as error:
             link.close()
-            self._distrust(peer.address)
-            detail = f"link to {peer.name}: {error or 'silent'}"
+            self._close_idle(peer.address)
+            detail = f"link to {peer.name}: {error or 'timed out'}"
             return expression.Error(failures.lost(detail))
         except exchange.TruncatedBodyError as error:
             link.close()
@@ -149,34 +152,42 @@
             link.close()
             raise
 
-    async def _open(self, address: str, number: int, *, once: bool) -> _Link:
-        """A link for one exchange; one that has just answered where it counts.
-
-        Failure: the way to a home, or the way back, has gone silent, or its
-        process stands still. Symptom: a payout is sent, nothing comes back,
-        and nobody can tell any more whether it ran. A question before it
-        costs a round trip, and its silence says for sure that nothing ran;
-        what is left is the moment between the answer and the request.
+    async def _acquire(
+        self, address: str, number: int, *, check: bool
+    ) -> _Link:
+        """Returns a link for one exchange, checked by a heartbeat on demand.
+
+        Failure: packets to or from a home are lost, or its process is paused.
+        Symptom: a payout is sent, no response arrives, and its outcome stays
+        unknown. A heartbeat before the request costs one round trip; if it is
+        not echoed, the request has certainly not been executed. Only a failure
+        between the echo and the request leaves the outcome unknown.
+
+        Args:
+          address: the peer's address.
+          number: the number of the exchange.
+          check: whether the peer must echo a heartbeat first; set for
+            non-idempotent requests.
         """
         link = self._take_idle(address)
-        if not once:
+        if not check:
             return link or await self._connect(address)
-        if link is not None and await _answers(link, number):
+        if link is not None and await _echoes_heartbeat(link, number):
             return link
-        self._distrust(address)
+        self._close_idle(address)
         link = await self._connect(address)
-        if await _answers(link, number):
+        if await _echoes_heartbeat(link, number):
             return link
-        raise TimeoutError("no answer")
+        raise TimeoutError("no heartbeat")
 
     async def send(self, address: str, frame: Any) -> bool:
-        """Sends one frame that needs no answer; False if it can't be sent."""
+        """Sends a frame that needs no response; returns whether it was sent."""
         link = self._take_idle(address)
         try:
             if link is None:
                 link = await self._connect(address)
             data = codec.encode_frame(frame)
-            self._meter.sent(_kind(frame), address, len(data))
+            self._meter.sent(_traffic_kind(frame), address, len(data))
             link.writer.write(data)
             async with asyncio.timeout(SILENCE_LIMIT.total_seconds()):
                 await link.writer.drain()
@@ -184,29 +195,29 @@
             if link is not None:
                 link.close()
             return False
-        self._give_back(address, link)
+        self._release(address, link)
         return True
 
     async def ask(
-        self, address: str, question: Any, limit: datetime.timedelta
+        self, address: str, query: Any, timeout: datetime.timedelta
     ) -> Any | None:
-        """Sends a question and returns its answer, both as frames.
+        """Sends a query frame and returns the response frame.
 
         Returns:
-          None where no answer came within the limit; the question may have
-          been taken nevertheless.
+          None if no response arrives within the timeout; the peer may have
+          processed the query nevertheless.
         """
         link = self._take_idle(address)
         try:
-            async with asyncio.timeout(limit.total_seconds()):
+            async with asyncio.timeout(timeout.total_seconds()):
                 if link is None:
                     link = await self._connect(address)
-                data = codec.encode_frame(question)
+                data = codec.encode_frame(query)
                 self._meter.sent(traffic.Kind.QUESTIONS, address, len(data))
                 link.writer.write(data)
-                answer = await _next_frame(link)
+                response = await _read_frame(link)
         except (EOFError, OSError, codec.FrameError) as error:
-            log.debug("%s gives no answer: %s", address, error or "silent")
+            log.debug("no response from %s: %s", address, error or "timed out")
             if link is not None:
                 link.close()
             return None
@@ -214,21 +225,21 @@
             if link is not None:
                 link.close()
             raise
-        self._give_back(address, link)
-        return answer
+        self._release(address, link)
+        return response
 
-    def _distrust(self, address: str) -> None:
-        """Drops idle connections to a peer after one of them broke.
+    def _close_idle(self, address: str) -> None:
+        """Closes the idle connections to a peer after one of them has failed.
 
-        They were opened about the same time and took the same way; the next
-        request takes a fresh connection, which tells a connection that was
-        forgotten from a path that is broken.
+        They were opened about the same time and use the same path. The next
+        request opens a new connection, which tells a connection dropped by a
+        middlebox from a broken path.
         """
         for link in self._idle.pop(address, []):
             link.close()
 
     def close(self) -> None:
-        """Closes every idle connection."""
+        """Closes all idle connections."""
         for links in self._idle.values():
             for link in links:
                 link.close()
@@ -239,8 +250,8 @@
         now = self._clock.monotonic()
         while links:
             link = links.pop()
-            fresh = now - link.used < IDLE_LIMIT and (
-                now - link.opened < AGE_LIMIT
+            fresh = now - link.last_used < IDLE_LIMIT and (
+                now - link.opened_at < AGE_LIMIT
             )
             closed = link.reader.at_eof() or link.writer.is_closing()
             if fresh and not closed:
@@ -248,12 +259,12 @@
             link.close()
         return None
 
-    def _give_back(self, address: str, link: _Link) -> None:
+    def _release(self, address: str, link: _Link) -> None:
         links = self._idle.setdefault(address, [])
         if len(links) >= MAX_IDLE_PER_PEER:
             link.close()
             return
-        link.used = self._clock.monotonic()
+        link.last_used = self._clock.monotonic()
         links.append(link)
 
     async def _connect(self, address: str) -> _Link:
@@ -265,33 +276,35 @@
         now = self._clock.monotonic()
         return _Link(reader, writer, now, now)
 
-    async def _receive(
+    async def _read_response(
         self, address: str, link: _Link, number: int
     ) -> AnswerResult:
-        frame = await _next_frame(link)
+        frame = await _read_frame(link)
         if frame.refusal and frame.refusal.exchange == number:
-            self._give_back(address, link)
-            return expression.Error(_refusal_in(frame.refusal))
-        answer = frame.answer
-        if answer is None or answer.exchange != number:
-            raise codec.FrameError("an answer to another exchange")
-        headers = codec.decode_headers(answer.headers)
-        glance = codec.decode_target_status(answer.glance)
-        if answer.body_complete:
-            self._give_back(address, link)
+            self._release(address, link)
+            return expression.Error(_decode_refusal(frame.refusal))
+        response = frame.answer
+        if response is None or response.exchange != number:
+            raise codec.FrameError("response to another exchange")
+        headers = codec.decode_headers(response.headers)
+        target_status = codec.decode_target_status(response.glance)
+        if response.body_complete:
+            self._release(address, link)
             return expression.Ok(
                 exchange.Response(
-                    answer.status, headers, answer.body, None, glance
+                    response.status, headers, response.body, None, target_status
                 )
             )
-        rest = _LinkStream(self, address, link, number)
+        rest = _ResponseStream(self, address, link, number)
         return expression.Ok(
-            exchange.Response(answer.status, headers, answer.body, rest, glance)
+            exchange.Response(
+                response.status, headers, response.body, rest, target_status
+            )
         )
 
 
-class _LinkStream:
-    """The rest of an answer that comes over a link."""
+class _ResponseStream:
+    """The remainder of a response body that is received over a link."""
 
     def __init__(
         self, pool: LinkPool, address: str, link: _Link, number: int
@@ -301,48 +314,53 @@
         self._link: _Link | None = link
         self._number = number
 
-    def __aiter__(self) -> "_LinkStream":
+    def __aiter__(self) -> "_ResponseStream":
         return self
 
     async def __anext__(self) -> bytes:
         link = self._link
         while link is not None:
-            chunk = await self._chunk(link)
+            chunk = await self._read_chunk(link)
             if chunk.last:
                 self._link = None
-                self._pool._give_back(self._address, link)
+                self._pool._release(self._address, link)
                 link = None
             if chunk.data:
                 return bytes(chunk.data)
         raise StopAsyncIteration
 
     async def aclose(self) -> None:
-        """Closes the link: its state is in doubt before the last chunk."""
+        """Closes the link, which can't be reused before the last chunk."""
         if self._link is not None:
             self._link.close()
             self._link = None
 
-    async def _chunk(self, link: _Link) -> Any:
+    async def _read_chunk(self, link: _Link) -> Any:
         try:
-            chunk = (await _next_frame(link)).chunk
+            chunk = (await _read_frame(link)).chunk
             if chunk is None or chunk.exchange != self._number:
-                raise codec.FrameError("the home gave up")
+                raise codec.FrameError("home aborted the response")
         except (OSError, EOFError, codec.FrameError) as error:
             await self.aclose()
-            detail = str(error) or "the link is silent"
+            detail = str(error) or "link timed out"
             raise exchange.TruncatedResponseError(detail) from error
         return chunk
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failures:
-    """What a failed link means to whoever used it."""
+    """Builds the refusals that the failures of a link lead to.
+
+    Attributes:
+      connect_failed: the link could not be opened.
+      link_lost: the link broke after the request was sent.
+    """
 
     unreachable: collections.abc.Callable[[str], exchange.Refusal]
     lost: collections.abc.Callable[[str], exchange.Refusal]
 
 
-def _issuer_lost(detail: str) -> exchange.Refusal:
+def _issuer_lost_refusal(detail: str) -> exchange.Refusal:
     return exchange.outcome_unknown(
         exchange.Reason.ISSUER_LOST, detail, ISSUER_LOST_RETRY
     )
@@ -352,26 +370,26 @@
     lambda detail: exchange.not_run(exchange.Reason.HOME_UNREACHABLE, detail),
     lambda detail: exchange.outcome_unknown(exchange.Reason.HOME_LOST, detail),
 )
-ISSUER_FAILURES = Failures(_issuer_lost, _issuer_lost)
+ISSUER_FAILURES = Failures(_issuer_lost_refusal, _issuer_lost_refusal)
 
 
-async def _answers(link: _Link, number: int) -> bool:
-    """Whether the other end answers now; a link that does not is closed."""
-    question = codec.messages.Heartbeat(exchange=number)
+async def _echoes_heartbeat(link: _Link, number: int) -> bool:
+    """Returns whether the peer echoes a heartbeat; closes the link if not."""
+    heartbeat = codec.messages.Heartbeat(exchange=number)
     link.writer.write(
-        codec.encode_frame(codec.messages.Frame(heartbeat=question))
+        codec.encode_frame(codec.messages.Frame(heartbeat=heartbeat))
     )
     try:
         async with asyncio.timeout(ANSWER_LIMIT.total_seconds()):
             while True:
                 frame = await codec.read_frame(link.reader)
                 if frame.heartbeat is None:
-                    raise codec.FrameError("a frame out of turn")
-                # Those of an earlier exchange may still be on their way.
+                    raise codec.FrameError("unexpected frame")
+                # Heartbeats of an earlier exchange may still be in transit.
                 if frame.heartbeat.exchange == number:
                     return True
     except (EOFError, OSError, codec.FrameError) as error:
-        log.debug("a link is of no use: %s", error or "silent")
+        log.debug("link discarded: %s", error or "timed out")
         link.close()
         return False
     except BaseException:
@@ -379,25 +397,27 @@
         raise
 
 
-async def _next_frame(link: _Link) -> Any:
-    """The next frame that is not a heartbeat.
+async def _read_frame(link: _Link) -> Any:
+    """Reads the next frame that is not a heartbeat.
 
-    A path that lost one direction keeps its connection open and says nothing;
-    without the limit the caller would wait for its whole deadline, and the
-    entry would place the next request on the same path.
+    If a path loses packets in one direction, the connection stays open but
+    nothing arrives. Without the timeout the caller would wait until its
+    deadline, and the entry node would send the next request on the same path.
     """
     while True:
         try:
             async with asyncio.timeout(SILENCE_LIMIT.total_seconds()):
                 frame = await codec.read_frame(link.reader)
         except TimeoutError as error:
-            raise TimeoutError("silent") from error
-        # One of an earlier exchange may come after that one's last chunk.
+            raise TimeoutError("timed out") from error
+        # A heartbeat may arrive after the last chunk of its exchange.
         if frame.heartbeat is None:
             return frame
 
 
-def _forward_out(head: exchange.RequestHead, body: exchange.RequestBody) -> Any:
+def _encode_request(
+    head: exchange.RequestHead, body: exchange.RequestBody
+) -> Any:
     return codec.messages.ForwardedRequest(
         request_id=head.request_id,
         method=head.method,
@@ -423,7 +443,7 @@
 async def _send_request(
     link: _Link, forward: Any, body: exchange.RequestBody
 ) -> int:
-    """Sends a request; returns the bytes of its first frame."""
+    """Sends a request; returns the size of its first frame in bytes."""
     data = codec.encode_frame(codec.messages.Frame(forward=forward))
     link.writer.write(data)
     if body.stream is not None:
@@ -432,14 +452,14 @@
     return len(data)
 
 
-def _kind(frame: Any) -> traffic.Kind:
-    """What a frame that needs no answer is for."""
+def _traffic_kind(frame: Any) -> traffic.Kind:
+    """Returns the traffic kind of a frame that needs no response."""
     if frame.fleet_state or frame.pull:
         return traffic.Kind.STATE
     return traffic.Kind.CONFIGURATION
 
 
-def _refusal_in(refusal: Any) -> exchange.Refusal:
+def _decode_refusal(refusal: Any) -> exchange.Refusal:
     wait = refusal.retry_after_ms
     return exchange.Refusal(
         exchange.Outcome(refusal.outcome),
--- a/endivewind/nodes/proofs.py
+++ b/endivewind/nodes/proofs.py
@@ -1,7 +1,9 @@
-"""Proofs that the configuration is the newest: reads, asks and answers.
+"""Obtains and passes on proofs that this node's configuration is current.
 
-What a proof is stands in config/freshness.py, who reads and who asks whom in
-config/proving.py.
+A strict revocation of keys depends on them: the node refuses requests that need
+a key while its proof is too old. `config/freshness.py` defines a proof;
+`config/proving.py` decides which nodes read the platform and which peer each
+node queries.
 """
 
 import asyncio
@@ -21,17 +23,17 @@
 log = logging.getLogger(__name__)
 
 _MILLISECOND = datetime.timedelta(milliseconds=1)
-# Without a bound nothing is asked; one may come with changed settings.
-_IDLE = datetime.timedelta(seconds=1)
+# Without a bound no proof is needed, but a reload of the settings may add one.
+_IDLE_INTERVAL = datetime.timedelta(seconds=1)
 
-# Reads the platform for a proof; tells whether it got one.
+# Reads the platform within a timeout; returns whether that gave a proof.
 Read = collections.abc.Callable[
     [datetime.timedelta], collections.abc.Awaitable[bool]
 ]
 
 
 class ProofPeer:
-    """Keeps this node's proof young; nothing is paid where none is needed."""
+    """Keeps this node's proof recent; does nothing where none is needed."""
 
     def __init__(
         self,
@@ -48,13 +50,13 @@
 
         Args:
           me: this node.
-          proof: what is kept young.
+          proof: the proof to keep recent.
           fleet: the other nodes.
           pool: links to them.
-          read: reads the platform, within a limit of time.
-          is_settled: whether this node knows those that started before it.
-          clock: counts time asleep as well.
-          rng: chooses whom to ask.
+          read: reads the platform within a timeout.
+          is_settled: whether this node knows all nodes started before it.
+          clock: must include time during which the machine was suspended.
+          rng: chooses the peer to query.
         """
         self._me = me
         self._proof = proof
@@ -65,48 +67,50 @@
         self._clock = clock
         self._rng = rng
         self._started = clock.boot_time()
-        self._stood_in: datetime.timedelta | None = None
-        self._parent_helps = True
+        self._stand_in_started: datetime.timedelta | None = None
+        self._is_parent_useful = True
 
     def answer(self) -> Any:
-        """What this node answers to another's question, as a frame."""
-        found = self._proof.answer(self._clock.boot_time())
+        """Returns the response frame to another node's query."""
+        proof = self._proof.answer(self._clock.boot_time())
         state = codec.messages.FreshnessState()
-        if found is not None:
-            state.version = found.version
-            # Rounded up: a proof may only seem older than it is.
-            state.age_ms = -(-found.age // _MILLISECOND) + 1
+        if proof is not None:
+            state.version = proof.version
+            # Rounded up, so that a proof never appears newer than it is.
+            state.age_ms = -(-proof.age // _MILLISECOND) + 1
         return codec.messages.Frame(freshness_state=state)
 
     async def run_reading(self) -> None:
-        """Reads the platform for ever, where it is this node's turn."""
+        """Reads the platform whenever it is this node's turn; never returns."""
         failures = 0
         while True:
             bound = self._proof.bound
-            if bound is None or not self._is_turn(bound):
-                await asyncio.sleep(self._period().total_seconds())
+            if bound is None or not self._is_turn_to_read(bound):
+                await asyncio.sleep(self._query_interval().total_seconds())
                 continue
             if await self._read(proving.READ_AGE * bound):
                 failures = 0
                 continue
             failures += 1
-            longest = proving.STAND_IN_AGE * bound
-            pause = min(2 ** (1 + failures) * proving.FIRST_PERIOD, longest)
-            await asyncio.sleep(pause.total_seconds())
+            max_backoff = proving.STAND_IN_AGE * bound
+            backoff = min(
+                2 ** (1 + failures) * proving.FIRST_PERIOD, max_backoff
+            )
+            await asyncio.sleep(backoff.total_seconds())
 
     async def run_asking(self) -> None:
-        """Asks other nodes for ever."""
+        """Queries other nodes periodically; never returns."""
         while True:
-            await asyncio.sleep(self._period().total_seconds())
+            await asyncio.sleep(self._query_interval().total_seconds())
             bound = self._proof.bound
-            peer = self._asked(bound) if bound is not None else None
+            peer = self._choose_peer(bound) if bound is not None else None
             if bound is None or peer is None:
                 continue
-            await self._ask(peer)
-            stale = self._is_older(proving.STALE_AGE * bound)
-            self._parent_helps = not stale or not self._parent_helps
+            await self._query(peer)
+            is_stale = self._is_older(proving.STALE_AGE * bound)
+            self._is_parent_useful = not is_stale or not self._is_parent_useful
 
-    def _is_turn(self, bound: datetime.timedelta) -> bool:
+    def _is_turn_to_read(self, bound: datetime.timedelta) -> bool:
         if not self._is_settled():
             return False
         now = self._clock.boot_time()
@@ -114,23 +118,23 @@
         age = self._proof.age(now)
         if age is None and number == 0:
             return True
-        since = now - self._started if age is None else age
+        age_or_uptime = now - self._started if age is None else age
         stands_in = (
-            self._stood_in is not None
-            and now - self._stood_in < proving.STAND_IN_TIME * bound
+            self._stand_in_started is not None
+            and now - self._stand_in_started < proving.STAND_IN_TIME * bound
         )
-        turn = proving.reads(
-            number, since, bound, self._rng, stands_in=stands_in
+        should_read = proving.reads(
+            number, age_or_uptime, bound, self._rng, stands_in=stands_in
         )
-        if turn and number and not stands_in:
-            self._stood_in = now
-            log.info("reads the platform in place of another node")
-        return turn
+        if should_read and number and not stands_in:
+            self._stand_in_started = now
+            log.info("reading the platform in place of another node")
+        return should_read
 
-    def _period(self) -> datetime.timedelta:
+    def _query_interval(self) -> datetime.timedelta:
         bound = self._proof.bound
         if bound is None:
-            return _IDLE
+            return _IDLE_INTERVAL
         if self._proof.answer(self._clock.boot_time()) is None:
             return proving.FIRST_PERIOD
         return proving.ASK_PERIOD * bound * self._rng.uniform(0.8, 1.0)
@@ -138,38 +142,40 @@
     def _rank(self) -> proving.Rank[view.NodeRecord]:
         return proving.rank(self._me, self._fleet.nodes.values())
 
-    def _asked(self, bound: datetime.timedelta) -> view.NodeRecord | None:
-        """The node to ask next: the parent, or another if it did not help.
+    def _choose_peer(self, bound: datetime.timedelta) -> view.NodeRecord | None:
+        """Returns the node to query next, if any.
 
-        The first reader asks only where its own readings fail.
+        That is the parent, or another node if the parent's last response gave
+        no recent proof. The first reader queries others only while its own
+        reads of the platform fail.
         """
-        place = self._rank()
-        if place.parent is not None and self._parent_helps:
-            return place.parent
-        if not place.others:
-            return place.parent
-        reads = place.parent is None
-        if reads and not self._is_older(2 * proving.READ_AGE * bound):
+        rank = self._rank()
+        if rank.parent is not None and self._is_parent_useful:
+            return rank.parent
+        if not rank.others:
+            return rank.parent
+        is_first_reader = rank.parent is None
+        if is_first_reader and not self._is_older(2 * proving.READ_AGE * bound):
             return None
-        return self._rng.choice(place.others)
+        return self._rng.choice(rank.others)
 
     def _is_older(self, limit: datetime.timedelta) -> bool:
-        """Whether this node's proof is older than that, or there is none."""
+        """Returns whether the proof is missing or older than the limit."""
         age = self._proof.age(self._clock.boot_time())
         return age is None or age > limit
 
-    async def _ask(self, peer: view.NodeRecord) -> None:
-        asked = self._clock.boot_time()
-        question = codec.messages.Frame(
+    async def _query(self, peer: view.NodeRecord) -> None:
+        sent_at = self._clock.boot_time()
+        query = codec.messages.Frame(
             freshness_ask=codec.messages.FreshnessAsk()
         )
-        answer = await self._pool.ask(
-            peer.address, question, links.ANSWER_LIMIT
-        )
-        state = answer.freshness_state if answer is not None else None
+        response = await self._pool.ask(peer.address, query, links.ANSWER_LIMIT)
+        state = response.freshness_state if response is not None else None
         if state is None or state.version is None or state.age_ms is None:
             return
-        told = freshness.Answer(state.version, state.age_ms * _MILLISECOND)
-        if self._proof.answered(told, asked):
-            # Another reader reads often enough; this one need not stand in.
-            self._stood_in = None
+        peer_proof = freshness.Answer(
+            state.version, state.age_ms * _MILLISECOND
+        )
+        if self._proof.answered(peer_proof, sent_at):
+            # Another node reads often enough, so this one stops doing so.
+            self._stand_in_started = None
--- a/endivewind/nodes/quotas.py
+++ b/endivewind/nodes/quotas.py
@@ -1,7 +1,9 @@
-"""Who keeps a workspace's quota, and what nodes ask of each other for it.
+"""Distributed rate limiting: owners of the quotas' token buckets.
 
-The decisions stand in decisions/quotas.py; the entry's side, which comes
-before this, in callers/quotas.py.
+Rendezvous hashing selects one node in each zone as the owner of a workspace's
+bucket. Entry nodes request tokens from the owner of their zone, and owners
+borrow from those of other zones. `decisions/quotas.py` has the token bucket,
+`callers/` the entry node's side.
 """
 
 import asyncio
@@ -20,82 +22,94 @@
 log = logging.getLogger(__name__)
 
 _MILLISECOND = datetime.timedelta(milliseconds=1)
-# A keeper may borrow before it answers, at the distance of two regions.
+# An owner may borrow from another region before it responds.
 ANSWER_LIMIT = 2 * links.ANSWER_LIMIT
-# After a round in which nobody had anything to lend; everyone is busy then.
+# Delay after a round in which no zone had tokens to lend: all zones are under
+# load then.
 LEND_PAUSE = datetime.timedelta(milliseconds=500)
-# How long a list of the zones' nodes is used.
+# How long the list of the zones' nodes is cached.
 MEMBERS_LIFE = datetime.timedelta(milliseconds=500)
-# How long nodes that have gone are remembered as keepers.
+# How long departed nodes are remembered as former owners.
 GONE_LIFE = datetime.timedelta(seconds=10)
-# The keeper, and one that stands in for it, before a node helps itself.
+# The owner and one standby are queried before a node uses its own bucket.
 ASKED = 2
-# Stand-ins' shares are dropped after this long without use.
+# Buckets of standbys are reset after this long without use.
 IDLE_LIFE = datetime.timedelta(seconds=5)
-# Asked for in one question at most; the count travels as a number of 32 bits.
+# The count is a 32-bit integer on the wire.
 MOST_ASKED = 10_000
 
 QuotaOf = collections.abc.Callable[[str], quotas.Quota | None]
 
 
 class Keepers:
-    """Which node of each zone keeps a workspace's share, by hashing."""
+    """Determines which node of each zone owns a workspace's token bucket."""
 
     def __init__(self, fleet: view.FleetView, clock: clocks.Clock) -> None:
         self._fleet = fleet
         self._clock = clock
         self._zones: dict[str, list[view.NodeRecord]] = {}
-        self._listed: datetime.timedelta | None = None
-        self._gone: dict[str, tuple[view.NodeRecord, datetime.timedelta]] = {}
+        self._refreshed_at: datetime.timedelta | None = None
+        self._departed: dict[
+            str, tuple[view.NodeRecord, datetime.timedelta]
+        ] = {}
 
     def zones(self) -> list[str]:
-        """Zones that have nodes now."""
+        """Returns the zones that currently have nodes."""
         self._refresh()
         return list(self._zones)
 
     def ordered(self, workspace: str, zone: str) -> list[view.NodeRecord]:
-        """A zone's nodes, the workspace's keeper first."""
+        """Returns a zone's nodes by rank; the first is the owner."""
         self._refresh()
         return sorted(
-            self._zones.get(zone, ()), key=lambda item: _mark(workspace, item)
+            self._zones.get(zone, ()),
+            key=lambda item: _rank_hash(workspace, item),
         )
 
     def since(
         self, workspace: str, me: view.NodeRecord
     ) -> datetime.timedelta | None:
-        """When this node became the keeper, if another was shortly before."""
+        """Returns when this node became the owner.
+
+        Returns:
+          The time at which the latest former owner departed; None if there
+          has been none within DEPARTED_NODE_TTL.
+        """
         self._refresh()
         former = [
             (item, at)
-            for item, at in self._gone.values()
+            for item, at in self._departed.values()
             if item.zone == me.zone
-            and _mark(workspace, item) < _mark(workspace, me)
+            and _rank_hash(workspace, item) < _rank_hash(workspace, me)
         ]
         return max((at for _, at in former), default=None)
 
     def _refresh(self) -> None:
         now = self._clock.monotonic()
-        if self._listed is not None and now - self._listed < MEMBERS_LIFE:
+        if (
+            self._refreshed_at is not None
+            and now - self._refreshed_at < MEMBERS_LIFE
+        ):
             return
-        self._listed = now
-        before = {
+        self._refreshed_at = now
+        departed = {
             item.name: item for zone in self._zones.values() for item in zone
         }
         self._zones = {}
         for item in self._fleet.nodes.values():
             self._zones.setdefault(item.zone, []).append(item)
-            before.pop(item.name, None)
-        for name, item in before.items():
-            self._gone[name] = (item, now)
-        self._gone = {
+            departed.pop(item.name, None)
+        for name, item in departed.items():
+            self._departed[name] = (item, now)
+        self._departed = {
             name: (item, at)
-            for name, (item, at) in self._gone.items()
+            for name, (item, at) in self._departed.items()
             if now - at < GONE_LIFE
         }
 
 
 class QuotaPeer:
-    """Keeps shares of quotas, and gets this entry's requests from keepers."""
+    """Owns token buckets, and requests tokens from the owners of others."""
 
     def __init__(
         self,
@@ -111,13 +125,13 @@
 
         Args:
           me: this node.
-          zones: of the whole fleet, those out of reach included; 0 takes those
-            that are known.
-          quota_of: the quota of a workspace, if it has one.
+          zones: the number of zones of the fleet, including unreachable ones;
+            0 uses the number of known zones.
+          quota_of: returns the quota of a workspace, if it has one.
           fleet: the other nodes.
           pool: links to them.
-          clock: for rates.
-          tolerance: by how much a quota may be exceeded.
+          clock: the clock by which buckets are refilled.
+          tolerance: how far a quota may be exceeded.
         """
         self._me = me
         self._zone_count = zones
@@ -125,158 +139,164 @@
         self._pool = pool
         self._clock = clock
         self._tolerance = tolerance
-        self._keepers = Keepers(fleet, clock)
+        self._owners = Keepers(fleet, clock)
         self._started = clock.monotonic()
-        self._shares: dict[str, quotas.TokenBucket] = {}
+        self._buckets: dict[str, quotas.TokenBucket] = {}
         self._borrowing: dict[str, asyncio.Task[None]] = {}
-        self._paused: dict[str, datetime.timedelta] = {}
+        self._backoff_until: dict[str, datetime.timedelta] = {}
 
     async def grant(self, workspace: str, count: int) -> quotas.Grant:
-        """Some of a workspace's requests for this entry.
+        """Requests tokens of a workspace for this entry node.
 
-        Asks the keeper of this zone, and where it does not answer one that
-        stands in for it; a node that reaches neither has a small share.
+        Queries the owner in this zone and, if it does not respond, a standby.
+        If neither responds, the node uses a small bucket of its own.
         """
-        ordered = self._keepers.ordered(workspace, self._me.zone)
-        for keeper in ordered[:ASKED]:
-            if keeper.name == self._me.name:
+        candidates = self._owners.ordered(workspace, self._me.zone)
+        for owner in candidates[:ASKED]:
+            if owner.name == self._me.name:
                 break
-            found = await self._ask(keeper, workspace, count, between=False)
-            if found is not None:
-                return found
-        return await self._give(workspace, count)
+            grant = await self._query(owner, workspace, count, is_loan=False)
+            if grant is not None:
+                return grant
+        return await self._take(workspace, count)
 
-    async def answer(self, ask: Any) -> Any:
-        """What this node grants another, as a frame."""
-        count = max(0, min(ask.count or 0, MOST_ASKED))
-        workspace = ask.workspace or ""
-        if ask.between:
+    async def answer(self, query: Any) -> Any:
+        """Returns the response frame to another node's query for tokens."""
+        count = max(0, min(query.count or 0, MOST_ASKED))
+        workspace = query.workspace or ""
+        if query.between:
             found = self._lend(workspace, count)
         else:
-            found = await self._give(workspace, count)
+            found = await self._take(workspace, count)
         grant = codec.messages.QuotaGrant(
             count=found.count, wait_ms=-(-found.retry_after // _MILLISECOND)
         )
         return codec.messages.Frame(quota_grant=grant)
 
-    async def _give(self, workspace: str, count: int) -> quotas.Grant:
-        """Requests out of this node's share, borrowed ones if it is empty."""
-        share = self._share(workspace)
-        if share is None:
+    async def _take(self, workspace: str, count: int) -> quotas.Grant:
+        """Takes tokens from this node's bucket; borrows if it is empty."""
+        bucket = self._bucket(workspace)
+        if bucket is None:
             return quotas.Grant(count)
-        found = share.take(count, self._clock.monotonic())
-        lending = self._borrow(workspace, share)
-        if found < count and lending is not None:
-            await asyncio.wait({lending})
-            found += share.take(count - found, self._clock.monotonic())
-        if found:
-            return quotas.Grant(found)
-        return quotas.Grant(0, share.wait(self._clock.monotonic()))
+        taken = bucket.take(count, self._clock.monotonic())
+        borrowing = self._start_borrowing(workspace, bucket)
+        if taken < count and borrowing is not None:
+            await asyncio.wait({borrowing})
+            taken += bucket.take(count - taken, self._clock.monotonic())
+        if taken:
+            return quotas.Grant(taken)
+        return quotas.Grant(0, bucket.wait(self._clock.monotonic()))
 
     def _lend(self, workspace: str, count: int) -> quotas.Grant:
-        share = self._share(workspace)
-        if share is None:
+        bucket = self._bucket(workspace)
+        if bucket is None:
             return quotas.Grant(0)
-        return quotas.Grant(share.lend(count, self._clock.monotonic()))
+        return quotas.Grant(bucket.lend(count, self._clock.monotonic()))
 
-    def _share(self, workspace: str) -> quotas.TokenBucket | None:
-        """This node's share of a workspace's quota; None without a quota."""
+    def _bucket(self, workspace: str) -> quotas.TokenBucket | None:
+        """Returns this node's bucket for a workspace; None without a quota."""
         quota = self._quota_of(workspace)
         if quota is None:
-            self._shares.pop(workspace, None)
+            self._buckets.pop(workspace, None)
             return None
         now = self._clock.monotonic()
-        ordered = self._keepers.ordered(workspace, self._me.zone)
-        keeps = not ordered or ordered[0].name == self._me.name
+        ordered = self._owners.ordered(workspace, self._me.zone)
+        is_owner = not ordered or ordered[0].name == self._me.name
         limit = quotas.Limit.for_zone(
             quota.rate, quota.burst, self._zones(), self._tolerance
         )
-        limit = limit if keeps else limit.for_standby()
-        share = self._shares.get(workspace)
-        if share is not None and (keeps or now - share.last_used < IDLE_LIFE):
-            share.configure(limit, now)
-            return share
-        held = quotas.START_SHARE * limit.capacity
-        if keeps:
-            since = self._keepers.since(workspace, self._me) or self._started
-            held += limit.rate * (now - since).total_seconds()
-        share = self._shares[workspace] = quotas.TokenBucket(limit, held, now)
-        return share
+        limit = limit if is_owner else limit.for_standby()
+        bucket = self._buckets.get(workspace)
+        if bucket is not None and (
+            is_owner or now - bucket.last_used < IDLE_LIFE
+        ):
+            bucket.configure(limit, now)
+            return bucket
+        tokens = quotas.START_SHARE * limit.capacity
+        if is_owner:
+            since = self._owners.since(workspace, self._me) or self._started
+            tokens += limit.rate * (now - since).total_seconds()
+        bucket = self._buckets[workspace] = quotas.TokenBucket(
+            limit, tokens, now
+        )
+        return bucket
 
     def _zones(self) -> int:
-        return self._zone_count or max(1, len(self._keepers.zones()))
+        return self._zone_count or max(1, len(self._owners.zones()))
 
-    def _borrow(
-        self, workspace: str, share: quotas.TokenBucket
+    def _start_borrowing(
+        self, workspace: str, bucket: quotas.TokenBucket
     ) -> asyncio.Task[None] | None:
-        """Borrows from other zones if the share is low; one round at a time."""
+        """Starts borrowing if the bucket is low; one round at a time."""
         running = self._borrowing.get(workspace)
         if running is not None:
             return running
         now = self._clock.monotonic()
-        if not share.wanted(now):
+        if not bucket.wanted(now):
             return None
-        if now < self._paused.get(workspace, now):
+        if now < self._backoff_until.get(workspace, now):
             return None
-        task = asyncio.create_task(self._borrow_round(workspace, share))
+        task = asyncio.create_task(self._borrow_from_zones(workspace, bucket))
         self._borrowing[workspace] = task
         task.add_done_callback(lambda _: self._borrowing.pop(workspace, None))
         return task
 
-    async def _borrow_round(
-        self, workspace: str, share: quotas.TokenBucket
+    async def _borrow_from_zones(
+        self, workspace: str, bucket: quotas.TokenBucket
     ) -> None:
-        """Asks the zones in turn, near ones first, until the share is full."""
-        got = 0
+        """Queries other zones, near ones first, until the bucket is full."""
+        borrowed = 0
         for lender in self._lenders(workspace):
-            wanted = share.wanted(self._clock.monotonic())
+            wanted = bucket.wanted(self._clock.monotonic())
             if not wanted:
                 break
-            lent = await self._ask(lender, workspace, wanted, between=True)
+            lent = await self._query(lender, workspace, wanted, is_loan=True)
             if lent is not None and lent.count:
-                got += lent.count
-                share.borrow(lent.count, self._clock.monotonic())
-        if not got:
-            self._paused[workspace] = self._clock.monotonic() + LEND_PAUSE
+                borrowed += lent.count
+                bucket.borrow(lent.count, self._clock.monotonic())
+        if not borrowed:
+            self._backoff_until[workspace] = (
+                self._clock.monotonic() + LEND_PAUSE
+            )
 
     def _lenders(self, workspace: str) -> list[view.NodeRecord]:
-        """The keepers of the other zones, those of this region first."""
+        """Returns the owners in other zones, those of this region first."""
         found = [
-            self._keepers.ordered(workspace, zone)[0]
-            for zone in self._keepers.zones()
+            self._owners.ordered(workspace, zone)[0]
+            for zone in self._owners.zones()
             if zone != self._me.zone
         ]
         return sorted(
             found,
             key=lambda item: (
                 item.region != self._me.region,
-                _mark(workspace, item),
+                _rank_hash(workspace, item),
             ),
         )
 
-    async def _ask(
+    async def _query(
         self,
-        keeper: view.NodeRecord,
+        owner: view.NodeRecord,
         workspace: str,
         count: int,
         *,
-        between: bool,
+        is_loan: bool,
     ) -> quotas.Grant | None:
-        ask = codec.messages.QuotaAsk(
-            workspace=workspace, count=count, between=between
+        query = codec.messages.QuotaAsk(
+            workspace=workspace, count=count, between=is_loan
         )
-        answer = await self._pool.ask(
-            keeper.address,
-            codec.messages.Frame(quota_ask=ask),
-            links.ANSWER_LIMIT if between else ANSWER_LIMIT,
+        response = await self._pool.ask(
+            owner.address,
+            codec.messages.Frame(quota_ask=query),
+            links.ANSWER_LIMIT if is_loan else ANSWER_LIMIT,
         )
-        told = answer.quota_grant if answer is not None else None
-        if told is None:
+        grant = response.quota_grant if response is not None else None
+        if grant is None:
             return None
-        wait = datetime.timedelta(milliseconds=max(0, told.wait_ms or 0))
-        return quotas.Grant(max(0, min(told.count or 0, count)), wait)
+        wait = datetime.timedelta(milliseconds=max(0, grant.wait_ms or 0))
+        return quotas.Grant(max(0, min(grant.count or 0, count)), wait)
 
 
-def _mark(workspace: str, node: view.NodeRecord) -> int:
-    """Orders the nodes of a zone for a workspace, the same at every node."""
+def _rank_hash(workspace: str, node: view.NodeRecord) -> int:
+    """Returns the hash that ranks nodes for a workspace; same at all nodes."""
     return zlib.crc32(f"{workspace}/{node.name}".encode())
--- a/endivewind/nodes/service.py
+++ b/endivewind/nodes/service.py
@@ -1,4 +1,8 @@
-"""Runs gossip: the timer, the socket, the links and the platform's list."""
+"""Runs gossip: timer, UDP socket, links and the platform's node listing.
+
+The node starts and stops it. The protocol itself, without input and output, is
+in `nodes/gossip.py`; node discovery is in `nodes/discovery.py`.
+"""
 
 import asyncio
 import collections.abc
@@ -28,25 +32,25 @@
 log = logging.getLogger(__name__)
 
 TICK = datetime.timedelta(milliseconds=100)
-# Each answer to a pull of everything is about 1.4 MB at full size.
+# The response to a pull of the whole state is about 1.4 MB at full size.
 MAX_ANSWERS = 2
-# Targets renew within a third of their lease; those that do not move in this
-# time would be lost with or without waiting.
+# Targets renew their lease within a third of its duration. Those that have not
+# moved after this time would be lost even if the node waited longer.
 LEAVE_WAIT = datetime.timedelta(seconds=3)
 
 
-# Takes news of the node that is named.
+# Receives the name of a node and the update that it sent.
 Hear = collections.abc.Callable[[str, peer_updates.PeerUpdate], None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class State:
-    """What gossip keeps up to date.
+    """The state that gossip keeps up to date.
 
     Attributes:
-      fleet: all targets.
-      targets: this node's own.
-      hear: takes what other nodes of the zone tell.
+      fleet: all nodes and targets.
+      targets: this node's own targets.
+      on_peer_update: receives the updates of other nodes of the zone.
     """
 
     fleet: view.FleetView
@@ -56,12 +60,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entrance:
-    """How this start finds the fleet.
+    """How this node finds the fleet at its start.
 
     Attributes:
       directory: where nodes register.
-      at_start: the nodes of its zone before this start, where that is known.
-      registered: called when this start is registered.
+      initial_listing: the nodes of its zone before this start, if known.
+      on_registered: called when this start is registered.
     """
 
     directory: directories.Directory
@@ -70,7 +74,7 @@
 
 
 class GossipService:
-    """One node's gossip, with its input and output."""
+    """Runs the gossip of one node, with its input and output."""
 
     def __init__(
         self,
@@ -78,7 +82,7 @@
         me: view.NodeRecord,
         state: State,
         pool: links.LinkPool,
-        entrance: Entrance,
+        bootstrap: Entrance,
         clock: clocks.Clock,
         rng: random.Random,
         meter: traffic.Meter | None = None,
@@ -87,25 +91,25 @@
         self._pool = pool
         self._members = membership.Membership(me, clock, rng, config.seeds)
         self._discovery = discovery.Discovery(
-            entrance.directory,
+            bootstrap.directory,
             self._members,
             config.seeds,
-            entrance.at_start,
+            bootstrap.at_start,
             clock,
             rng,
-            entrance.registered,
+            bootstrap.registered,
         )
         self._core = gossip.Gossip(self._members, state.fleet, clock, rng)
         self._socket = datagrams.DatagramSocket(
-            self._received, config.gossip_key.encode(), meter
+            self._handle_datagram, config.gossip_key.encode(), meter
         )
         self._tasks: list[asyncio.Task[None]] = []
-        self._sending: set[asyncio.Task[None]] = set()
-        self._answering = 0
-        self._warned = False
+        self._send_tasks: set[asyncio.Task[None]] = set()
+        self._running_pulls = 0
+        self._has_warned = False
 
     async def start(self, address: str) -> None:
-        """Binds the socket to an address and starts the tasks."""
+        """Binds the UDP socket to an address and starts the tasks."""
         host, _, port = address.rpartition(":")
         await self._socket.start(host.strip("[]"), int(port))
         self._core.join()
@@ -113,74 +117,75 @@
             self._tasks.append(asyncio.create_task(work))
 
     def announce_leave(self) -> None:
-        """Tells the fleet that this node leaves; gossip goes on meanwhile."""
+        """Announces to the fleet that this node leaves; gossip continues."""
         self._dispatch(self._core.leave())
 
     async def targets_moved(self) -> None:
-        """Waits until this node's targets have moved to other homes."""
+        """Waits until this node's targets have moved, or for the timeout."""
         for _ in range(int(LEAVE_WAIT / TICK)):
             if not self._state.targets.announced():
                 return
             await asyncio.sleep(TICK.total_seconds())
 
     async def stop(self) -> None:
-        """Takes leave and ends gossip."""
-        for task in (*self._tasks, *self._sending):
+        """Stops gossip and announces that this node leaves."""
+        for task in (*self._tasks, *self._send_tasks):
             task.cancel()
         await asyncio.gather(
-            *self._tasks, *self._sending, return_exceptions=True
+            *self._tasks, *self._send_tasks, return_exceptions=True
         )
         self._dispatch(self._core.leave())
         self._socket.stop()
 
     def frame(self, frame: Any) -> None:
-        """Takes a frame of gossip that came by a link."""
+        """Processes a gossip frame that was received over a link."""
         try:
             message = states.frame_in(frame)
         except codec.FrameError as error:
             log.warning("gossip frame dropped: %s", error)
             return
         if isinstance(message, gossip_messages.Pull):
-            self._answer(message)
+            self._answer_pull(message)
             return
         self._dispatch(self._core.receive_state(message))
         for target, incarnation in self._core.take_left():
             self._state.targets.remember_left(target, incarnation)
-        self._take_heard()
+        self._process_received_records()
 
     def targets_changed(self) -> None:
-        """Spreads what has changed among this node's own targets, at once.
+        """Publishes changes of this node's own targets immediately.
 
-        A leave that is acknowledged must outlive this process, which may end
-        in the next moment; a few peers have it before the answer goes out.
+        The departure of a target, once acknowledged, must not be lost even if
+        this process ends right afterwards. Therefore the change is sent to a
+        few peers before the acknowledgement.
         """
         changes = self._state.targets.take_changes()
         self._core.originate(changes)
         if changes:
             self._dispatch(self._core.push())
 
-    def tell(self, news: peer_updates.PeerUpdate) -> None:
-        """Tells the nodes of this zone."""
-        if news:
-            self._dispatch(self._core.tell(news))
+    def tell(self, update: peer_updates.PeerUpdate) -> None:
+        """Sends an update to the nodes of this zone."""
+        if update:
+            self._dispatch(self._core.tell(update))
 
     def not_ready(self) -> str | None:
-        """What is missing before this node can place work; None if nothing."""
+        """Returns why this node can't route requests yet; None if it can."""
         if self._members.superseded:
-            return "a later start of this node is known"
+            return "a later incarnation of this node exists"
         if self._core.has_state:
             return None
         if not self._discovery.has_listed:
-            return "no list of nodes yet"
-        return None if self._core.joined else "no state of the fleet yet"
+            return "no node listing yet"
+        return None if self._core.joined else "no fleet state yet"
 
     @property
     def is_settled(self) -> bool:
-        """Whether this node knows those that started before it."""
+        """Whether this node knows all nodes that started before it."""
         return self._discovery.is_settled and self.not_ready() is None
 
     def left(self) -> tuple[str, ...]:
-        """Nodes that have left as planned and not come back."""
+        """Returns the nodes that left as planned and have not returned."""
         return tuple(
             name
             for name, item in self._members.members.items()
@@ -188,29 +193,29 @@
         )
 
     def status(self) -> dict[str, object]:
-        """For operators: nodes by state, and this node's doubt in itself."""
+        """Returns the status for operators, among it node counts by state."""
         counts = dict.fromkeys(membership.State, 0)
         for item in self._members.members.values():
             counts[item.state] += 1
-        found: dict[str, object] = {
+        status: dict[str, object] = {
             state.name.lower(): count for state, count in counts.items()
         }
-        found["targets"] = self._state.fleet.target_count
-        found["self_doubt"] = self._members.doubtful
-        found["digest"] = self._core.summary
-        found["datagram_bytes_sent"] = self._socket.sent_bytes
-        found["datagram_bytes_received"] = self._socket.received_bytes
-        return found
+        status["targets"] = self._state.fleet.target_count
+        status["self_doubt"] = self._members.doubtful
+        status["digest"] = self._core.summary
+        status["datagram_bytes_sent"] = self._socket.sent_bytes
+        status["datagram_bytes_received"] = self._socket.received_bytes
+        return status
 
     async def _run(self) -> None:
         while True:
             self.targets_changed()
             self._dispatch(self._core.tick())
-            self._step_down()
-            self._log_turns()
+            self._check_superseded()
+            self._log_member_changes()
             await asyncio.sleep(TICK.total_seconds())
 
-    def _log_turns(self) -> None:
+    def _log_member_changes(self) -> None:
         for record in self._core.take_turns():
             alive = record.state is membership.State.ALIVE
             log.log(
@@ -221,23 +226,25 @@
                 ),
             )
 
-    def _step_down(self) -> None:
-        """Ends this start's part when a later start of its name is known."""
-        if self._members.superseded and not self._warned:
-            self._warned = True
+    def _check_superseded(self) -> None:
+        """Accepts no more targets once a later incarnation is known."""
+        if self._members.superseded and not self._has_warned:
+            self._has_warned = True
             self._state.targets.stop_taking()
-            log.error("a later start of this node is known; taking no targets")
+            log.error(
+                "a later incarnation of this node exists; taking no targets"
+            )
 
-    def _received(
+    def _handle_datagram(
         self, address: str, datagram: gossip_messages.Datagram
     ) -> None:
         self._state.hear(datagram.sender, datagram.news)
         self._dispatch(self._core.receive(address, datagram))
-        self._take_heard()
+        self._process_received_records()
 
-    def _take_heard(self) -> None:
-        heard = self._core.take_heard()
-        for record in heard:
+    def _process_received_records(self) -> None:
+        received = self._core.take_heard()
+        for record in received:
             if self._state.targets.give_up(record):
                 log.warning(
                     "target has moved",
@@ -245,20 +252,20 @@
                 )
                 self.targets_changed()
         if log.isEnabledFor(logging.DEBUG):
-            for home in {record.home for record in heard}:
-                self._log_home(home)
+            for home in {record.home for record in received}:
+                self._log_home_state(home)
 
-    def _log_home(self, home: str) -> None:
+    def _log_home_state(self, home: str) -> None:
         state = self._state.fleet.home_state(home)
-        held = [item.id for item in state.targets] if state else []
-        log.debug("home heard", extra=logs.fields(home=home, targets=held))
+        targets = [item.id for item in state.targets] if state else []
+        log.debug("home heard", extra=logs.fields(home=home, targets=targets))
 
     def _dispatch(self, sends: list[gossip_messages.Send]) -> None:
         for item in sends:
             if isinstance(item.message, gossip_messages.Datagram):
                 self._socket.send(item.address, item.message)
             else:
-                self._start(self._send(item.address, item.message))
+                self._start_task(self._send(item.address, item.message))
 
     async def _send(
         self,
@@ -267,23 +274,23 @@
     ) -> None:
         await self._pool.send(address, states.frame_out(message))
 
-    def _answer(self, pull: gossip_messages.Pull) -> None:
-        if self._answering >= MAX_ANSWERS:
-            # The other asks again, and another node, a second later.
+    def _answer_pull(self, pull: gossip_messages.Pull) -> None:
+        if self._running_pulls >= MAX_ANSWERS:
+            # The sender repeats its pull a second later, to another node.
             return
-        self._answering += 1
-        self._start(self._send_answer(pull))
+        self._running_pulls += 1
+        self._start_task(self._send_state(pull))
 
-    async def _send_answer(self, pull: gossip_messages.Pull) -> None:
+    async def _send_state(self, pull: gossip_messages.Pull) -> None:
         try:
             for part in self._core.answer(pull):
                 frame = states.frame_out(part)
                 if not await self._pool.send(pull.address, frame):
                     return
         finally:
-            self._answering -= 1
+            self._running_pulls -= 1
 
-    def _start(self, work: Any) -> None:
+    def _start_task(self, work: Any) -> None:
         task = asyncio.create_task(work)
-        self._sending.add(task)
-        task.add_done_callback(self._sending.discard)
+        self._send_tasks.add(task)
+        task.add_done_callback(self._send_tasks.discard)
--- a/endivewind/tests/loads/joining_tests.py
+++ b/endivewind/tests/loads/joining_tests.py
@@ -1,58 +1,60 @@
-"""The pattern: few requests, and a target that has proved nothing yet.
+"""Simulates low traffic and a target of which little is known yet.
 
-Targets with many slots for their work: at a fifth of the users' usual rates a
-request takes a twentieth of one, so that the choice between two targets rests
-on what is known of each.
+The targets have many slots and get a fifth of the usual request rates. A
+request then changes a target's utilization by a twentieth only, so that the
+choice between two targets depends on what is known of their health.
 """
 
 import unittest
 
 from endivewind.tests.loads import fleet
 
-USUAL = (fleet.ORDER, fleet.LOOKUP)
-QUIET = 0.2
+REQUEST_KINDS = (fleet.ORDER, fleet.LOOKUP)
+RATE_FACTOR = 0.2
 SLOTS = 20
-# Chance alone moves the share of one target in thirteen by a fifth of it in
-# thirty seconds; a third of the mean is far below that.
-LEAST_SHARE = 1 / 3
+# Random variation changes one of thirteen targets' shares by a fifth in thirty
+# seconds; a third of the mean is far below that.
+MIN_SHARE_OF_MEAN = 1 / 3
 
 
 class JoiningTest(unittest.TestCase):
     """A healthy target gets its share, whatever is known of the others."""
 
-    def test_target_that_joins_proven_ones_gets_work(self):
-        """One target comes when the others have answered for a while.
+    def test_target_that_joins_known_ones_gets_requests(self):
+        """A target joins others that have served requests for a while.
 
-        If each proven target were preferred to it, however little that says,
-        it would get no request, and so stay unproven for ever.
+        If targets known to be healthy were always preferred, the new one would
+        get no requests and so never become known to be healthy.
         """
         for seed in (1, 2, 3):
             with self.subTest(seed):
-                played = fleet.Fleet(seed, slots=SLOTS)
-                played.play(20, USUAL, scale=QUIET)
-                joined = played.join("a-x-new", "a-x")
-                self._check_share(played, joined)
+                simulated = fleet.Fleet(seed, slots=SLOTS)
+                simulated.play(20, REQUEST_KINDS, scale=RATE_FACTOR)
+                joined = simulated.join("a-x-new", "a-x")
+                self._check_share(simulated, joined)
 
-    def test_target_that_was_idle_for_long_gets_work_again(self):
-        """A zone's callers were away; one of its targets stayed in use.
+    def test_target_that_was_idle_for_long_gets_requests_again(self):
+        """A zone has no callers for 40 s; one of its targets stays in use.
 
-        What was known of the other has gone back to the usual meanwhile.
+        Meanwhile what was known of the other target decays to the prior.
         """
         for seed in (1, 2, 3):
             with self.subTest(seed):
-                played = fleet.Fleet(seed, slots=SLOTS)
-                played.play(10, USUAL, scale=QUIET)
-                rested = played.targets["a-x-0"]
-                rested.fails = 1.0
-                played.play(3, USUAL, scale=QUIET)
-                rested.fails = 0.0
-                played.play(40, USUAL, zones=fleet.ZONES[1:], scale=QUIET)
-                self._check_share(played, rested)
-
-    def _check_share(self, played, target):
-        for item in played.targets.values():
+                simulated = fleet.Fleet(seed, slots=SLOTS)
+                simulated.play(10, REQUEST_KINDS, scale=RATE_FACTOR)
+                idle = simulated.targets["a-x-0"]
+                idle.fails = 1.0
+                simulated.play(3, REQUEST_KINDS, scale=RATE_FACTOR)
+                idle.fails = 0.0
+                simulated.play(
+                    40, REQUEST_KINDS, zones=fleet.ZONES[1:], scale=RATE_FACTOR
+                )
+                self._check_share(simulated, idle)
+
+    def _check_share(self, simulated, target):
+        for item in simulated.targets.values():
             item.served = 0
-        played.play(30, USUAL, scale=QUIET)
-        served = [item.served for item in played.targets.values()]
+        simulated.play(30, REQUEST_KINDS, scale=RATE_FACTOR)
+        served = [item.served for item in simulated.targets.values()]
         mean = sum(served) / len(served)
-        self.assertGreater(target.served, LEAST_SHARE * mean)
+        self.assertGreater(target.served, MIN_SHARE_OF_MEAN * mean)
--- a/endivewind/tests/loads/proofs_tests.py
+++ b/endivewind/tests/loads/proofs_tests.py
@@ -1,8 +1,8 @@
-"""How old proofs of freshness grow in a fleet, in virtual time.
+"""Tests of the age of freshness proofs in a simulated fleet, in virtual time.
 
-The pattern: strict revocation, and readers that are killed, nodes that the
-platform turns away, and questions that are lost. A node whose proof is older
-than the bound refuses all work that needs a key.
+Load: strict revocation of keys, while reading nodes are killed, the platform
+rejects nodes, and queries are lost. Harm: a node whose proof is older than the
+bound refuses all requests that need a key.
 """
 
 import asyncio
@@ -18,10 +18,10 @@
 BOUND = datetime.timedelta(seconds=5)
 REGIONS = 3
 ZONES_PER_REGION = 2
-NEAR_SECONDS = 0.002
-FAR_SECONDS = 0.060
-READ_SECONDS = 0.064
-LOST = 0.01
+REGION_RTT_SECONDS = 0.002
+CROSS_REGION_RTT_SECONDS = 0.060
+PLATFORM_READ_SECONDS = 0.064
+LOSS_RATE = 0.01
 
 
 class _Node:
@@ -32,8 +32,8 @@
         self.record = view.NodeRecord(
             f"n{number}", number, f"n{number}", f"r{region}", f"z{zone}"
         )
-        self.alive = True
-        self.turned_away = False
+        self.is_alive = True
+        self.is_rejected = False
         clock = virtual.LoopClock(fleet.loop)
         self.proof = freshness.Freshness(lambda: 1, BOUND)
         self.peer = proofs.ProofPeer(
@@ -55,57 +55,59 @@
         ]
 
     def kill(self):
-        self.alive = False
+        self.is_alive = False
         for task in self.tasks:
             task.cancel()
 
-    async def read(self, limit):
-        """Plays the platform."""
-        self.fleet.calls += 1
-        began = datetime.timedelta(seconds=self.fleet.loop.time())
-        if self.turned_away:
-            await asyncio.sleep(limit.total_seconds())
+    async def read(self, timeout):
+        """Reads the simulated platform."""
+        self.fleet.read_count += 1
+        started_at = datetime.timedelta(seconds=self.fleet.loop.time())
+        if self.is_rejected:
+            await asyncio.sleep(timeout.total_seconds())
             return False
-        await asyncio.sleep(READ_SECONDS)
-        self.proof.proved(1, began)
+        await asyncio.sleep(PLATFORM_READ_SECONDS)
+        self.proof.proved(1, started_at)
         return True
 
-    async def ask(self, address, question, limit):
-        """Plays the links."""
-        self.fleet.asked += 1
+    async def ask(self, address, query, timeout):
+        """Sends a query; stands in for the link pool."""
+        self.fleet.query_count += 1
         other = self.fleet.by_name[address]
-        far = other.record.region != self.record.region
-        if not other.alive or self.fleet.rng.random() < LOST:
-            await asyncio.sleep(limit.total_seconds())
+        is_cross_region = other.record.region != self.record.region
+        if not other.is_alive or self.fleet.rng.random() < LOSS_RATE:
+            await asyncio.sleep(timeout.total_seconds())
             return None
-        await asyncio.sleep(FAR_SECONDS if far else NEAR_SECONDS)
+        await asyncio.sleep(
+            CROSS_REGION_RTT_SECONDS if is_cross_region else REGION_RTT_SECONDS
+        )
         return other.peer.answer()
 
 
 class _Fleet:
-    """Nodes that all know each other; who is killed stays known a while."""
+    """Nodes that know each other; a killed node is known until removed."""
 
     def __init__(self, loop, size):
         self.loop = loop
         self.rng = random.Random(size)
-        self.calls = self.asked = 0
+        self.read_count = self.query_count = 0
         self.by_name = {}
         for number in range(size):
             node = _Node(self, number)
             self.by_name[node.record.name] = node
         self.nodes = {name: node.record for name, node in self.by_name.items()}
 
-    def forget(self, node):
+    def remove(self, node):
         self.nodes = {
             name: record
             for name, record in self.nodes.items()
             if name != node.record.name
         }
 
-    def oldest(self):
-        """The age of the oldest proof, and how many can't serve."""
+    def oldest_proof(self):
+        """Returns the oldest proof's age and the share of unproved nodes."""
         now = datetime.timedelta(seconds=self.loop.time())
-        alive = [item for item in self.by_name.values() if item.alive]
+        alive = [item for item in self.by_name.values() if item.is_alive]
         ages = [item.proof.age(now) or BOUND * 9 for item in alive]
         unproved = sum(not item.proof.is_proved(now) for item in alive)
         return max(ages), unproved / len(alive)
@@ -116,55 +118,55 @@
         self.loop = virtual.VirtualLoop()
         self.addCleanup(self.loop.close)
 
-    def play(self, size, seconds, events=()):
-        """Plays a fleet.
+    def simulate(self, size, seconds, events=()):
+        """Simulates a fleet.
 
         Returns:
-          The fleet, and for each tenth of a second after the first two the
-          oldest proof and the share of nodes that can't serve.
+          The fleet, and the result of `oldest_proof` for each tenth of a second
+          after the first two seconds.
         """
         fleet = _Fleet(self.loop, size)
 
         async def run():
             for node in fleet.by_name.values():
                 node.start()
-            found = []
+            samples = []
             for tenth in range(10 * seconds):
                 for at, event in events:
                     if tenth == 10 * at:
                         event(fleet)
                 await asyncio.sleep(0.1)
                 if tenth >= 20:
-                    found.append(fleet.oldest())
+                    samples.append(fleet.oldest_proof())
             for node in fleet.by_name.values():
                 node.kill()
-            return found
+            return samples
 
         return fleet, self.loop.run_until_complete(run())
 
-    def test_on_a_calm_day_every_proof_is_well_within_the_bound(self):
+    def test_proofs_stay_well_within_the_bound_without_faults(self):
         for size in (30, 102, 300):
             with self.subTest(size):
-                fleet, found = self.play(size, 12)
+                fleet, samples = self.simulate(size, 12)
 
-                self.assertLess(max(age for age, _ in found), 0.9 * BOUND)
-                self.assertEqual(0, max(share for _, share in found))
-                # One call a second, whatever the size.
-                self.assertLess(fleet.calls, 16)
-                self.assertLess(fleet.asked, 12 * size * 2)
+                self.assertLess(max(age for age, _ in samples), 0.9 * BOUND)
+                self.assertEqual(0, max(share for _, share in samples))
+                # One call per second for any fleet size.
+                self.assertLess(fleet.read_count, 16)
+                self.assertLess(fleet.query_count, 12 * size * 2)
 
-    def test_the_reader_is_killed_and_known_for_three_seconds_more(self):
+    def test_first_reader_is_killed_and_detected_three_seconds_later(self):
         def kill(fleet):
             fleet.by_name["n0"].kill()
 
-        def forget(fleet):
-            fleet.forget(fleet.by_name["n0"])
+        def remove(fleet):
+            fleet.remove(fleet.by_name["n0"])
 
-        _, found = self.play(102, 30, [(10, kill), (13, forget)])
+        _, samples = self.simulate(102, 30, [(10, kill), (13, remove)])
 
-        self.assertLess(max(share for _, share in found), 0.05)
+        self.assertLess(max(share for _, share in samples), 0.05)
 
-    def test_readers_are_killed_one_after_the_other(self):
+    def test_readers_are_killed_in_succession(self):
         events = []
         for number in range(4):
             name = f"n{number}"
@@ -172,36 +174,36 @@
                 (8 + 3 * number, lambda f, n=name: f.by_name[n].kill())
             )
             events.append(
-                (11 + 3 * number, lambda f, n=name: f.forget(f.by_name[n]))
+                (11 + 3 * number, lambda f, n=name: f.remove(f.by_name[n]))
             )
 
-        _, found = self.play(102, 40, events)
+        _, samples = self.simulate(102, 40, events)
 
-        mean = sum(share for _, share in found) / len(found)
+        mean = sum(share for _, share in samples) / len(samples)
         self.assertLess(mean, 0.02)
 
-    def test_the_platform_turns_a_third_away_the_reader_among_them(self):
-        def turn_away(fleet):
+    def test_platform_rejects_a_third_of_the_nodes_and_the_reader(self):
+        def reject_nodes(fleet):
             for number, node in enumerate(fleet.by_name.values()):
-                node.turned_away = number % 3 == 0
+                node.is_rejected = number % 3 == 0
 
-        fleet, found = self.play(102, 40, [(10, turn_away)])
+        fleet, samples = self.simulate(102, 40, [(10, reject_nodes)])
 
-        mean = sum(share for _, share in found) / len(found)
+        mean = sum(share for _, share in samples) / len(samples)
         self.assertLess(mean, 0.01)
-        self.assertLess(fleet.calls, 160)
+        self.assertLess(fleet.read_count, 160)
 
-    def test_where_the_platform_is_away_calls_stay_few_and_all_come_back(self):
-        def away(fleet):
+    def test_platform_outage_causes_few_calls_and_all_nodes_recover(self):
+        def fail(fleet):
             for node in fleet.by_name.values():
-                node.turned_away = True
+                node.is_rejected = True
 
-        def back(fleet):
+        def recover(fleet):
             for node in fleet.by_name.values():
-                node.turned_away = False
+                node.is_rejected = False
 
-        fleet, found = self.play(102, 40, [(10, away), (22, back)])
+        fleet, samples = self.simulate(102, 40, [(10, fail), (22, recover)])
 
-        self.assertEqual(1, max(share for _, share in found))
-        self.assertEqual(0, found[-140][1], "served again four seconds later")
-        self.assertLess(fleet.calls, 400)
+        self.assertEqual(1, max(share for _, share in samples))
+        self.assertEqual(0, samples[-140][1], "recovered four seconds later")
+        self.assertLess(fleet.read_count, 400)
--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -175,7 +175,7 @@
         "a link is used again after a part of an answer",
         "nodes/links.py",
         "            self._link.close()\n",
-        "            self._pool._give_back(self._address, self._link)\n",
+        "            self._pool._release(self._address, self._link)\n",
         _LINKS,
     ),
     Mutant(
@@ -254,8 +254,8 @@
     Mutant(
         "a link is not asked before what must not repeat",
         "nodes/links.py",
-        "        if not once:\n            return link",
-        "        if link or not once:\n            return link",
+        "        if not check:\n            return link",
+        "        if link or not check:\n            return link",
         _LINKS,
     ),
     Mutant(
--- /dev/null
+++ b/endivewind/tests/nodes/graceful_shutdown_tests.py
@@ -0,0 +1,89 @@
+"""Tests of the graceful shutdown of a node, in virtual time."""
+
+import asyncio
+import datetime
+import unittest
+
+from endivewind.nodes import leaving
+from endivewind.standins import virtual
+
+NOTICE = datetime.timedelta(seconds=2.5)
+LIMIT = datetime.timedelta(seconds=5)
+
+
+class _Components:
+    """Fake of all components of a node; records the calls and their times."""
+
+    def __init__(self, loop, hangs):
+        self._loop = loop
+        self._drained = asyncio.Event()
+        self.calls = []
+        if not hangs:
+            self._drained.set()
+
+    def _record(self, call):
+        self.calls.append((call, round(self._loop.time(), 1)))
+
+    def announce_drain(self):
+        self._record("announce drain")
+
+    def refuse_new(self):
+        self._record("refuse new")
+
+    def close(self):
+        self._record("close")
+
+    def end(self):
+        self._record("abort")
+        self._drained.set()
+
+    async def drained(self):
+        await self._drained.wait()
+
+    def kept_for(self):
+        return datetime.timedelta()
+
+
+class GracefulShutdownTest(unittest.TestCase):
+    def setUp(self):
+        self.loop = virtual.VirtualLoop()
+        self.addCleanup(self.loop.close)
+
+    def _shut_down(self, hangs, notice=NOTICE):
+        """Returns the listener's recorded calls and when the shutdown ended."""
+        listener, other = (
+            _Components(self.loop, hangs),
+            _Components(self.loop, False),
+        )
+        shutdown = leaving.Departure(
+            listener, other, other, other, notice, listener.announce_drain
+        )
+        self.loop.run_until_complete(shutdown.run(LIMIT))
+        return listener.calls, round(self.loop.time(), 1)
+
+    def test_target_gets_requests_until_most_of_the_notice_is_over(self):
+        """The fleet sends requests to the target until late in the notice.
+
+        Announced at once, a rolling stop of half of all nodes made a quarter
+        of the targets idle needlessly.
+        """
+        calls, ended_at = self._shut_down(hangs=False)
+
+        self.assertEqual([("announce drain", 1.5), ("refuse new", 2.5)], calls)
+        self.assertEqual(2.5, ended_at)
+
+    def test_short_notice_announces_the_drain_at_its_end(self):
+        calls, _ = self._shut_down(False, datetime.timedelta(seconds=1))
+
+        self.assertEqual([("announce drain", 1.0), ("refuse new", 1.0)], calls)
+
+    def test_hanging_requests_are_aborted_at_the_limit(self):
+        """Callers get their outcomes before the process exits."""
+        calls, ended_at = self._shut_down(hangs=True)
+
+        self.assertEqual(("abort", 5.0), calls[-1])
+        self.assertEqual(5.0, ended_at)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/endivewind/tests/nodes/links_tests.py
+++ b/endivewind/tests/nodes/links_tests.py
@@ -1,4 +1,4 @@
-"""Tests of links against a peer that answers wrongly."""
+"""Tests of the link pool with a peer that sends incorrect responses."""
 
 import asyncio
 import dataclasses
@@ -22,15 +22,17 @@
 )
 
 
-class WrongAnswersTest(unittest.IsolatedAsyncioTestCase):
-    """A link in doubt is closed, and its bytes reach no other caller."""
+class IncorrectResponsesTest(unittest.IsolatedAsyncioTestCase):
+    """Links in an uncertain state are closed and not reused."""
 
     async def asyncSetUp(self):
         self.connections = []
         self.script = None
-        self.present = True
-        self.forwards = 0
-        self.server = await asyncio.start_server(self._peer, "127.0.0.1", 0)
+        self.echoes_heartbeats = True
+        self.request_count = 0
+        self.server = await asyncio.start_server(
+            self._serve_peer, "127.0.0.1", 0
+        )
         port = self.server.sockets[0].getsockname()[1]
         self.home = view.NodeRecord("home", 1, f"127.0.0.1:{port}", "r", "z")
         self.pool = links.LinkPool(clocks.SystemClock())
@@ -39,18 +41,18 @@
         self.pool.close()
         self.server.close()
 
-    async def _peer(self, reader, writer):
+    async def _serve_peer(self, reader, writer):
         self.connections.append(writer)
         try:
             while True:
                 frame = await codec.read_frame(reader)
                 if frame.heartbeat is not None:
-                    if self.present:
+                    if self.echoes_heartbeats:
                         writer.write(codec.encode_frame(frame))
                     continue
-                self.forwards += 1
-                for answer in self.script(frame.forward.exchange):
-                    writer.write(codec.encode_frame(answer))
+                self.request_count += 1
+                for response in self.script(frame.forward.exchange):
+                    writer.write(codec.encode_frame(response))
                 await writer.drain()
         except (EOFError, OSError, asyncio.CancelledError):
             writer.close()
@@ -60,49 +62,55 @@
         body = exchange.RequestBody()
         return await self.pool.forward(self.home, "t", head, body)
 
-    async def test_crossed_answer_is_refused(self):
-        """The answer to another caller's request comes back on this link."""
-        result = await self._send(lambda number: [_answer(number + 1)])
-        following = await self._send(lambda number: [_answer(number)])
+    async def test_response_to_another_exchange_is_rejected(self):
+        """A response with the number of another exchange arrives."""
+        result = await self._send(lambda number: [_response(number + 1)])
+        following = await self._send(lambda number: [_response(number)])
 
         self.assertEqual(exchange.Reason.HOME_LOST, result.error.reason)
         self.assertEqual(exchange.Outcome.UNKNOWN, result.error.outcome)
         self.assertEqual(200, following.ok.status)
         self.assertEqual(2, len(self.connections))
 
-    async def test_late_second_answer_reaches_nobody(self):
-        """The peer answers twice; the next caller must not get the copy."""
+    async def test_duplicate_response_is_discarded(self):
+        """The peer responds twice; the next caller must not get the copy."""
         first = await self._send(
-            lambda number: [_answer(number, b"one"), _answer(number, b"one")]
+            lambda number: [
+                _response(number, b"one"),
+                _response(number, b"one"),
+            ]
         )
-        second = await self._send(lambda number: [_answer(number, b"two")])
-        third = await self._send(lambda number: [_answer(number, b"three")])
+        second = await self._send(lambda number: [_response(number, b"two")])
+        third = await self._send(lambda number: [_response(number, b"three")])
 
         self.assertEqual(b"one", first.ok.body)
         self.assertTrue(second.is_error() or second.ok.body == b"two")
         self.assertEqual(b"three", third.ok.body)
 
-    async def test_answer_given_up_in_the_middle_costs_the_link(self):
-        """The caller leaves in the middle of a long answer.
+    async def test_abandoned_response_closes_the_link(self):
+        """The caller disconnects in the middle of a long response.
 
-        The rest still comes; on a link used again it would meet the next
-        caller's request.
+        The remainder still arrives; on a reused link it would be taken for the
+        response to the next request.
         """
         result = await self._send(
-            lambda number: [_answer(number, whole=False), _chunk(number)]
+            lambda number: [
+                _response(number, is_complete=False),
+                _chunk(number),
+            ]
         )
         await result.ok.stream.__anext__()
         await result.ok.stream.aclose()
-        following = await self._send(lambda number: [_answer(number, b"own")])
+        following = await self._send(lambda number: [_response(number, b"own")])
 
         self.assertEqual(b"own", following.ok.body)
         self.assertEqual(2, len(self.connections))
 
-    async def test_answer_that_breaks_off_is_told(self):
-        """The home ends in the middle of an answer."""
+    async def test_truncated_response_raises(self):
+        """The home closes the link in the middle of a response."""
 
         def script(number):
-            yield _answer(number, whole=False)
+            yield _response(number, is_complete=False)
             yield _chunk(number)
             self.connections[-1].close()
 
@@ -112,34 +120,40 @@
             async for _ in result.ok.stream:
                 pass
 
-    async def test_a_silent_home_gets_no_work_that_must_not_repeat(self):
-        """The way back is cut, or the home's process stands still.
+    async def test_unresponsive_home_gets_no_non_idempotent_request(self):
+        """Packets from the home are lost, or its process is paused.
 
-        The request would be sent and nothing come back. Asked first, the home
-        is silent, and the caller hears for sure that nothing has run.
+        If the request were sent, its outcome would be unknown. Without a
+        heartbeat from the home, it is not sent and certainly not executed.
         """
-        once = dataclasses.replace(HEAD, ticket="ticket", attempt=1)
-        first = await self._send(lambda number: [_answer(number)], once)
-        self.present = False
+        non_idempotent = dataclasses.replace(HEAD, ticket="ticket", attempt=1)
+        first = await self._send(
+            lambda number: [_response(number)], non_idempotent
+        )
+        self.echoes_heartbeats = False
 
-        second = await self._send(lambda number: [_answer(number)], once)
+        second = await self._send(
+            lambda number: [_response(number)], non_idempotent
+        )
 
         self.assertEqual(200, first.ok.status)
         self.assertEqual(exchange.Outcome.NOT_RUN, second.error.outcome)
-        self.assertEqual(1, self.forwards)
+        self.assertEqual(1, self.request_count)
 
-    async def test_a_forgotten_connection_is_replaced_before_the_request(self):
-        """Something on the way has lost track of the kept connection."""
-        once = dataclasses.replace(HEAD, ticket="ticket", attempt=1)
-        await self._send(lambda number: [_answer(number)], once)
+    async def test_dropped_connection_is_replaced_before_the_request(self):
+        """A middlebox has dropped the state of an idle connection."""
+        non_idempotent = dataclasses.replace(HEAD, ticket="ticket", attempt=1)
+        await self._send(lambda number: [_response(number)], non_idempotent)
         self.connections[0].transport.pause_reading()
 
-        result = await self._send(lambda number: [_answer(number)], once)
+        result = await self._send(
+            lambda number: [_response(number)], non_idempotent
+        )
 
         self.assertEqual(200, result.ok.status)
         self.assertEqual(2, len(self.connections))
 
-    async def test_unheard_peer_is_not_run_only_without_a_connection(self):
+    async def test_refused_connection_gives_outcome_not_run(self):
         self.server.close()
         await self.server.wait_closed()
 
@@ -148,15 +162,15 @@
         self.assertEqual(exchange.Outcome.NOT_RUN, result.error.outcome)
 
 
-def _answer(number, body=b"", whole=True):
-    answer = codec.messages.Response(
+def _response(number, body=b"", is_complete=True):
+    response = codec.messages.Response(
         exchange=number,
         status=200,
         headers=[],
         body=body,
-        body_complete=whole,
+        body_complete=is_complete,
     )
-    return codec.messages.Frame(answer=answer)
+    return codec.messages.Frame(answer=response)
 
 
 def _chunk(number):
