--- a/endivewind/nodes/links.py
+++ b/endivewind/nodes/links.py
@@ -250,11 +250,11 @@
         now = self._clock.monotonic()
         while links:
             link = links.pop()
-            fresh = now - link.last_used < IDLE_LIMIT and (
+            is_fresh = now - link.last_used < IDLE_LIMIT and (
                 now - link.opened_at < AGE_LIMIT
             )
-            closed = link.reader.at_eof() or link.writer.is_closing()
-            if fresh and not closed:
+            is_closed = link.reader.at_eof() or link.writer.is_closing()
+            if is_fresh and not is_closed:
                 return link
             link.close()
         return None
--- a/endivewind/nodes/service.py
+++ b/endivewind/nodes/service.py
@@ -121,7 +121,7 @@
         self._dispatch(self._core.leave())
 
     async def targets_moved(self) -> None:
-        """Waits until this node's targets have moved, or for the timeout."""
+        """Waits TARGET_MOVE_TIMEOUT at most until all targets have moved."""
         for _ in range(int(LEAVE_WAIT / TICK)):
             if not self._state.targets.announced():
                 return
@@ -211,22 +211,22 @@
         while True:
             self.targets_changed()
             self._dispatch(self._core.tick())
-            self._check_superseded()
+            self._stop_taking_if_superseded()
             self._log_member_changes()
             await asyncio.sleep(TICK.total_seconds())
 
     def _log_member_changes(self) -> None:
         for record in self._core.take_turns():
-            alive = record.state is membership.State.ALIVE
+            is_alive = record.state is membership.State.ALIVE
             log.log(
-                logging.DEBUG if alive else logging.WARNING,
+                logging.DEBUG if is_alive else logging.WARNING,
                 "member",
                 extra=logs.fields(
                     node=record.node.name, state=record.state.name.lower()
                 ),
             )
 
-    def _check_superseded(self) -> None:
+    def _stop_taking_if_superseded(self) -> None:
         """Accepts no more targets once a later incarnation is known."""
         if self._members.superseded and not self._has_warned:
             self._has_warned = True
