--- a/endivewind/nodes/links.py
+++ b/endivewind/nodes/links.py
@@ -40,7 +40,7 @@
 # Four round trips between regions. A process that is paused for longer is not
 # sent requests that would be lost with it.
 ANSWER_LIMIT = datetime.timedelta(milliseconds=250)
-# The home responds at the deadline at the latest; this is the time that its
+# The home itself responds when the deadline expires; this is the time that the
 # response may take to arrive.
 DEADLINE_GRACE = datetime.timedelta(milliseconds=500)
 ISSUER_LOST_RETRY = datetime.timedelta(seconds=1)
--- a/endivewind/nodes/proofs.py
+++ b/endivewind/nodes/proofs.py
@@ -42,7 +42,7 @@
         fleet: view.FleetView,
         pool: links.LinkPool,
         read: Read,
-        is_settled: collections.abc.Callable[[], bool],
+        has_complete_view: collections.abc.Callable[[], bool],
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
@@ -54,7 +54,7 @@
           fleet: the other nodes.
           pool: links to them.
           read: reads the platform within a timeout.
-          is_settled: whether this node knows all nodes started before it.
+          has_complete_view: whether this node knows all nodes started before it.
           clock: must include time during which the machine was suspended.
           rng: chooses the peer to query.
         """
@@ -63,7 +63,7 @@
         self._fleet = fleet
         self._pool = pool
         self._read = read
-        self._is_settled = is_settled
+        self._has_complete_view = has_complete_view
         self._clock = clock
         self._rng = rng
         self._started = clock.boot_time()
@@ -111,7 +111,7 @@
             self._is_parent_useful = not is_stale or not self._is_parent_useful
 
     def _is_turn_to_read(self, bound: datetime.timedelta) -> bool:
-        if not self._is_settled():
+        if not self._has_complete_view():
             return False
         now = self._clock.boot_time()
         number = self._rank().number
--- a/endivewind/nodes/quotas.py
+++ b/endivewind/nodes/quotas.py
@@ -35,7 +35,7 @@
 ASKED = 2
 # Buckets of standbys are reset after this long without use.
 IDLE_LIFE = datetime.timedelta(seconds=5)
-# The count is a 32-bit integer on the wire.
+# The count is a 32-bit integer on the wire, so it needs a bound.
 MOST_ASKED = 10_000
 
 QuotaOf = collections.abc.Callable[[str], quotas.Quota | None]
@@ -244,7 +244,7 @@
     async def _borrow_from_zones(
         self, workspace: str, bucket: quotas.TokenBucket
     ) -> None:
-        """Queries other zones, near ones first, until the bucket is full."""
+        """Queries other zones in turn, near ones first, until it is full."""
         borrowed = 0
         for lender in self._lenders(workspace):
             wanted = bucket.wanted(self._clock.monotonic())
