--- a/endivewind/callers/budgets.py
+++ b/endivewind/callers/budgets.py
@@ -1,4 +1,8 @@
-"""The retry budgets of this entry's services, within the fleet's limits."""
+"""Retry budgets of an entry node, one for each service.
+
+The gateway takes retries from them. The limits of a service hold for the whole
+fleet; each node has a share of them and exchanges its counts with nearby nodes.
+"""
 
 import collections
 import datetime
@@ -11,129 +15,147 @@
 from endivewind.decisions import retries
 from endivewind.nodes import view
 
-# How often the size of the fleet is noted for the window that ends now.
-_SIZE_PERIOD = datetime.timedelta(milliseconds=500)
-# How often neighbours are counted while as many nodes are known: each count
-# looks at every node.
+# Interval between two samples of the size of the fleet.
+_SIZE_SAMPLE_INTERVAL = datetime.timedelta(milliseconds=500)
+# How often neighbours are counted while the number of known nodes is the same.
+# Counting iterates over all nodes.
 COUNT_PERIOD = datetime.timedelta(seconds=1)
-# The part of its reserve that a node has at once when it starts. What its
-# earlier start has used in the window is not known; where all have started
-# anew, both together keep within the fleet's bound.
+# Share of its reserve that a node has immediately after it starts; the rest is
+# added over one window. How many retries the node made before a restart is
+# unknown. If all nodes restart, the retries before and after the restart
+# together stay within the fleet's bound.
 START_SHARE = 0.5
-# Requests that are told of without a retry: what a node has not told of, the
-# others can't lend each other.
+# New requests after which a node sends its counts even if it has made no
+# retries. The other nodes can't use budget from requests they don't know of.
 TOLD_REQUESTS = 5
 
 
 class FleetSize:
-    """The most nodes that were known at once in the last window.
+    """The largest number of nodes known at any time in the last window.
 
-    Load: half of the fleet is killed, or leaves for a moment. Harm: what each
-    node may retry is its part of the fleet's; with half of the nodes gone the
-    others' parts would double at once, while what those that are gone have
-    used still counts.
+    Load: half of the fleet is killed or unreachable for a moment. Harm: each
+    node has an equal share of the fleet's retries. With half of the nodes gone
+    the shares of the others would double at once, although the retries of the
+    lost nodes still count in the current window.
     """
 
     def __init__(self) -> None:
-        self._seen: collections.deque[tuple[datetime.timedelta, int]] = (
+        self._samples: collections.deque[tuple[datetime.timedelta, int]] = (
             collections.deque()
         )
 
     def note(
         self, nodes: int, now: datetime.timedelta, window: datetime.timedelta
     ) -> None:
-        """Takes how many nodes are known now."""
-        while self._seen and now - self._seen[0][0] > window:
-            self._seen.popleft()
-        if not self._seen or now - self._seen[-1][0] >= _SIZE_PERIOD:
-            self._seen.append((now, nodes))
+        """Records the number of nodes that are known now."""
+        while self._samples and now - self._samples[0][0] > window:
+            self._samples.popleft()
+        if (
+            not self._samples
+            or now - self._samples[-1][0] >= _SIZE_SAMPLE_INTERVAL
+        ):
+            self._samples.append((now, nodes))
 
     def most(self, nodes: int) -> int:
-        """The most of the window, those known now included."""
-        return max((seen for _, seen in self._seen), default=nodes)
+        """Returns the maximum in the window.
+
+        Args:
+          nodes: the number of nodes known now, used if there is no sample.
+        """
+        return max((count for _, count in self._samples), default=nodes)
 
 
 class RetryBudgets:
-    """One budget for each service, as configured, with others' tallies."""
+    """Keeps a retry budget for each service, shared with nearby nodes."""
 
     def __init__(
         self,
         configuration: store.ConfigurationStore,
         fleet: view.FleetView,
-        place: load_balancing.Locality,
+        locality: load_balancing.Locality,
         clock: clocks.Clock,
     ) -> None:
         self._started = clock.monotonic()
         self._size = FleetSize()
-        self._place = place
+        self._locality = locality
         self._configuration = configuration
         self._fleet = fleet
         self._clock = clock
         self._budgets: dict[str, retries.RetryBudget] = {}
-        self._told: dict[str, retries.RequestCounts] = {}
-        # Parts of a retry that are still to be charged.
-        self._owed: collections.defaultdict[str, float] = (
+        self._sent_counts: dict[str, retries.RequestCounts] = {}
+        # Fractions of retries that are not charged yet.
+        self._pending_retries: collections.defaultdict[str, float] = (
             collections.defaultdict(float)
         )
-        self._neighbours = 0
-        # For how many nodes they were counted, and when.
-        self._counted = (0, -COUNT_PERIOD)
-        self._last = -peer_updates.MIN_UPDATE_INTERVAL
+        self._neighbour_count = 0
+        # Number of known nodes at the last count of neighbours, and its time.
+        self._last_count = (0, -COUNT_PERIOD)
+        self._last_update = -peer_updates.MIN_UPDATE_INTERVAL
 
     def of(self, service: str) -> retries.RetryBudget:
-        """The budget of a service, with its limits in force."""
-        found = self._configuration.service(service) or objects.Service()
-        limits = self._limits(found)
-        known = self._budgets.get(service)
-        if known is None:
-            known = self._budgets[service] = retries.RetryBudget(limits)
-        known.configure(limits)
-        return known
-
-    def charge(self, service: str, share: float) -> None:
-        """Takes note of work that counts as a retry with some likelihood."""
-        self._owed[service] += share
-        if self._owed[service] >= 1:
-            self._owed[service] -= 1
+        """Returns the budget of a service, with its current limits."""
+        config = self._configuration.service(service) or objects.Service()
+        limits = self._limits(config)
+        budget = self._budgets.get(service)
+        if budget is None:
+            budget = self._budgets[service] = retries.RetryBudget(limits)
+        budget.configure(limits)
+        return budget
+
+    def charge(self, service: str, probability: float) -> None:
+        """Charges a request that is a retry with some probability.
+
+        Args:
+          service: the service that the request calls.
+          probability: the probability that the request is a retry.
+        """
+        self._pending_retries[service] += probability
+        if self._pending_retries[service] >= 1:
+            self._pending_retries[service] -= 1
             self.of(service).charge(self._clock.monotonic())
 
-    def hear(self, node: str, tally: peer_updates.RetryUsage) -> None:
-        """Takes what another entry near by has used of its part.
+    def hear(self, node: str, usage: peer_updates.RetryUsage) -> None:
+        """Stores the retry usage of another nearby entry node.
 
-        A later start of an entry counts from nothing; what the earlier one
-        has used stays counted beside it until its window is over.
+        A node that restarts counts from zero. Its usage before the restart is
+        kept as that of a separate peer until its window has passed.
+
+        Args:
+          node: name of the sender.
+          usage: the sender's counts for one service.
         """
-        known = self._budgets.get(tally.service)
+        budget = self._budgets.get(usage.service)
         record = self._fleet.nodes.get(node)
-        if known is not None:
-            start = f"{node}/{record.incarnation if record else 0}"
-            known.update_peer(start, tally.counts, self._clock.monotonic())
+        if budget is not None:
+            peer = f"{node}/{record.incarnation if record else 0}"
+            budget.update_peer(peer, usage.counts, self._clock.monotonic())
 
     def due(self) -> tuple[peer_updates.RetryUsage, ...]:
-        """Tallies that the other entries near by must hear now.
+        """Returns the retry usages to send to nearby entry nodes now.
 
-        Call it often; how many there are is looked up here, too.
+        The caller polls this several times a second. The number of neighbours
+        is updated here as well.
         """
         now = self._clock.monotonic()
-        nodes, counted_at = self._counted
+        nodes, counted_at = self._last_count
         if len(self._fleet.nodes) != nodes or now - counted_at >= COUNT_PERIOD:
-            self._neighbours = self._count_neighbours()
-            self._counted = (len(self._fleet.nodes), now)
-        if now - self._last < peer_updates.MIN_UPDATE_INTERVAL:
+            self._neighbour_count = self._count_neighbours()
+            self._last_count = (len(self._fleet.nodes), now)
+        if now - self._last_update < peer_updates.MIN_UPDATE_INTERVAL:
             return ()
-        found = []
+        usages = []
         for service, budget in self._budgets.items():
             count = budget.counts(now)
-            told = self._told.get(service, retries.RequestCounts())
-            if _is_news(count, told) and budget.is_small_share(now):
-                self._told[service] = count
-                found.append(peer_updates.RetryUsage(service, count))
-        if found:
-            self._last = now
-        return tuple(found)
+            sent = self._sent_counts.get(service, retries.RequestCounts())
+            if _has_changed(count, sent) and budget.is_small_share(now):
+                self._sent_counts[service] = count
+                usages.append(peer_updates.RetryUsage(service, count))
+        if usages:
+            self._last_update = now
+        return tuple(usages)
 
     def _limits(self, service: objects.Service) -> retries.RetryLimits:
-        """This node's part of what all nodes together may retry."""
+        """Returns this node's share of the fleet's retry limits."""
         now = self._clock.monotonic()
         window = datetime.timedelta(milliseconds=service.retry_window_ms)
         reserve = retries.DEFAULT_RESERVE
@@ -144,20 +166,24 @@
             age = min(1.0, (now - self._started) / window)
             reserve *= START_SHARE + (1 - START_SHARE) * age
         return retries.RetryLimits(
-            service.retry_percent / 100, reserve, window, self._neighbours
+            service.retry_percent / 100, reserve, window, self._neighbour_count
         )
 
     def _count_neighbours(self) -> int:
-        """Other nodes that hear each other's tallies."""
+        """Returns the number of other nodes that exchange retry usage."""
         nodes = self._fleet.nodes.values()
-        region = sum(item.region == self._place.region for item in nodes)
-        if peer_updates.shares_retries_in_region(region - 1):
-            return max(0, region - 1)
-        zone = sum(item.zone == self._place.zone for item in nodes)
-        return min(max(0, zone - 1), peer_updates.MAX_PEERS)
-
-
-def _is_news(count: retries.RequestCounts, told: retries.RequestCounts) -> bool:
-    """Whether a count differs from what was told of it before."""
-    more = abs(count.requests - told.requests)
-    return count.retries != told.retries or more >= TOLD_REQUESTS
+        region_size = sum(
+            node.region == self._locality.region for node in nodes
+        )
+        if peer_updates.shares_retries_in_region(region_size - 1):
+            return max(0, region_size - 1)
+        zone_size = sum(node.zone == self._locality.zone for node in nodes)
+        return min(max(0, zone_size - 1), peer_updates.MAX_PEERS)
+
+
+def _has_changed(
+    count: retries.RequestCounts, sent: retries.RequestCounts
+) -> bool:
+    """Whether the counts differ enough from those last sent."""
+    change = abs(count.requests - sent.requests)
+    return count.retries != sent.retries or change >= TOLD_REQUESTS
--- a/endivewind/callers/ticket_book.py
+++ b/endivewind/callers/ticket_book.py
@@ -1,8 +1,8 @@
-"""The issuer's record of what was done under each of its tickets.
+"""Store of idempotency records: the result of each ticket at its issuer.
 
-Pure: a send comes in, what to do about it comes out. The book is the single
-writer of its incarnation's tickets, so no agreement with other nodes is
-needed for work to run at most once.
+Called by the ticket handler for each send of a request. Only the issuer writes
+the records of its incarnation's tickets, so at-most-once execution needs no
+consensus with other nodes. Pure: no I/O, and the caller passes the time.
 """
 
 import dataclasses
@@ -14,18 +14,20 @@
 from endivewind import exchange
 from endivewind.callers import tickets
 
-# A ticket must be used first within this time of its issue. Shorter than the
-# retention, so that every ticket that may still start has its record, if any.
+# A ticket must be used for the first time within this time after its issue.
+# It is shorter than the retention, so that the record of a ticket that may
+# still start has never been dropped.
 FIRST_USE = datetime.timedelta(minutes=1)
-# A record is held this long after the first send. Callers resend within
+# Time that a record is kept after the first send. Callers usually resend within
 # seconds; the rest is for callers whose own process was restarted.
 RETENTION = datetime.timedelta(minutes=2)
-# What a record takes at most, its answer apart, and what each header of a
-# kept answer takes beside its bytes; a test measures both.
+# Maximum memory of a record without its response, and the overhead of each
+# header of a kept response. A test measures both.
 RECORD_BYTES = 1_024
 FIELD_BYTES = 128
-# A node has 64 MB, some 49 of them taken by libraries. 6 MiB hold 6,144
-# records: 51 first sends a second, of 184 requests, held for the retention.
+# A node has 64 MB of memory, of which libraries take about 49 MB. 6 MiB hold
+# 6,144 records: those of 51 tickets per second during the retention, at 184
+# requests per second.
 BOOK_BYTES = 6 * 1024 * 1024
 FULL_RETRY = datetime.timedelta(seconds=5)
 
@@ -34,7 +36,7 @@
 
 
 class Step(enum.StrEnum):
-    """What to do about a send that is not answered from the book."""
+    """What to do with a send that has no recorded result."""
 
     START = "start"
     JOIN = "join"
@@ -52,32 +54,32 @@
 
 
 class TicketBook:
-    """Records of one incarnation: claimed, then finished for good.
+    """Records of one incarnation's tickets, each claimed and finished once.
 
-    Whatever a ticket ended as stays: answered, not run or unknown. A ticket
-    that was told "not run" never starts later, or a late copy of an earlier
-    send would make that answer false.
+    The result of a ticket is final: a response, "not run" or "unknown". A
+    ticket whose result is "not run" never starts later; otherwise a delayed
+    copy of an earlier send would make that result false.
     """
 
     def __init__(
         self, capacity: int = BOOK_BYTES, kept_answer_bytes: int = 65_536
     ) -> None:
-        """Builds an empty book.
+        """Builds an empty store.
 
         Args:
-          capacity: bytes of all records and kept answers.
-          kept_answer_bytes: most bytes of one kept answer.
+          capacity: maximum bytes of all records and kept responses.
+          kept_answer_bytes: maximum bytes of one kept response.
         """
         self._capacity = capacity
         self._kept_answer_bytes = kept_answer_bytes
         self._records: dict[Key, _Record] = {}
         self._size = 0
-        self._barrier = datetime.timedelta(milliseconds=-1)
+        self._refused_until = datetime.timedelta(milliseconds=-1)
         self._closed = False
 
     @property
     def size(self) -> int:
-        """Bytes counted for all records."""
+        """Estimated bytes of all records."""
         return self._size
 
     @property
@@ -86,15 +88,15 @@
         return len(self._records)
 
     def kept_for(self, now: datetime.timedelta) -> datetime.timedelta:
-        """Time until the last record is past its retention; or zero."""
-        self._expire(now)
+        """Returns the time until the last record expires; zero if none."""
+        self._remove_expired(now)
         if not self._records:
             return datetime.timedelta()
         last = self._records[next(reversed(self._records))]
         return max(last.expires - now, datetime.timedelta())
 
     def close(self) -> None:
-        """Starts nothing more; what is recorded can still be asked for."""
+        """Refuses new tickets; recorded results are still returned."""
         self._closed = True
 
     def claim(
@@ -103,21 +105,26 @@
         fingerprint: bytes,
         now: datetime.timedelta,
     ) -> ClaimResult:
-        """Decides about one send of a verified ticket.
+        """Decides what to do with one send of a verified ticket.
 
-        Load: a caller that got no answer sends again, over any node, while
-        the first send may still run. Harm: two runs of one payout, or "not
-        run" for one that runs later. One record for each ticket, made before
-        anything is placed, leaves exactly one send that starts.
+        Load: a caller that got no response resends the request through any
+        node, while the first send may still be running. Harm: a payout that
+        runs twice, or "not run" for one that runs later. Since the record is
+        created before the request is placed, exactly one send starts it.
+
+        Args:
+          ticket: the ticket, whose signature has been verified.
+          fingerprint: the fingerprint of the request.
+          now: the current monotonic time.
 
         Returns:
-          START for the one send that is to run it, JOIN while it runs, the
-          kept answer after it; or the refusal.
+          START for the one send that runs the request, JOIN while it is
+          running, then the kept response; or a refusal.
         """
-        self._expire(now)
+        self._remove_expired(now)
         record = self._records.get(_key(ticket))
         if record is not None:
-            return _known(record, fingerprint)
+            return _result_of(record, fingerprint)
         refused = self._refuse_start(ticket, now)
         if refused is not None:
             return expression.Error(refused)
@@ -126,9 +133,9 @@
         return expression.Ok(Step.START)
 
     def finish(self, ticket: tickets.Ticket, result: RunResult) -> None:
-        """Records how the one run ended; keeps the answer if it has room.
+        """Records the result; keeps the response if there is room for it.
 
-        A ticket is finished once: a later report for it changes nothing.
+        A ticket is finished once; later calls have no effect.
         """
         record = self._records.get(_key(ticket))
         if record is None or record.result is not None:
@@ -136,9 +143,13 @@
         if result.is_error():
             record.result = expression.Error(result.error)
             return
-        added = _answer_bytes(result.ok)
+        added = _response_bytes(result.ok)
         fits = added <= self._kept_answer_bytes
-        if result.ok.stream is not None or not fits or self._over(added):
+        if (
+            result.ok.stream is not None
+            or not fits
+            or self._exceeds_capacity(added)
+        ):
             record.result = expression.Error(NOT_KEPT)
             return
         record.result = expression.Ok(result.ok)
@@ -148,49 +159,49 @@
     def _refuse_start(
         self, ticket: tickets.Ticket, now: datetime.timedelta
     ) -> exchange.Refusal | None:
-        """Why a ticket without a record may not start; None if it may."""
+        """Returns why a ticket without a record may not start, or None."""
         age = now - ticket.issued
         if age >= RETENTION:
-            # Its record may have been dropped, so nothing is known of it.
+            # Its record may have expired, so its result is unknown.
             return exchange.outcome_unknown(
                 exchange.Reason.TICKET_EXPIRED,
-                "the key is past its retention",
+                "the retention time of the key has passed",
             )
         if age >= FIRST_USE:
             return exchange.not_run(
                 exchange.Reason.TICKET_EXPIRED,
-                "the key was not used in time; take the new one",
+                "the key was not used in time; use the new key",
             )
         if self._closed:
             return exchange.not_run(
-                exchange.Reason.STOPPING, "the key's node is leaving"
+                exchange.Reason.STOPPING, "the key's node is shutting down"
             )
-        if ticket.issued <= self._barrier:
+        if ticket.issued <= self._refused_until:
             return exchange.not_run(
                 exchange.Reason.BUSY,
-                "the key was refused or was issued before a refusal",
+                "the key was issued while the node had no room for records",
                 FULL_RETRY,
             )
-        if self._over(RECORD_BYTES):
-            # There is no room to remember this refusal. Without a memory of
-            # it a late copy could run once there is room again, so every
-            # ticket issued up to now is barred from starting.
-            self._barrier = now
+        if self._exceeds_capacity(RECORD_BYTES):
+            # There is no room to record this refusal either. Without a record
+            # a delayed copy could run once there is room again, so no ticket
+            # issued up to now may start any more.
+            self._refused_until = now
             return exchange.not_run(
                 exchange.Reason.BUSY,
-                "no room for the record of another key",
+                "the node has no room to record another key",
                 FULL_RETRY,
             )
         return None
 
-    def _over(self, added: int) -> bool:
+    def _exceeds_capacity(self, added: int) -> bool:
         return self._size + added > self._capacity
 
-    def _expire(self, now: datetime.timedelta) -> None:
-        """Drops records past their retention, in the order of their claims.
+    def _remove_expired(self, now: datetime.timedelta) -> None:
+        """Removes records past their retention, in the order of their claims.
 
-        One that still runs is held, and those behind it wait for it: a run
-        ends by its deadline.
+        A record of a running request is kept, and so are all records after it;
+        this is not for long, since a request ends by its deadline.
         """
         while self._records:
             key = next(iter(self._records))
@@ -204,17 +215,17 @@
 NOT_KEPT = exchange.Refusal(
     exchange.Outcome.RAN,
     exchange.Reason.ANSWER_NOT_KEPT,
-    "the work ran and its answer was sent; it is not kept",
+    "the request ran and its response was sent, but not kept",
 )
 
 
-def _known(record: _Record, fingerprint: bytes) -> ClaimResult:
+def _result_of(record: _Record, fingerprint: bytes) -> ClaimResult:
     if record.fingerprint != fingerprint:
         return expression.Error(
             exchange.Refusal(
                 _outcome(record),
                 exchange.Reason.TICKET_REUSED,
-                "the key belongs to another request",
+                "the key was used for another request",
             )
         )
     if record.result is None:
@@ -225,7 +236,7 @@
 
 
 def _outcome(record: _Record) -> exchange.Outcome:
-    """The outcome of the ticket, whichever request asks."""
+    """Returns the ticket's outcome, to be reported for any request."""
     if record.result is None:
         return exchange.Outcome.UNKNOWN
     if record.result.is_error():
@@ -233,11 +244,11 @@
     return exchange.Outcome.RAN
 
 
-def _answer_bytes(answer: exchange.Response) -> int:
-    fields = sum(
+def _response_bytes(answer: exchange.Response) -> int:
+    header_bytes = sum(
         FIELD_BYTES + len(name) + len(value) for name, value in answer.headers
     )
-    return len(answer.body) + fields
+    return len(answer.body) + header_bytes
 
 
 def _key(ticket: tickets.Ticket) -> Key:
--- a/endivewind/callers/tickets.py
+++ b/endivewind/callers/tickets.py
@@ -1,8 +1,8 @@
-"""Tickets: the keys under which work that must not repeat runs once.
+"""Tickets: idempotency keys under which a non-idempotent request runs once.
 
-A ticket names its single writer: the node and the incarnation that issued it.
-Issuing keeps no state; what was done under a ticket is in the issuer's
-ticket book.
+A ticket names the node and the incarnation that issued it. Only this issuer
+may start the request, and it records the result in its ticket store. Issuing a
+ticket keeps no state: tickets are signed with an HMAC.
 """
 
 import base64
@@ -31,14 +31,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
-    """A ticket taken apart; parsing alone does not make it valid.
+    """A parsed ticket, whose signature may still be invalid.
 
     Attributes:
-      node: name of the issuer.
-      incarnation: the issuer's start.
-      issued: issue time on the issuer's monotonic clock, in milliseconds.
-      nonce: tells tickets of one millisecond apart.
-      signature: HMAC of all of these and the workspace, base64url.
+      node: name of the issuing node.
+      incarnation: the issuing node's incarnation.
+      issued_ms: issue time on the issuer's monotonic clock, in milliseconds.
+      nonce: distinguishes tickets issued in the same millisecond.
+      signature: HMAC of the other fields and the workspace, in base64url.
     """
 
     node: str
@@ -49,7 +49,7 @@
 
     @property
     def text(self) -> str:
-        """The ticket as it stands in the header."""
+        """The ticket as a header value."""
         return (
             f"{self.node}:{self.incarnation}:{self.issued_ms}"
             f":{self.nonce}:{self.signature}"
@@ -62,24 +62,24 @@
 
 
 class Issuer:
-    """Issues and checks the tickets of one incarnation of a node.
+    """Issues and verifies the tickets of one incarnation of a node.
 
-    The secret lives in memory only: a ticket of an earlier incarnation can't
-    be checked and is never run, which is what a restarted issuer, whose book
-    is gone, must do.
+    The secret is kept in memory only, so a ticket of an earlier incarnation
+    fails verification and never runs. This is intended: the records of an
+    earlier incarnation are lost, so the request may have run already.
     """
 
     def __init__(
-        self, node: str, incarnation: int, secret: bytes, nonces: Nonces
+        self, node: str, incarnation: int, secret: bytes, make_nonce: Nonces
     ) -> None:
         self._node = node
         self._incarnation = incarnation
         self._secret = secret
-        self._nonces = nonces
+        self._make_nonce = make_nonce
 
     @classmethod
     def for_incarnation(cls, node: str, incarnation: int) -> "Issuer":
-        """An issuer with a fresh secret."""
+        """Returns an issuer with a new random secret."""
         return cls(
             node,
             incarnation,
@@ -94,16 +94,16 @@
 
     @property
     def incarnation(self) -> int:
-        """The issuing start of the node."""
+        """The issuing node's incarnation."""
         return self._incarnation
 
     def issue(self, workspace: str, now: datetime.timedelta) -> Ticket:
-        """A new ticket for one workspace."""
+        """Returns a new ticket, valid for one workspace only."""
         unsigned = Ticket(
             self._node,
             self._incarnation,
             now // _MILLISECOND,
-            self._nonces(),
+            self._make_nonce(),
             "",
         )
         signature = self._sign(unsigned, workspace)
@@ -130,11 +130,11 @@
 
 
 def parse(text: str) -> Ticket | None:
-    """The ticket in a header's value, quoted or not; None if it is none."""
-    plain = text.strip().removeprefix('"').removesuffix('"')
-    if len(plain) > MAX_TEXT:
+    """Parses a header value, quoted or not; returns None if malformed."""
+    unquoted = text.strip().removeprefix('"').removesuffix('"')
+    if len(unquoted) > MAX_TEXT:
         return None
-    match = _PATTERN.fullmatch(plain)
+    match = _PATTERN.fullmatch(unquoted)
     if match is None:
         return None
     return Ticket(
@@ -147,15 +147,16 @@
 
 
 def fingerprint(head: exchange.RequestHead, body: bytes) -> bytes:
-    """What makes two sends the same request: workspace, target work, body.
+    """Returns a hash of the workspace, service, method, path and body.
 
-    Headers are left out: a client library changes some of them between sends
-    of the same operation.
+    Two requests with the same fingerprint are taken for the same operation.
+    Headers are not hashed, because client libraries change some of them when
+    they resend a request.
     """
     digest = hashlib.sha256()
     for field in (head.workspace, head.service, head.method, head.path):
-        raw = field.encode("utf-8", "surrogateescape")
-        digest.update(len(raw).to_bytes(4, "big"))
-        digest.update(raw)
+        encoded = field.encode("utf-8", "surrogateescape")
+        digest.update(len(encoded).to_bytes(4, "big"))
+        digest.update(encoded)
     digest.update(body)
     return digest.digest()
