--- a/endivewind/callers/allowances.py
+++ b/endivewind/callers/allowances.py
@@ -1,7 +1,7 @@
-"""What this entry may still serve of each workspace's quota.
+"""Rate limiting at an entry node: gets tokens of the workspaces' quotas.
 
-The gateway asks here before it serves a request; the requests themselves come
-from the workspace's keeper, see nodes/quotas.py.
+The gateway takes a token here before it serves a request. The tokens come from
+the node that owns the workspace's token bucket, see nodes/quotas.py.
 """
 
 import asyncio
@@ -12,14 +12,15 @@
 from endivewind import clock as clocks
 from endivewind.decisions import quotas
 
-# A request that did not run leaves its place to another one for this long.
+# Time for which the token of a request that did not run can be used by another.
 RETURNED_LIFE = datetime.timedelta(seconds=1)
-# After a refusal nobody is asked again before this, however long the wait is.
+# Maximum time after a refusal in which the owner is not asked again, even if
+# the next token is further away.
 LONGEST_REFUSAL = datetime.timedelta(milliseconds=250)
-_NOTHING = quotas.Grant(0, LONGEST_REFUSAL)
+_NO_TOKENS = quotas.Grant(0, LONGEST_REFUSAL)
 
 
-# Gets some of a workspace's requests.
+# Requests a number of tokens of a workspace from the bucket's owner.
 Ask = collections.abc.Callable[
     [str, int], collections.abc.Awaitable[quotas.Grant]
 ]
@@ -27,60 +28,63 @@
 
 @dataclasses.dataclass(slots=True)
 class _Account:
-    """One workspace at this entry.
+    """State of one workspace at this entry node.
 
     Attributes:
-      waiting: requests that wait for an answer of the keeper.
-      returned: until when each request that was given back may be used.
-      refused_until: nobody is asked before.
-      asking: asks the keeper for all that wait.
+      waiters: callers that wait for a token.
+      refunded: expiry time of each unused token that was refunded.
+      refused_until: all requests are refused until this time, without asking
+        the owner.
+      request_task: requests tokens from the owner for all waiters; None if
+        there are no waiters.
     """
 
-    waiting: list[asyncio.Future[quotas.Grant]]
-    returned: list[datetime.timedelta]
+    waiters: list[asyncio.Future[quotas.Grant]]
+    refunded: list[datetime.timedelta]
     refused_until: datetime.timedelta = datetime.timedelta()
-    asking: asyncio.Task[None] | None = None
+    request_task: asyncio.Task[None] | None = None
 
 
 class Allowances:
-    """Takes requests of workspaces out of their quotas."""
+    """Takes tokens from the quotas of workspaces."""
 
-    def __init__(self, ask: Ask, clock: clocks.Clock) -> None:
-        self._ask = ask
+    def __init__(self, request_tokens: Ask, clock: clocks.Clock) -> None:
+        self._request_tokens = request_tokens
         self._clock = clock
         self._accounts: dict[str, _Account] = {}
 
     async def take(self, workspace: str) -> datetime.timedelta | None:
-        """Takes one request of a workspace that has a quota.
+        """Takes one token of a workspace that has a quota.
 
-        Load: one workspace sends several times its quota, at all entries.
-        Harm: each request costs a question, and its keeper answers nothing
-        else. Requests that come while a question is on its way share the next
-        one, and a refusal holds for those that follow at once.
+        Load: one workspace sends several times its quota, through all entry
+        nodes. Harm: each request costs a query, which keeps the owner of the
+        bucket busy with nothing else. Requests that arrive while a query is in
+        flight share the next one, and requests that arrive shortly after a
+        refusal are refused without a query.
 
         Returns:
-          None where it may run, else when to come back.
+          None if the request may run, otherwise the time after which to retry.
         """
         account = self._account(workspace)
         now = self._clock.monotonic()
-        if self._reuse(account, now):
+        if self._take_refunded(account, now):
             return None
         if now < account.refused_until:
             return account.refused_until - now
-        place = asyncio.get_running_loop().create_future()
-        account.waiting.append(place)
-        if account.asking is None:
-            account.asking = asyncio.create_task(
-                self._ask_for_all(workspace, account)
+        future = asyncio.get_running_loop().create_future()
+        account.waiters.append(future)
+        if account.request_task is None:
+            account.request_task = asyncio.create_task(
+                self._request_for_waiters(workspace, account)
             )
-        granted = await place
-        self._forget(workspace, account)
-        return None if granted.count else granted.retry_after
+        grant = await future
+        self._remove_if_idle(workspace, account)
+        return None if grant.count else grant.retry_after
 
     def give_back(self, workspace: str) -> None:
-        """Returns a request that has not run."""
+        """Returns the token of a request that did not run."""
         until = self._clock.monotonic() + RETURNED_LIFE
-        self._account(workspace).returned.append(until)
+        self._account(workspace).refunded.append(until)
 
     def _account(self, workspace: str) -> _Account:
         known = self._accounts.get(workspace)
@@ -88,47 +92,51 @@
             known = self._accounts[workspace] = _Account([], [])
         return known
 
-    def _forget(self, workspace: str, account: _Account) -> None:
-        """Drops an account that says nothing; workspaces are many."""
-        if account.asking is not None or account.returned:
+    def _remove_if_idle(self, workspace: str, account: _Account) -> None:
+        """Removes an idle account, since there are many workspaces."""
+        if account.request_task is not None or account.refunded:
             return
         if account.refused_until <= self._clock.monotonic():
             self._accounts.pop(workspace, None)
 
-    def _reuse(self, account: _Account, now: datetime.timedelta) -> bool:
-        while account.returned:
-            if now <= account.returned.pop(0):
+    def _take_refunded(
+        self, account: _Account, now: datetime.timedelta
+    ) -> bool:
+        while account.refunded:
+            if now <= account.refunded.pop(0):
                 return True
         return False
 
-    async def _ask_for_all(self, workspace: str, account: _Account) -> None:
-        """Asks until nobody waits; those who came first are served first."""
+    async def _request_for_waiters(
+        self, workspace: str, account: _Account
+    ) -> None:
+        """Requests tokens until no one waits, in the order of arrival."""
         try:
-            while account.waiting:
-                count = len(account.waiting)
-                granted = await self._ask(workspace, count)
-                self._answer(account, count, granted)
+            while account.waiters:
+                count = len(account.waiters)
+                grant = await self._request_tokens(workspace, count)
+                self._distribute(account, count, grant)
         finally:
-            account.asking = None
-            if account.waiting:
-                # It broke off; nobody may wait for ever.
-                self._answer(account, len(account.waiting), _NOTHING)
+            account.request_task = None
+            if account.waiters:
+                # The query failed or was cancelled; no caller may wait forever.
+                self._distribute(account, len(account.waiters), _NO_TOKENS)
 
-    def _answer(
-        self, account: _Account, asked: int, granted: quotas.Grant
+    def _distribute(
+        self, account: _Account, requested: int, grant: quotas.Grant
     ) -> None:
-        left = granted.count
-        refusal = quotas.Grant(0, granted.retry_after)
-        for _ in range(asked):
-            place = account.waiting.pop(0)
-            if place.done():
-                # Its caller has left.
+        remaining = grant.count
+        refusal = quotas.Grant(0, grant.retry_after)
+        for _ in range(requested):
+            future = account.waiters.pop(0)
+            if future.done():
+                # The caller has disconnected.
                 continue
-            place.set_result(quotas.Grant(1) if left else refusal)
-            left = max(0, left - 1)
+            future.set_result(quotas.Grant(1) if remaining else refusal)
+            remaining = max(0, remaining - 1)
         now = self._clock.monotonic()
-        if not granted.count:
-            wait = min(granted.retry_after, LONGEST_REFUSAL)
+        if not grant.count:
+            wait = min(grant.retry_after, LONGEST_REFUSAL)
             account.refused_until = now + wait
-        for _ in range(left):
-            account.returned.append(now + RETURNED_LIFE)
+        for _ in range(remaining):
+            account.refunded.append(now + RETURNED_LIFE)
--- a/endivewind/callers/authorization.py
+++ b/endivewind/callers/authorization.py
@@ -1,6 +1,6 @@
-"""Whether a caller may use a route: by the key that its request bears.
+"""Authentication of callers by API key, and authorization to use a route.
 
-The listener asks here when it routes a request and before it is admitted.
+The listener calls this when it routes a request and before it admits it.
 """
 
 import collections.abc
@@ -12,18 +12,20 @@
 from endivewind.callers import workspaces
 from endivewind.config import objects
 
-# Proofs come several times a second where the platform is reached.
+# While the platform is reachable, the configuration is confirmed to be the
+# newest several times a second.
 UNPROVED_RETRY = datetime.timedelta(seconds=1)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Doubts:
-    """What this node may not know of the configuration.
+    """Whether this node's configuration is complete and up to date.
 
     Attributes:
-      missing: what it does not know yet; None once it knows all.
-      is_proved: whether what it knows was the newest a short while ago, so
-        that work which needs a key may be served.
+      missing: returns a description of what has not been loaded yet, or None if
+        the configuration is complete.
+      is_fresh: whether the configuration was confirmed to be the newest a short
+        time ago, so that requests that need a key may be served.
     """
 
     missing: collections.abc.Callable[[], str | None]
@@ -31,27 +33,31 @@
 
 
 def identify(call: calls.Call, known: workspaces.Workspaces) -> None:
-    """Finds whose request it is, where workspaces have keys.
+    """Authenticates a request by its key, if keys are required.
 
-    Called each time that it is routed: a request that waited for the first
-    configuration came before any key was known here.
+    Called whenever the request is routed: a request that waited for the first
+    configuration arrived before any key was known to this node.
     """
     if known.have_keys:
         call.identify(known.holder(call.key))
 
 
 def refusal(
-    call: calls.Call, route: objects.Route, doubts: Doubts
+    call: calls.Call, route: objects.Route, status: Doubts
 ) -> exchange.Refusal | None:
-    """A refusal unless the route is open or the call's key surely in force."""
+    """Returns a refusal, or None if the request is authorized.
+
+    A request is authorized if its route allows anonymous requests, or if its
+    key is valid according to a configuration that is known to be up to date.
+    """
     if not call.is_keyed or route.anonymous:
         return None
     if not call.workspace:
-        detail = "this route needs a key that a workspace holds"
+        detail = "this route requires a workspace's API key"
         return call.refuse(exchange.Reason.UNAUTHENTICATED, detail)
-    if doubts.is_proved():
+    if status.is_proved():
         return None
-    # The key may have been taken away since; another node, or this one in a
-    # moment, can tell.
-    detail = "no proof that the configuration in force is the newest"
+    # The key may have been revoked since. Another node may have the newest
+    # configuration, or this one shortly.
+    detail = "the configuration may be out of date"
     return call.refuse(exchange.Reason.NOT_READY, detail, UNPROVED_RETRY)
--- a/endivewind/callers/client.py
+++ b/endivewind/callers/client.py
@@ -1,7 +1,8 @@
-"""A caller's helper: sends work that must not repeat, and sends it again.
+"""Client library for callers: runs non-idempotent requests at most once.
 
-It asks for a key, keeps the spare one of each answer, and sends the same key
-again, to one node after the other, while the outcome is not known.
+The client gets an idempotency key from a node and resends the request with the
+same key, to one node after another, until its outcome is known. Each response
+contains a spare key, which is used for the next request.
 """
 
 import asyncio
@@ -16,20 +17,21 @@
 from endivewind import exchange
 from endivewind import headers
 
-# A node takes a key for a minute after its issue; the rest is for the way.
+# Nodes accept a key for a minute after its issue. The difference allows for
+# network delays.
 SPARE_LIFE = datetime.timedelta(seconds=40)
 FIRST_WAIT = datetime.timedelta(milliseconds=100)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """What came of one operation.
+    """The result of one request.
 
     Attributes:
-      status: the HTTP status; 0 where no node gave a whole answer.
-      headers: the answer's headers.
+      status: the HTTP status; 0 if no node sent a complete response.
+      headers: the response's headers.
       body: the whole body.
-      outcome: what the system says; None for an answer of the target.
+      outcome: the outcome of a refusal; None for a response of the target.
     """
 
     status: int
@@ -39,7 +41,7 @@
 
     @property
     def retry_after(self) -> datetime.timedelta | None:
-        """When to come back; None where that is no use."""
+        """Delay after which to retry; None if retrying is pointless."""
         seconds = self.headers.get("Retry-After", "")
         if not seconds.isdigit():
             return None
@@ -51,7 +53,7 @@
 
 
 class Caller:
-    """Sends operations of one workspace through some nodes."""
+    """Sends requests of one workspace through a list of nodes."""
 
     def __init__(
         self,
@@ -59,19 +61,19 @@
         nodes: collections.abc.Sequence[str],
         workspace: str = "",
     ) -> None:
-        """Holds no connection of its own.
+        """Builds a client that opens no connections of its own.
 
         Args:
-          session: its timeout should be above that of an operation.
-          nodes: URLs of nodes, without a path; any of them will do.
+          session: its timeout should be longer than that of any request.
+          nodes: URLs of nodes, without a path; one is used at a time.
           workspace: the caller's workspace.
         """
         self._session = session
         self._nodes = itertools.cycle(nodes)
         self._node = next(self._nodes)
         self._workspace = workspace
-        self._spare = ""
-        self._spare_until = 0.0
+        self._spare_key = ""
+        self._spare_key_expiry = 0.0
 
     async def run_once(
         self,
@@ -81,38 +83,39 @@
         timeout: datetime.timedelta = datetime.timedelta(seconds=30),
         fields: collections.abc.Mapping[str, str] | None = None,
     ) -> Reply:
-        """Runs an operation at most once.
+        """Runs a request at most once.
 
         Args:
           method: the HTTP method.
           path: path and query.
           body: the whole body.
-          timeout: for all sends together.
-          fields: further headers.
+          timeout: total time for all sends.
+          fields: additional headers.
 
         Returns:
-          The target's answer, or the last refusal: "not-run" is true and
-          final, "unknown" means that time ran out or the key's node is gone.
+          The target's response, or the last refusal. With the outcome
+          "not-run", the request did not run and never will; with "unknown", the
+          time ran out or the node that issued the key was lost.
         """
         loop = asyncio.get_running_loop()
-        until = loop.time() + timeout.total_seconds()
-        key = self._take_spare()
-        wait = FIRST_WAIT
+        deadline = loop.time() + timeout.total_seconds()
+        key = self._take_spare_key()
+        backoff = FIRST_WAIT
         while True:
-            asked = not key
+            had_no_key = not key
             reply = await self._send(
-                method, path, body, key, until, fields or {}
+                method, path, body, key, deadline, fields or {}
             )
-            if asked and self._spare:
-                key = self._take_spare()
+            if had_no_key and self._spare_key:
+                key = self._take_spare_key()
                 continue
-            if not _again(reply) or loop.time() >= until:
+            if not _should_resend(reply) or loop.time() >= deadline:
                 return reply
             if reply.outcome is exchange.Outcome.NOT_RUN:
-                key = self._take_spare()
+                key = self._take_spare_key()
             self._node = next(self._nodes)
-            await asyncio.sleep((reply.retry_after or wait).total_seconds())
-            wait *= 2
+            await asyncio.sleep((reply.retry_after or backoff).total_seconds())
+            backoff *= 2
 
     async def _send(
         self,
@@ -120,42 +123,42 @@
         path: str,
         body: bytes,
         key: str,
-        until: float,
-        given: collections.abc.Mapping[str, str],
+        deadline: float,
+        additional_headers: collections.abc.Mapping[str, str],
     ) -> Reply:
-        fields = dict(given)
+        fields = dict(additional_headers)
         if self._workspace:
             fields[headers.WORKSPACE] = self._workspace
         if key:
             fields[headers.IDEMPOTENCY_KEY] = key
         try:
             async with (
-                asyncio.timeout_at(until),
+                asyncio.timeout_at(deadline),
                 self._session.request(
                     method, self._node + path, headers=fields, data=body
                 ) as response,
             ):
-                read = await response.read()
+                content = await response.read()
         except (TimeoutError, aiohttp.ClientError):
             return NO_ANSWER
-        self._keep_spare(response.headers.get(headers.IDEMPOTENCY_KEY, ""))
-        told = response.headers.get(headers.OUTCOME)
-        outcome = exchange.Outcome(told) if told else None
-        return Reply(response.status, response.headers, read, outcome)
+        self._store_spare_key(response.headers.get(headers.IDEMPOTENCY_KEY, ""))
+        outcome_value = response.headers.get(headers.OUTCOME)
+        outcome = exchange.Outcome(outcome_value) if outcome_value else None
+        return Reply(response.status, response.headers, content, outcome)
 
-    def _keep_spare(self, key: str) -> None:
-        life = SPARE_LIFE.total_seconds()
-        self._spare = key
-        self._spare_until = asyncio.get_running_loop().time() + life
+    def _store_spare_key(self, key: str) -> None:
+        lifetime = SPARE_LIFE.total_seconds()
+        self._spare_key = key
+        self._spare_key_expiry = asyncio.get_running_loop().time() + lifetime
 
-    def _take_spare(self) -> str:
-        key, self._spare = self._spare, ""
-        fresh = asyncio.get_running_loop().time() < self._spare_until
-        return key if fresh else ""
+    def _take_spare_key(self) -> str:
+        key, self._spare_key = self._spare_key, ""
+        is_valid = asyncio.get_running_loop().time() < self._spare_key_expiry
+        return key if is_valid else ""
 
 
-def _again(reply: Reply) -> bool:
-    """Whether sending once more can tell more, or do what was not done."""
+def _should_resend(reply: Reply) -> bool:
+    """Whether another send may run the request or determine its outcome."""
     return reply is NO_ANSWER or (
         reply.outcome in (exchange.Outcome.NOT_RUN, exchange.Outcome.UNKNOWN)
         and reply.retry_after is not None
--- a/endivewind/callers/counts.py
+++ b/endivewind/callers/counts.py
@@ -1,8 +1,8 @@
-"""Counts of callers' requests, for metrics.
+"""Metrics of callers' requests: counters and a latency histogram.
 
-The OpenTelemetry SDK takes some 10 us to count one event; a request has
-several. Here they are counted in plain dictionaries, and the SDK reads those
-when it is scraped.
+The listener and the gateway record events here. The OpenTelemetry SDK takes
+about 10 us to count one event, and each request has several. So the events are
+counted in plain dictionaries, which the SDK reads when it is scraped.
 """
 
 import bisect
@@ -19,7 +19,7 @@
 ANSWERED = "answered"
 CALLER_LEFT = "caller-left"
 
-# Upper bounds in seconds; the highest bucket has none.
+# Upper bounds of the histogram's buckets; the last bucket is unbounded.
 LATENCY_BOUNDS = (
     0.001,
     0.0025,
@@ -42,12 +42,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ending:
-    """How requests ended, as one key of the counts.
+    """The labels by which completed requests are counted.
 
     Attributes:
-      service: the service; empty where no route was found.
-      outcome: answered, caller-left, or the outcome of a refusal.
-      reason: why it was refused; else empty.
+      service: the service; empty if no route was found.
+      outcome: "answered", "caller-left" or the outcome of a refusal.
+      reason: the reason of a refusal; otherwise empty.
     """
 
     service: str
@@ -57,7 +57,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Latencies:
-    """Latencies of one service: a count for each bucket, and their sum."""
+    """Latency histogram of one service.
+
+    Attributes:
+      buckets: number of requests in each bucket.
+      sum_seconds: sum of all latencies.
+    """
 
     buckets: list[int] = dataclasses.field(
         default_factory=lambda: [0] * (len(LATENCY_BOUNDS) + 1)
@@ -66,50 +71,54 @@
 
 
 class RequestCounts:
-    """Counts requests, their latencies, placings and retries."""
+    """Counts requests, attempts and retries, and records latencies."""
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
         self._in_flight = 0
-        self._ended: dict[tuple[str, str, str], int] = collections.defaultdict(
-            int
+        self._completed: dict[tuple[str, str, str], int] = (
+            collections.defaultdict(int)
         )
         self._latencies: dict[str, Latencies] = {}
-        self._placings: dict[str, int] = collections.defaultdict(int)
+        self._attempts: dict[str, int] = collections.defaultdict(int)
         self._retries: dict[str, int] = collections.defaultdict(int)
 
     @property
     def in_flight(self) -> int:
-        """Requests that have started and not ended."""
+        """Number of requests that have started but not ended."""
         return self._in_flight
 
     @property
     def placings(self) -> collections.abc.Mapping[str, int]:
-        """Attempts at a target, by service."""
-        return self._placings
+        """Number of attempts at a target, by service."""
+        return self._attempts
 
     @property
     def retries(self) -> collections.abc.Mapping[str, int]:
-        """Attempts after a request's first, by service."""
+        """Number of attempts after the first of a request, by service."""
         return self._retries
 
     @property
     def latencies(self) -> collections.abc.Mapping[str, Latencies]:
-        """Latencies by service."""
+        """Latency histograms by service."""
         return self._latencies
 
     def endings(self) -> list[tuple[Ending, int]]:
-        """Requests that have ended, by how."""
-        return [(Ending(*key), count) for key, count in self._ended.items()]
+        """Returns the number of completed requests by outcome."""
+        return [(Ending(*key), count) for key, count in self._completed.items()]
 
     def started(self) -> datetime.timedelta:
-        """Takes the start of a request; returns it for ended()."""
+        """Records the start of a request.
+
+        Returns:
+          The start time, to be passed to record_end().
+        """
         self._in_flight += 1
         return self._clock.monotonic()
 
     def placed(self, service: str, attempt: int) -> None:
-        """Takes an attempt at a target; the first has the number 1."""
-        self._placings[service] += 1
+        """Records an attempt at a target; the first has the number 1."""
+        self._attempts[service] += 1
         if attempt > 1:
             self._retries[service] += 1
 
@@ -119,9 +128,15 @@
         service: str,
         result: Result | None,
     ) -> None:
-        """Takes the end of a request; no result where the caller left."""
+        """Records the end of a request.
+
+        Args:
+          started: the start time, as returned by record_start().
+          service: the service; empty if no route was found.
+          result: the result, or None if the caller disconnected.
+        """
         self._in_flight -= 1
-        self._ended[service, *_outcome(result)] += 1
+        self._completed[service, *_outcome(result)] += 1
         seconds = (self._clock.monotonic() - started).total_seconds()
         latencies = self._latencies.get(service)
         if latencies is None:
--- a/endivewind/callers/crashes.py
+++ b/endivewind/callers/crashes.py
@@ -1,4 +1,7 @@
-"""Refuses requests that have crashed the targets that ran them."""
+"""Refuses poison requests: requests that crash the targets they run on.
+
+The gateway calls it before it places a request and after each attempt.
+"""
 
 import expression
 
@@ -12,27 +15,27 @@
 
 
 class CrashWatch:
-    """Feeds the poison decision with this entry's requests."""
+    """Passes the requests of this entry node to the poison request detector."""
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
-        self._book = poison_requests.PoisonRequestDetector()
+        self._detector = poison_requests.PoisonRequestDetector()
 
     def refusal(
         self, head: exchange.RequestHead, body: exchange.RequestBody
     ) -> exchange.Refusal | None:
-        """The refusal of a request that crashes targets; None lets it pass."""
-        if not self._book or not body.is_replayable:
+        """Returns a refusal if the request crashes targets, otherwise None."""
+        if not self._detector or not body.is_replayable:
             return None
-        left = self._book.remaining_block(
+        remaining_block = self._detector.remaining_block(
             tickets.fingerprint(head, body.buffered), self._clock.monotonic()
         )
-        if left is None:
+        if remaining_block is None:
             return None
         return exchange.not_run(
             exchange.Reason.POISON,
-            "targets that ran this request were lost with it",
-            left,
+            "targets crashed while they ran this request",
+            remaining_block,
         )
 
     def ended(
@@ -42,21 +45,31 @@
         record: records.TargetRecord,
         result: AnswerResult,
     ) -> None:
-        """Takes how a request ended at a target.
+        """Records the result of an attempt at a target.
+
+        Requests with a streamed body are ignored: the body has been consumed,
+        so there is no fingerprint, and they are not retried either.
 
-        A streamed body is gone by now, so such a request has no fingerprint;
-        it is not placed again either.
+        Args:
+          head: the request's head.
+          body: the request's body.
+          record: the target.
+          result: the target's response, or a refusal.
         """
         if not body.is_replayable:
             return
-        lost = result.is_error() and (
+        was_lost = result.is_error() and (
             result.error.reason is exchange.Reason.TARGET_LOST
         )
-        if lost:
-            mark = tickets.fingerprint(head, body.buffered)
-            # A target that came back and was lost again counts anew; one that
-            # merely keeps failing has the same start.
-            start = f"{record.id}@{record.target_incarnation}"
-            self._book.record_crash(mark, start, self._clock.monotonic())
-        elif result.is_ok() and self._book:
-            self._book.record_answer(tickets.fingerprint(head, body.buffered))
+        if was_lost:
+            fingerprint = tickets.fingerprint(head, body.buffered)
+            # A target that restarts and crashes again counts as another target,
+            # one that keeps failing without a restart does not.
+            target = f"{record.id}@{record.target_incarnation}"
+            self._detector.record_crash(
+                fingerprint, target, self._clock.monotonic()
+            )
+        elif result.is_ok() and self._detector:
+            self._detector.record_answer(
+                tickets.fingerprint(head, body.buffered)
+            )
--- a/endivewind/callers/origins.py
+++ b/endivewind/callers/origins.py
@@ -1,4 +1,8 @@
-"""Where requests come from: callers, or the target beside this node."""
+"""Tells callers' requests from calls of the target on the same VM.
+
+Used by the gateway, which counts only callers' requests for retry budgets. Both
+kinds arrive at the same address.
+"""
 
 import datetime
 from typing import Protocol
@@ -6,86 +10,97 @@
 from endivewind import clock as clocks
 from endivewind.decisions import peer_updates
 
-# How often a node tells the callers' ways that it knows: a node that starts
-# has them from its neighbours soon.
+# Interval at which a node sends its ingress routes to its neighbours, so that a
+# node that starts learns them soon.
 TELL_PERIOD = datetime.timedelta(seconds=1)
-# They fit one datagram; a deployment with more learns the rest by itself.
+# This many routes fit into one datagram. If a deployment has more, each node
+# learns the others from its own requests.
 MAX_TOLD = 16
 
 
 class Beside(Protocol):
-    """The target on this node's VM, whose calls begin at this node."""
+    """The target on this node's VM, whose calls to services enter here."""
 
     @property
     def is_working(self) -> bool:
-        """Whether it has any work, so that it may call others."""
+        """Whether it is running any request, so that it may call services."""
 
     @property
     def repeat_share(self) -> float:
-        """The part of its work that has been sent to a target before."""
+        """Share of its requests that may have been sent to a target before."""
 
 
 class Origins:
-    """Tells callers' requests from the calls of the target beside.
+    """Learns the routes by which callers' requests enter the fleet.
 
     Load: a target calls other services for each request that it runs, and
-    retries are a share of the requests of callers. Harm: counted as callers'
-    requests, the calls let a service that is mostly called have several times
-    the retries that it is promised; and the calls of work that is a repeat are
-    repeats themselves, which nobody counts.
-
-    Both arrive at the same address. But a target without work calls nobody:
-    what arrives then is a caller's, and so is what goes the same way later.
-    What goes any other way is a call of some of its work, as likely of one
-    part of it as of another. A target that is seldom idle tells little, so
-    nodes of a zone tell each other.
+    retries are limited to a share of callers' requests. Harm: if these calls
+    counted as callers' requests, a service that is mostly called by targets
+    would get several times the retries that its limit allows. In addition, the
+    calls made by a retried request are retries themselves and would not be
+    counted.
+
+    An idle target makes no calls. So a request that arrives while the target is
+    idle is a caller's, and so are later requests with the same service and
+    route prefix. All other requests are taken for calls of the target, made by
+    any of its running requests with equal probability. A target that is rarely
+    idle reveals few routes, so the nodes of a zone exchange them.
     """
 
     def __init__(
-        self, clock: clocks.Clock, beside: Beside | None = None
+        self, clock: clocks.Clock, local_target: Beside | None = None
     ) -> None:
-        """Starts with no way known to be callers'.
+        """Starts without any known routes.
 
         Args:
-          clock: its monotonic time.
-          beside: the target whose calls begin here; None where targets call
-            through nodes that others use as well.
+          clock: the clock; its monotonic time is used.
+          local_target: the target whose calls enter at this node; None if
+            targets send their calls through shared nodes. Then all requests
+            count as callers'.
         """
         self._clock = clock
-        self._beside = beside
-        self._callers: set[peer_updates.IngressRoute] = set()
-        self._told_at = clock.monotonic()
+        self._local_target = local_target
+        self._caller_routes: set[peer_updates.IngressRoute] = set()
+        self._last_update = clock.monotonic()
 
     def is_caller(self, service: str, prefix: str) -> bool:
-        """Whether a request that begins now is surely one of a caller.
+        """Whether a request that arrives now is known to be a caller's.
 
         Args:
-          service: where it goes.
-          prefix: its route's.
+          service: the service that it is routed to.
+          prefix: the path prefix of its route.
         """
-        if self._beside is None:
+        if self._local_target is None:
             return True
-        way = peer_updates.IngressRoute(service, prefix)
-        if not self._beside.is_working:
-            self._callers.add(way)
-        return way in self._callers
+        route = peer_updates.IngressRoute(service, prefix)
+        if not self._local_target.is_working:
+            self._caller_routes.add(route)
+        return route in self._caller_routes
 
     def repeat_share(self, service: str, prefix: str) -> float:
-        """How likely a request that begins now is a call of a repeat."""
-        if self._beside is None:
+        """Returns the probability that a request is a retried request's call.
+
+        Args:
+          service: the service that it is routed to.
+          prefix: the path prefix of its route.
+        """
+        if self._local_target is None:
             return 0.0
-        if peer_updates.IngressRoute(service, prefix) in self._callers:
+        if peer_updates.IngressRoute(service, prefix) in self._caller_routes:
             return 0.0
-        return self._beside.repeat_share
+        return self._local_target.repeat_share
 
-    def hear(self, way: peer_updates.IngressRoute) -> None:
-        """Takes a way that a neighbour knows to be callers'."""
-        self._callers.add(way)
+    def hear(self, route: peer_updates.IngressRoute) -> None:
+        """Adds an ingress route that a neighbour has sent."""
+        self._caller_routes.add(route)
 
     def due(self) -> tuple[peer_updates.IngressRoute, ...]:
-        """Ways to tell the neighbours now; call it often."""
+        """Returns the routes to send to the neighbours now.
+
+        The caller polls this several times a second.
+        """
         now = self._clock.monotonic()
-        if self._beside is None or now - self._told_at < TELL_PERIOD:
+        if self._local_target is None or now - self._last_update < TELL_PERIOD:
             return ()
-        self._told_at = now
-        return tuple(sorted(self._callers)[:MAX_TOLD])
+        self._last_update = now
+        return tuple(sorted(self._caller_routes)[:MAX_TOLD])
--- a/endivewind/callers/ticketing.py
+++ b/endivewind/callers/ticketing.py
@@ -1,4 +1,9 @@
-"""Runs work that must not repeat: between the listener and the gateway."""
+"""Handles requests with tickets, each of which runs at most once.
+
+The listener passes requests with an idempotency key on to the ticket handler,
+which forwards them to the issuer of the ticket. The issuer runs the request
+through the gateway and answers resends of it from its ticket store.
+"""
 
 import asyncio
 import dataclasses
@@ -26,21 +31,21 @@
 
 @dataclasses.dataclass(slots=True)
 class _Execution:
-    """One run of a ticket, shared by the sends that wait for it.
+    """The execution of a ticket's request, shared by the sends that wait.
 
     Attributes:
-      finished: its result, once its record is finished.
-      stream: an answer too large to keep; the first send to take it gets it.
-      waiting: sends that wait for the result.
+      finished: the result, set once the record is finished.
+      stream: a response too large to keep; only the first waiting send gets it.
+      waiter_count: number of sends that wait for the result.
     """
 
     finished: asyncio.Future[AnswerResult]
     stream: exchange.Response | None = None
-    waiting: int = 0
+    waiter_count: int = 0
 
-    async def discard_unwanted(self) -> None:
-        """Closes the stream if no send is left that could take it."""
-        if self.waiting or self.stream is None:
+    async def discard_unclaimed_stream(self) -> None:
+        """Closes the stream if no send is waiting for it."""
+        if self.waiter_count or self.stream is None:
             return
         stream, self.stream = self.stream, None
         if stream.stream is not None:
@@ -48,21 +53,21 @@
 
 
 class Ticketing:
-    """Issues tickets, finds their issuer and runs each ticket once."""
+    """Issues tickets, forwards sends to their issuer, runs each ticket once."""
 
     def __init__(
         self,
         issuer: tickets.Issuer,
-        book: ticket_book.TicketBook,
-        served: gateway.Gateway,
+        store: ticket_book.TicketBook,
+        request_gateway: gateway.Gateway,
         fleet: view.FleetView,
         pool: links.LinkPool,
         clock: clocks.Clock,
         kept_answer_bytes: int,
     ) -> None:
         self._issuer = issuer
-        self._book = book
-        self._gateway = served
+        self._store = store
+        self._gateway = request_gateway
         self._fleet = fleet
         self._pool = pool
         self._clock = clock
@@ -72,30 +77,30 @@
 
     @property
     def running(self) -> int:
-        """Tickets whose work runs now."""
+        """Number of tickets whose requests are running."""
         return len(self._tasks)
 
     def issue(self, workspace: str) -> str:
-        """A new ticket for a workspace, as its header value."""
+        """Returns a new ticket for a workspace, as a header value."""
         return self._issuer.issue(workspace, self._clock.monotonic()).text
 
     def abandon(self) -> None:
-        """Cancels all runs, as the end of the process would."""
+        """Cancels all executions, as the end of the process would."""
         for task in self._tasks:
             task.cancel()
 
     def close(self) -> None:
-        """Starts no work under a ticket any more."""
-        self._book.close()
+        """Refuses new tickets from now on."""
+        self._store.close()
 
     async def drained(self) -> None:
-        """Waits until no work under a ticket runs."""
+        """Waits until no request with a ticket is running."""
         while self._tasks:
             await asyncio.wait(self._tasks)
 
     def kept_for(self) -> datetime.timedelta:
-        """How long a resend may still be answered from here."""
-        return self._book.kept_for(self._clock.monotonic())
+        """Returns how long resends may still be answered from the store."""
+        return self._store.kept_for(self._clock.monotonic())
 
     async def serve(
         self,
@@ -103,16 +108,17 @@
         head: exchange.RequestHead,
         body: exchange.RequestBody,
     ) -> AnswerResult:
-        """Passes a send to the issuer of its ticket, which may be this node."""
+        """Forwards a send to the issuer of its ticket, or handles it here."""
         ticket = tickets.parse(head.ticket)
         if ticket is None:
             return _error(
                 exchange.not_run(
                     exchange.Reason.TICKET_INVALID,
-                    "send the Idempotency-Key of a 428 answer",
+                    "send the Idempotency-Key of a 428 response",
                 )
             )
-        # One spelling of each ticket from here on, the home's record included.
+        # From here on the ticket is in canonical form, so that the home's
+        # record of attempts has one entry for it.
         head = dataclasses.replace(head, ticket=ticket.text)
         if ticket.node == self._issuer.node:
             return await self.execute(
@@ -120,9 +126,9 @@
             )
         issuer = self._fleet.nodes.get(ticket.node)
         if issuer is None:
-            return _issuer_lost("the key's node is not known", ISSUER_RETRY)
+            return _issuer_lost_error("the key's node is unknown", ISSUER_RETRY)
         if issuer.incarnation > ticket.incarnation:
-            return _issuer_lost("the key's node was restarted", None)
+            return _issuer_lost_error("the key's node was restarted", None)
         return await self._pool.forward_to_issuer(
             issuer, ticket.incarnation, head, body, route.priority.value
         )
@@ -134,37 +140,45 @@
         priority: objects.Priority,
         incarnation: int,
     ) -> AnswerResult:
-        """Runs a send of a ticket of this node, joins it or answers it again.
-
-        The work runs in a task of its own: a caller that leaves does not
-        cancel it, so that the resend gets its answer.
+        """Starts the request of this node's ticket, or returns its result.
+
+        A send that does not start the request waits for the running one or gets
+        the recorded result. The request runs in a task of its own, so that a
+        caller that disconnects does not cancel it and can resend to get the
+        response.
+
+        Args:
+          head: the request's head, including the ticket.
+          body: the request's body.
+          priority: the priority of the request's route.
+          incarnation: the incarnation that the sender expects of this node.
         """
         ticket = tickets.parse(head.ticket)
         if ticket is None or incarnation != self._issuer.incarnation:
-            return _issuer_lost("the key's node was restarted", None)
+            return _issuer_lost_error("the key's node was restarted", None)
         if not self._issuer.verify(ticket, head.workspace):
-            # It may be another workspace's ticket, under which work ran.
+            # A request may have run if this is another workspace's ticket.
             return _error(
                 exchange.outcome_unknown(
                     exchange.Reason.TICKET_INVALID,
                     "the key was not issued to this workspace",
                 )
             )
-        mark = tickets.fingerprint(head, body.buffered)
-        claimed = self._book.claim(ticket, mark, self._clock.monotonic())
-        match claimed:
+        fingerprint = tickets.fingerprint(head, body.buffered)
+        claim = self._store.claim(ticket, fingerprint, self._clock.monotonic())
+        match claim:
             case expression.Result(
                 tag="ok", ok=ticket_book.Step.START | ticket_book.Step.JOIN
             ):
-                if claimed.ok is ticket_book.Step.START:
-                    self._start(ticket, head, body, priority)
-                return await self._join(ticket, head)
+                if claim.ok is ticket_book.Step.START:
+                    self._start_execution(ticket, head, body, priority)
+                return await self._wait_for_result(ticket, head)
             case expression.Result(tag="ok", ok=exchange.Response() as kept):
                 return expression.Ok(kept)
             case _:
-                return _error(claimed.error)
+                return _error(claim.error)
 
-    def _start(
+    def _start_execution(
         self,
         ticket: tickets.Ticket,
         head: exchange.RequestHead,
@@ -179,12 +193,12 @@
             repeat=objects.Repeat.NEVER,
             priority=priority,
         )
-        work = self._run(execution, ticket, route, head, body)
-        task = asyncio.create_task(work)
+        coroutine = self._execute_once(execution, ticket, route, head, body)
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _run(
+    async def _execute_once(
         self,
         execution: _Execution,
         ticket: tickets.Ticket,
@@ -194,36 +208,36 @@
     ) -> None:
         result = _error(
             exchange.outcome_unknown(
-                exchange.Reason.TARGET_LOST, "the run was broken"
+                exchange.Reason.TARGET_LOST, "the execution was interrupted"
             )
         )
         try:
-            served = await self._gateway.serve(route, head, body)
-            result = await self._collect(served)
+            unbuffered = await self._gateway.serve(route, head, body)
+            result = await self._buffer_response(unbuffered)
         except Exception:
-            log.exception("work under a ticket failed")
+            log.exception("executing a request with a ticket failed")
         finally:
             if result.is_ok() and result.ok.stream is not None:
                 execution.stream = result.ok
                 result = _error(ticket_book.NOT_KEPT)
-            self._book.finish(ticket, result)
+            self._store.finish(ticket, result)
             execution.finished.set_result(result)
             del self._executions[ticket.text]
-            await execution.discard_unwanted()
+            await execution.discard_unclaimed_stream()
 
-    async def _collect(self, result: AnswerResult) -> AnswerResult:
-        """Reads a streamed answer to its end, if it is small enough to keep."""
+    async def _buffer_response(self, result: AnswerResult) -> AnswerResult:
+        """Reads a streamed response completely if it is small enough to keep."""
         if result.is_error() or result.ok.stream is None:
             return result
-        answer = result.ok
-        rest = result.ok.stream
-        held = bytearray(answer.body)
+        response = result.ok
+        remaining_stream = result.ok.stream
+        received = bytearray(response.body)
         try:
-            async for data in rest:
-                held += data
-                if len(held) > self._kept_answer_bytes:
-                    answer.body = bytes(held)
-                    return expression.Ok(answer)
+            async for data in remaining_stream:
+                received += data
+                if len(received) > self._kept_answer_bytes:
+                    response.body = bytes(received)
+                    return expression.Ok(response)
         except exchange.TruncatedResponseError as error:
             return _error(
                 exchange.outcome_unknown(
@@ -231,14 +245,16 @@
                 )
             )
         return expression.Ok(
-            exchange.Response(answer.status, answer.headers, bytes(held))
+            exchange.Response(
+                response.status, response.headers, bytes(received)
+            )
         )
 
-    async def _join(
+    async def _wait_for_result(
         self, ticket: tickets.Ticket, head: exchange.RequestHead
     ) -> AnswerResult:
         execution = self._executions[ticket.text]
-        execution.waiting += 1
+        execution.waiter_count += 1
         try:
             async with asyncio.timeout(head.remaining.total_seconds()):
                 result = await asyncio.shield(execution.finished)
@@ -248,27 +264,28 @@
             return _error(
                 exchange.outcome_unknown(
                     exchange.Reason.DEADLINE,
-                    "still running; send the same key again",
+                    "still running; resend with the same key",
                     JOIN_RETRY,
                 )
             )
         finally:
-            execution.waiting -= 1
-            await execution.discard_unwanted()
+            execution.waiter_count -= 1
+            await execution.discard_unclaimed_stream()
 
 
 def unconfirmed(refusal: exchange.Refusal) -> exchange.Refusal:
-    """A refusal of a send with a ticket by one who is not its issuer.
+    """Returns the refusal with the outcome "unknown" instead of "not run".
 
-    The entry knows that this send did not run, but not whether an earlier
-    one with the same ticket did; only the issuer may say "not run".
+    For refusals of a send with a ticket by a node that is not its issuer. The
+    entry node knows that this send did not run, but not whether an earlier
+    send with the same ticket did; only the issuer may say "not run".
     """
     if refusal.outcome is not exchange.Outcome.NOT_RUN:
         return refusal
     return dataclasses.replace(refusal, outcome=exchange.Outcome.UNKNOWN)
 
 
-def _issuer_lost(
+def _issuer_lost_error(
     detail: str, retry_after: datetime.timedelta | None
 ) -> AnswerResult:
     return _error(
--- a/endivewind/callers/workspaces.py
+++ b/endivewind/callers/workspaces.py
@@ -1,82 +1,98 @@
-"""The workspaces in force, and whose key a caller shows."""
+"""Workspaces of the current configuration, and authentication by API key.
+
+The gateway looks up workspaces and quotas here, and authorization.py the
+workspace that a caller's key belongs to.
+"""
 
 from endivewind.config import caller_keys
 from endivewind.config import objects
 from endivewind.config import store
 from endivewind.decisions import quotas
 
-# The one scheme of RFC 6750 by which callers send their key.
+# Callers send their key as a bearer token in the Authorization header (RFC
+# 6750). No other scheme is supported.
 SCHEME = "bearer"
 
 
 class Workspaces:
-    """Finds a workspace by its name or by a key that it holds."""
+    """Finds workspaces by name or by API key."""
 
     def __init__(self, configuration: store.ConfigurationStore) -> None:
         self._configuration = configuration
         self._workspaces: dict[str, objects.Workspace] = {}
-        self._holders: dict[str, str] = {}
-        self._has_keys = False
+        self._workspace_by_digest: dict[str, str] = {}
+        self._requires_keys = False
         self._sources: dict[store.Key, objects.Workspaces] = {}
 
     @property
     def have_keys(self) -> bool:
-        """Whether callers are told apart by keys.
+        """Whether callers are authenticated by keys.
 
-        Where the last key was taken away nobody may get in without one.
+        This remains true after the last key is revoked; otherwise anyone could
+        send requests without a key from then on.
         """
-        return self._has_keys
+        return self._requires_keys
 
     def get(self, name: str) -> objects.Workspace | None:
-        """A workspace in force."""
+        """Returns a workspace of the current configuration, or None."""
         return self._workspaces.get(name)
 
     def quota(self, name: str) -> quotas.Quota | None:
-        """What a workspace may send; None where it has no limit."""
-        found = self._workspaces.get(name)
-        if found is None or not found.rate:
+        """Returns a workspace's quota; None if it is unlimited."""
+        config = self._workspaces.get(name)
+        if config is None or not config.rate:
             return None
-        return quotas.Quota(found.rate, found.burst)
+        return quotas.Quota(config.rate, config.burst)
 
     def named(self) -> list[str]:
-        """The names of all workspaces in force."""
+        """Returns the names of all workspaces."""
         return list(self._workspaces)
 
     def holder(self, authorization: str) -> str:
-        """The workspace that holds the key of an Authorization header.
+        """Returns the workspace that a caller's API key belongs to.
+
+        Args:
+          authorization: the value of the Authorization header.
 
         Returns:
-          Its name; empty where the header is missing, malformed, or has a key
-          that no workspace holds.
+          The workspace's name; empty if the header is missing or malformed, or
+          if the key is unknown.
         """
         scheme, _, key = authorization.strip().partition(" ")
         if scheme.lower() != SCHEME:
             return ""
-        return self._holders.get(caller_keys.digest(key.strip()), "")
+        return self._workspace_by_digest.get(
+            caller_keys.digest(key.strip()), ""
+        )
 
     def configure(self, kind: str, name: str) -> None:
-        """Takes the workspaces of one object that has come into force."""
+        """Applies the workspaces and keys of a changed configuration object.
+
+        Args:
+          kind: the object's kind; objects without workspaces are ignored.
+          name: the object's name.
+        """
         source = store.Key(kind, name)
-        found: objects.Workspaces | None = None
+        config: objects.Workspaces | None = None
         if kind == store.WORKSPACE_SHARD:
-            found = self._configuration.workspace_shard(name)
+            config = self._configuration.workspace_shard(name)
         elif kind == store.DOCUMENT:
-            found = self._configuration.document(name)
+            config = self._configuration.document(name)
         else:
             return
-        before = self._sources.pop(source, None)
-        if before is not None:
-            self._forget(before)
-        if found is not None:
-            self._sources[source] = found
-            self._workspaces.update(found.workspaces)
-            self._holders.update(found.keys)
-        self._has_keys = bool(self._holders) or any(
+        previous = self._sources.pop(source, None)
+        if previous is not None:
+            self._remove(previous)
+        if config is not None:
+            self._sources[source] = config
+            self._workspaces.update(config.workspaces)
+            self._workspace_by_digest.update(config.keys)
+        self._requires_keys = bool(self._workspace_by_digest) or any(
             item.keyed for item in self._sources.values()
         )
 
-    def _forget(self, source: objects.Workspaces) -> None:
+    def _remove(self, source: objects.Workspaces) -> None:
         for name in source.workspaces:
             self._workspaces.pop(name, None)
         for digest in source.keys:
-            self._holders.pop(digest, None)
+            self._workspace_by_digest.pop(digest, None)
--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -44,7 +44,7 @@
     Mutant(
         "a key that was taken away is still known",
         "callers/workspaces.py",
-        "            self._holders.pop(digest, None)\n",
+        "            self._workspace_by_digest.pop(digest, None)\n",
         "            pass\n",
         "callers.workspaces_tests",
     ),
@@ -58,7 +58,7 @@
     Mutant(
         "keyed work is served without a proof",
         "callers/authorization.py",
-        "    if doubts.is_proved():\n",
+        "    if status.is_proved():\n",
         "    if True:\n",
         "callers.workspaces_tests",
     ),
@@ -190,7 +190,7 @@
     Mutant(
         "a ticket that was told not-run starts later",
         "callers/ticket_book.py",
-        "            self._barrier = now\n",
+        "            self._refused_until = now\n",
         "",
         _TICKETS,
     ),
