--- a/endivewind/callers/ticketing.py
+++ b/endivewind/callers/ticketing.py
@@ -226,7 +226,7 @@
             await execution.discard_unclaimed_stream()
 
     async def _buffer_response(self, result: AnswerResult) -> AnswerResult:
-        """Reads a streamed response completely if it is small enough to keep."""
+        """Reads a streamed response to its end if it is small enough."""
         if result.is_error() or result.ok.stream is None:
             return result
         response = result.ok
--- a/endivewind/tests/callers/budgets_tests.py
+++ b/endivewind/tests/callers/budgets_tests.py
@@ -1,9 +1,9 @@
-"""The fleet's bound on retries, over nodes that come, go and forget.
+"""Tests of the fleet's limit on retries while nodes restart.
 
-The pattern: most of a service fails for many seconds, every failure asks for
-a retry, and repeats call the service again from where they run. Nodes are
-killed, start again and know nothing of before; what they tell each other is
-late and partly lost.
+The load: most requests to a service fail for many seconds, each failure is to
+be retried, and retried requests call the service again from the node where
+they run. Nodes are killed and restart without their counts, and the messages
+between them are delayed or lost.
 """
 
 import datetime
@@ -22,25 +22,25 @@
 from endivewind.nodes import view
 
 SERVICE = "riders"
-TICK = datetime.timedelta(milliseconds=250)
+TICK_INTERVAL = datetime.timedelta(milliseconds=250)
 WINDOW_TICKS = 40
-SHARE = 0.2
-RESERVE_OF_A_NODE = 2.0
-SECONDS = 40
+RETRY_SHARE = 0.2
+RESERVE_PER_NODE = 2.0
+SIMULATED_SECONDS = 40
 
 
 class _Node:
-    """One entry; what it knows of the fleet is in its view."""
+    """An entry node with its own view of the fleet."""
 
     def __init__(self, number, fleet):
         self.number = number
         self.incarnation = 0
-        self.down = 0
+        self.ticks_down = 0
         self._fleet = fleet
         self.start()
 
     def start(self):
-        """Starts anew: what it has counted is forgotten."""
+        """Starts or restarts the node, without any counts."""
         self.incarnation += 1
         self.view = view.FleetView()
         self.budgets = budgets.RetryBudgets(
@@ -50,11 +50,11 @@
             self._fleet.clock,
         )
 
-    def know(self, nodes):
-        """Learns which nodes live."""
+    def update_view(self, nodes):
+        """Updates the view: nodes that are down are removed from it."""
         for node in nodes:
             name = f"n{node.number}"
-            if node.down:
+            if node.ticks_down:
                 self.view.remove_node(name)
             else:
                 record = view.NodeRecord(name, node.incarnation, "", "r", "z")
@@ -62,16 +62,15 @@
 
 
 class _Fleet:
-    """Nodes under a storm of failures; counts what reaches the service."""
+    """Simulates nodes whose requests fail; counts requests and retries."""
 
-    def __init__(self, number, rng):
+    def __init__(self, node_count, rng):
         self.clock = clocks.ManualClock()
-        # The fleet has run for a while; only later starts are new.
         self.rng = rng
         limits = settings.FleetLimits(
-            retry_share=SHARE,
-            retry_reserve=RESERVE_OF_A_NODE * number,
-            retry_window_seconds=WINDOW_TICKS * TICK.total_seconds(),
+            retry_share=RETRY_SHARE,
+            retry_reserve=RESERVE_PER_NODE * node_count,
+            retry_window_seconds=WINDOW_TICKS * TICK_INTERVAL.total_seconds(),
             floor_share=0.7,
         )
         service = limits.applied_to(settings.objects.Service())
@@ -80,83 +79,92 @@
         self.configuration.apply(
             store.SERVICE, SERVICE, 1, {"spec": spec, "operation": "o"}
         )
-        self.nodes = [_Node(index, self) for index in range(number)]
-        self.clock.advance(WINDOW_TICKS * TICK)
-        self.asked = []
-        self.repeated = []
-        self._late = []
-
-    def play(self, kills):
-        """Plays the storm; kills are (tick, node) pairs."""
-        for tick in range(int(SECONDS / TICK.total_seconds())):
-            self.clock.advance(TICK)
-            self.asked.append(0)
-            self.repeated.append(0)
+        self.nodes = [_Node(index, self) for index in range(node_count)]
+        # Only nodes that restart later begin with a part of their reserve.
+        self.clock.advance(WINDOW_TICKS * TICK_INTERVAL)
+        self.request_counts = []
+        self.retry_counts = []
+        self._in_transit = []
+
+    def simulate(self, kills):
+        """Runs the simulation; kills are (tick, node) pairs."""
+        for tick in range(
+            int(SIMULATED_SECONDS / TICK_INTERVAL.total_seconds())
+        ):
+            self.clock.advance(TICK_INTERVAL)
+            self.request_counts.append(0)
+            self.retry_counts.append(0)
             self._kill([node for at, node in kills if at == tick])
             for node in self.nodes:
-                node.know(self.nodes)
-            self._hear()
+                node.update_view(self.nodes)
+            self._deliver_usages()
             for node in self.nodes:
-                if not node.down:
+                if not node.ticks_down:
                     self._serve(node)
-                    self._tell(node)
+                    self._send_usages(node)
 
     def _kill(self, numbers):
         for node in self.nodes:
-            if node.down:
-                node.down -= 1
-                if not node.down:
+            if node.ticks_down:
+                node.ticks_down -= 1
+                if not node.ticks_down:
                     node.start()
             elif node.number in numbers:
-                node.down = 8
+                node.ticks_down = 8
 
     def _serve(self, node):
         now = self.clock.monotonic()
         budget = node.budgets.of(SERVICE)
         for _ in range(self.rng.choice((0, 0, 1, 1, 2))):
             budget.record_request(now)
-            self.asked[-1] += 1
+            self.request_counts[-1] += 1
             if not budget.take(now, may_borrow=True):
                 continue
-            self.repeated[-1] += 1
+            self.retry_counts[-1] += 1
             if self.rng.random() < 0.2:
-                # The repeat calls the service from the node where it runs.
+                # The retried request calls the service from the node where it runs.
                 self._call(self.rng.choice(self.nodes), now)
 
     def _call(self, node, now):
-        self.repeated[-1] += 1
-        if not node.down:
+        self.retry_counts[-1] += 1
+        if not node.ticks_down:
             node.budgets.of(SERVICE).charge(now)
 
-    def _tell(self, node):
-        for tally in node.budgets.due():
-            late = self.rng.choice((0, 1))
-            self._late.append((late, node.number, tally))
+    def _send_usages(self, node):
+        for usage in node.budgets.due():
+            delay = self.rng.choice((0, 1))
+            self._in_transit.append((delay, node.number, usage))
 
-    def _hear(self):
-        waiting, self._late = self._late, []
-        for late, sender, tally in waiting:
-            if late:
-                self._late.append((late - 1, sender, tally))
+    def _deliver_usages(self):
+        waiting, self._in_transit = self._in_transit, []
+        for delay, sender, usage in waiting:
+            if delay:
+                self._in_transit.append((delay - 1, sender, usage))
                 continue
             for node in self.nodes:
                 lost = self.rng.random() < 0.05
-                if node.number != sender and not node.down and not lost:
-                    node.budgets.hear(f"n{sender}", tally)
+                if node.number != sender and not node.ticks_down and not lost:
+                    node.budgets.hear(f"n{sender}", usage)
 
-    def worst(self):
-        """The most that any window has above its bound; negative if none."""
-        found = []
-        for end in range(WINDOW_TICKS, len(self.asked) + 1):
+    def max_excess(self):
+        """Returns the maximum excess over the bound in any window.
+
+        It is negative if all windows are within the bound.
+        """
+        excesses = []
+        for end in range(WINDOW_TICKS, len(self.request_counts) + 1):
             start = end - WINDOW_TICKS
-            used = sum(self.repeated[start:end])
-            earlier = (0, WINDOW_TICKS // 2, WINDOW_TICKS)
-            asked = max(
-                sum(self.asked[max(0, start - by) : end - by]) for by in earlier
+            retried = sum(self.retry_counts[start:end])
+            offsets = (0, WINDOW_TICKS // 2, WINDOW_TICKS)
+            request_count = max(
+                sum(self.request_counts[max(0, start - offset) : end - offset])
+                for offset in offsets
             )
-            bound = SHARE * asked + RESERVE_OF_A_NODE * len(self.nodes)
-            found.append(used - bound)
-        return max(found)
+            bound = RETRY_SHARE * request_count + RESERVE_PER_NODE * len(
+                self.nodes
+            )
+            excesses.append(retried - bound)
+        return max(excesses)
 
 
 class FleetBoundTest(unittest.TestCase):
@@ -171,21 +179,23 @@
             max_size=20,
         ),
     )
-    def test_every_window_keeps_the_fleets_bound(self, number, seed, kills):
-        """A service that fails gets no more than it was promised.
+    def test_retries_stay_within_limit_of_fleet(self, node_count, seed, kills):
+        """Guards against retries beyond the limit while a service fails.
 
-        A node that starts again has forgotten what it has spent; with nodes
-        gone the others' parts would grow; the same retry may be lent twice
-        while a message is on its way; calls of repeats come unasked.
+        Possible causes: a restarted node has lost its counts; the shares of the
+        other nodes grow when nodes leave; two nodes borrow the same retry while
+        a message is in transit; calls made by retries can't be refused.
         """
-        fleet = _Fleet(number, random.Random(seed))
-        fleet.play(kills)
+        fleet = _Fleet(node_count, random.Random(seed))
+        fleet.simulate(kills)
 
-        self.assertLessEqual(fleet.worst(), 0)
-        # The bound is made use of, or nothing would be retried.
-        self.assertGreater(sum(fleet.repeated), 0.1 * sum(fleet.asked))
+        self.assertLessEqual(fleet.max_excess(), 0)
+        # A budget that allows no retries at all would pass the check above.
+        self.assertGreater(
+            sum(fleet.retry_counts), 0.1 * sum(fleet.request_counts)
+        )
 
-    def test_calls_that_are_likely_repeats_are_charged_by_likelihood(self):
+    def test_probable_retries_are_charged_by_probability(self):
         fleet = _Fleet(3, random.Random(1))
         first = fleet.nodes[0]
         for _ in range(10):
@@ -194,33 +204,33 @@
         count = first.budgets.of(SERVICE).counts(fleet.clock.monotonic())
         self.assertEqual(2, count.retries)
 
-    def test_the_loss_of_half_the_fleet_gives_the_rest_no_more(self):
-        """What those that are gone have used still counts in the window."""
+    def test_loss_of_half_the_fleet_does_not_raise_limits(self):
+        """Guards against larger shares while the lost nodes' retries count."""
         fleet = _Fleet(20, random.Random(7))
-        fleet.play([(60, number) for number in range(10)])
+        fleet.simulate([(60, number) for number in range(10)])
 
-        self.assertLessEqual(fleet.worst(), 0)
+        self.assertLessEqual(fleet.max_excess(), 0)
 
-    def test_a_neighbours_new_start_does_not_hide_what_it_has_used(self):
+    def test_usage_of_restarted_neighbour_still_counts(self):
         fleet = _Fleet(2, random.Random(1))
         first, second = fleet.nodes
-        first.know(fleet.nodes)
+        first.update_view(fleet.nodes)
         budget = first.budgets.of(SERVICE)
-        first.budgets.hear("n1", _tally(10, 6))
+        first.budgets.hear("n1", _make_usage(10, 6))
         before = budget.spent_share(fleet.clock.monotonic())
         second.start()
-        first.know(fleet.nodes)
+        first.update_view(fleet.nodes)
 
-        first.budgets.hear("n1", _tally(0, 0))
+        first.budgets.hear("n1", _make_usage(0, 0))
 
         self.assertGreaterEqual(
             budget.spent_share(fleet.clock.monotonic()), before
         )
 
 
-def _tally(requests, repeats):
+def _make_usage(request_count, retry_count):
     return peer_updates.RetryUsage(
-        SERVICE, budgets.retries.RequestCounts(requests, repeats)
+        SERVICE, budgets.retries.RequestCounts(request_count, retry_count)
     )
 
 
--- a/endivewind/tests/callers/tickets_tests.py
+++ b/endivewind/tests/callers/tickets_tests.py
@@ -1,4 +1,4 @@
-"""Tests of tickets and of the issuer's book."""
+"""Tests of tickets and of the issuer's ticket store."""
 
 import datetime
 import itertools
@@ -16,7 +16,7 @@
 
 
 def issuer(secret: bytes = b"s" * 32, incarnation: int = 7) -> tickets.Issuer:
-    """An issuer whose nonces count up."""
+    """Returns an issuer with predictable nonces."""
     numbers = itertools.count()
     return tickets.Issuer(
         "node-a", incarnation, secret, lambda: f"n{next(numbers)}"
@@ -24,7 +24,7 @@
 
 
 def head(**changes) -> exchange.RequestHead:
-    """A head of a payout."""
+    """Returns the head of a request for a payout."""
     fields = {
         "request_id": "r",
         "method": "POST",
@@ -38,31 +38,31 @@
 
 
 class TicketTest(unittest.TestCase):
-    """Only what this incarnation issued to this workspace is valid."""
+    """A ticket is valid for its issuer's incarnation and workspace only."""
 
-    def test_text_survives_the_header(self):
+    def test_text_is_parsed_from_header_value(self):
         ticket = issuer().issue("boat-1", NOW)
 
         self.assertEqual(ticket, tickets.parse(ticket.text))
         self.assertEqual(ticket, tickets.parse(f' "{ticket.text}" '))
 
-    def test_ticket_is_bound_to_its_workspace(self):
+    def test_ticket_is_valid_for_its_workspace_only(self):
         ticket = issuer().issue("boat-1", NOW)
 
         self.assertTrue(issuer().verify(ticket, "boat-1"))
         self.assertFalse(issuer().verify(ticket, "boat-2"))
 
-    def test_forged_and_foreign_tickets_are_refused(self):
+    def test_tickets_of_other_issuers_are_invalid(self):
         ticket = issuer().issue("boat-1", NOW)
 
         for name, other in {
             "another secret": issuer(b"t" * 32),
-            "a later start": issuer(incarnation=8),
+            "a later incarnation": issuer(incarnation=8),
         }.items():
             with self.subTest(name):
                 self.assertFalse(other.verify(ticket, "boat-1"))
 
-    def test_every_changed_character_is_noticed(self):
+    def test_ticket_with_any_changed_character_is_invalid(self):
         text = issuer().issue("boat-1", NOW).text
 
         for index, old in enumerate(text):
@@ -72,13 +72,13 @@
             with self.subTest(index=index, old=old):
                 self.assertFalse(valid)
 
-    def test_what_is_no_ticket_is_not_parsed(self):
+    def test_malformed_tickets_are_not_parsed(self):
         for text in ("", "a", "my-own-key", "x" * 5000, "a:1:2:3:é", ":::::"):
             with self.subTest(text[:20]):
                 self.assertIsNone(tickets.parse(text))
 
-    def test_fingerprint_tells_requests_apart(self):
-        marks = {
+    def test_fingerprint_depends_on_request(self):
+        fingerprints = {
             tickets.fingerprint(head(), b"1"),
             tickets.fingerprint(head(), b"2"),
             tickets.fingerprint(head(method="PUT"), b"1"),
@@ -87,7 +87,7 @@
             tickets.fingerprint(head(service="ledger-2"), b"1"),
         }
 
-        self.assertEqual(6, len(marks))
+        self.assertEqual(6, len(fingerprints))
 
     def test_fingerprint_ignores_headers(self):
         first = tickets.fingerprint(head(), b"1")
@@ -96,108 +96,116 @@
         self.assertEqual(first, second)
 
 
-class TicketBookTest(unittest.TestCase):
-    """One start for each ticket, and its end for every later send."""
+class TicketStoreTest(unittest.TestCase):
+    """A ticket starts once, and later sends get its result."""
 
     def setUp(self):
         self.issuer = issuer()
-        self.book = ticket_book.TicketBook()
+        self.store = ticket_book.TicketBook()
         self.ticket = self.issuer.issue("boat-1", NOW)
 
-    def claim(self, after=SECOND, mark=b"m", ticket=None):
-        return self.book.claim(ticket or self.ticket, mark, NOW + after)
+    def claim(self, after=SECOND, fingerprint=b"m", ticket=None):
+        return self.store.claim(ticket or self.ticket, fingerprint, NOW + after)
 
-    def test_first_send_starts_and_the_next_joins(self):
+    def test_first_send_starts_and_next_joins(self):
         self.assertEqual(ticket_book.Step.START, self.claim().ok)
         self.assertEqual(ticket_book.Step.JOIN, self.claim().ok)
 
-    def test_finished_ticket_gives_the_kept_answer(self):
+    def test_finished_ticket_returns_kept_response(self):
         answer = exchange.Response(201, (), b"paid")
         self.claim()
-        self.book.finish(self.ticket, expression.Ok(answer))
+        self.store.finish(self.ticket, expression.Ok(answer))
 
         self.assertEqual(answer, self.claim().ok)
 
     def test_not_run_is_final(self):
-        """The caller was told "not run" and pays again under a new key.
+        """Guards against a doubled payout.
 
-        A late copy of the first send comes in after that. Were it to start,
-        the payout would be doubled and the answer made false.
+        The caller got "not run" and resends the payout with a new key. Then a
+        delayed copy of the first send arrives and must not start.
         """
         refusal = exchange.not_run(exchange.Reason.NO_TARGET)
         self.claim()
-        self.book.finish(self.ticket, expression.Error(refusal))
+        self.store.finish(self.ticket, expression.Error(refusal))
 
         self.assertEqual(refusal, self.claim().error)
 
     def test_unknown_is_final(self):
         refusal = exchange.outcome_unknown(exchange.Reason.TARGET_LOST)
         self.claim()
-        self.book.finish(self.ticket, expression.Error(refusal))
-        self.book.finish(self.ticket, expression.Ok(exchange.Response(200, ())))
+        self.store.finish(self.ticket, expression.Error(refusal))
+        self.store.finish(
+            self.ticket, expression.Ok(exchange.Response(200, ()))
+        )
 
         self.assertEqual(refusal, self.claim().error)
 
-    def test_another_request_is_refused_with_the_tickets_outcome(self):
+    def test_other_request_is_refused_with_outcome_of_ticket(self):
         self.claim()
-        running = self.claim(mark=b"other").error
-        self.book.finish(self.ticket, expression.Ok(exchange.Response(200, ())))
-        finished = self.claim(mark=b"other").error
+        running = self.claim(fingerprint=b"other").error
+        self.store.finish(
+            self.ticket, expression.Ok(exchange.Response(200, ()))
+        )
+        finished = self.claim(fingerprint=b"other").error
 
         self.assertEqual(exchange.Reason.TICKET_REUSED, running.reason)
         self.assertEqual(exchange.Outcome.UNKNOWN, running.outcome)
         self.assertEqual(exchange.Outcome.RAN, finished.outcome)
 
-    def test_unused_ticket_is_told_not_run_and_never_starts(self):
-        late = self.claim(after=ticket_book.FIRST_USE).error
+    def test_ticket_unused_for_too_long_does_not_start(self):
+        result = self.claim(after=ticket_book.FIRST_USE).error
 
-        self.assertEqual(exchange.Reason.TICKET_EXPIRED, late.reason)
-        self.assertEqual(exchange.Outcome.NOT_RUN, late.outcome)
+        self.assertEqual(exchange.Reason.TICKET_EXPIRED, result.reason)
+        self.assertEqual(exchange.Outcome.NOT_RUN, result.outcome)
 
-    def test_past_retention_nothing_is_claimed_to_be_known(self):
+    def test_outcome_is_unknown_after_retention(self):
         self.claim()
-        self.book.finish(self.ticket, expression.Ok(exchange.Response(200, ())))
+        self.store.finish(
+            self.ticket, expression.Ok(exchange.Response(200, ()))
+        )
 
-        late = self.claim(after=SECOND + ticket_book.RETENTION).error
+        result = self.claim(after=SECOND + ticket_book.RETENTION).error
 
-        self.assertEqual(exchange.Outcome.UNKNOWN, late.outcome)
-        self.assertEqual(0, self.book.count)
-        self.assertEqual(0, self.book.size)
+        self.assertEqual(exchange.Outcome.UNKNOWN, result.outcome)
+        self.assertEqual(0, self.store.count)
+        self.assertEqual(0, self.store.size)
 
-    def test_running_work_outlives_the_retention(self):
+    def test_record_of_running_request_is_kept_past_retention(self):
         self.claim()
 
-        late = self.claim(after=SECOND + ticket_book.RETENTION)
+        result = self.claim(after=SECOND + ticket_book.RETENTION)
 
-        self.assertEqual(ticket_book.Step.JOIN, late.ok)
+        self.assertEqual(ticket_book.Step.JOIN, result.ok)
 
-    def test_full_book_refuses_and_the_refusal_stays_true(self):
-        """The caller is told "not run" because the book is full.
+    def test_ticket_refused_by_full_store_never_starts(self):
+        """Guards against a request that runs after it was refused as "not run".
 
-        The book has no room to remember that, then finds room again. A late
-        copy of the refused send must still not start.
+        The store is full and has no room to record the refusal. Later it has
+        room again, and a delayed copy of the refused send arrives.
         """
-        self.book = ticket_book.TicketBook(capacity=ticket_book.RECORD_BYTES)
+        self.store = ticket_book.TicketBook(capacity=ticket_book.RECORD_BYTES)
         refused = self.issuer.issue("boat-1", NOW + SECOND)
         self.claim()
-        self.book.finish(self.ticket, expression.Ok(exchange.Response(200, ())))
+        self.store.finish(
+            self.ticket, expression.Ok(exchange.Response(200, ()))
+        )
         full = self.claim(after=3 * SECOND, ticket=refused).error
         self.claim(after=SECOND + ticket_book.RETENTION)
         later = self.issuer.issue("boat-1", NOW + ticket_book.RETENTION)
 
         copy = self.claim(after=ticket_book.FIRST_USE, ticket=refused).error
-        fresh = self.claim(after=ticket_book.RETENTION + SECOND, ticket=later)
+        new = self.claim(after=ticket_book.RETENTION + SECOND, ticket=later)
 
         self.assertEqual(exchange.Reason.BUSY, full.reason)
         self.assertEqual(exchange.Outcome.NOT_RUN, full.outcome)
         self.assertEqual(exchange.Outcome.NOT_RUN, copy.outcome)
-        self.assertEqual(ticket_book.Step.START, fresh.ok)
+        self.assertEqual(ticket_book.Step.START, new.ok)
 
-    def test_closed_book_starts_nothing_and_still_answers(self):
+    def test_closed_store_returns_results_but_starts_nothing(self):
         answer = exchange.Response(201, (), b"paid")
         self.claim()
-        self.book.finish(self.ticket, expression.Ok(answer))
-        self.book.close()
+        self.store.finish(self.ticket, expression.Ok(answer))
+        self.store.close()
         other = self.issuer.issue("boat-1", NOW)
 
         self.assertEqual(answer, self.claim().ok)
@@ -205,16 +213,16 @@
         self.assertEqual(exchange.Reason.STOPPING, refused.reason)
         self.assertEqual(exchange.Outcome.NOT_RUN, refused.outcome)
 
-    def test_answer_without_room_is_told_as_ran(self):
-        self.book = ticket_book.TicketBook(kept_answer_bytes=3)
+    def test_outcome_is_ran_if_response_is_too_large(self):
+        self.store = ticket_book.TicketBook(kept_answer_bytes=3)
         self.claim()
-        self.book.finish(
+        self.store.finish(
             self.ticket, expression.Ok(exchange.Response(200, (), b"four"))
         )
 
         self.assertEqual(exchange.Outcome.RAN, self.claim().error.outcome)
 
-    def test_record_takes_no_more_than_counted(self):
+    def test_records_use_no_more_memory_than_estimated(self):
         def refused(nonce):
             detail = "x" * 100 + nonce
             return expression.Error(
@@ -231,22 +239,24 @@
 
         for result in (refused, answered):
             with self.subTest(result.__name__):
-                self.book = ticket_book.TicketBook()
-                taken = _traced(lambda made=result: self._fill(made))
+                self.store = ticket_book.TicketBook()
+                used_bytes = _allocated_bytes(
+                    lambda make_result=result: self._fill_store(make_result)
+                )
 
-                self.assertEqual(2000, self.book.count)
-                self.assertLess(taken, self.book.size)
+                self.assertEqual(2000, self.store.count)
+                self.assertLess(used_bytes, self.store.size)
 
-    def _fill(self, result):
+    def _fill_store(self, result):
         for _ in range(2000):
             ticket = self.issuer.issue("boat-1", NOW)
-            mark = tickets.fingerprint(head(), ticket.nonce.encode())
-            self.claim(mark=mark, ticket=ticket)
-            self.book.finish(ticket, result(ticket.nonce))
+            fingerprint = tickets.fingerprint(head(), ticket.nonce.encode())
+            self.claim(fingerprint=fingerprint, ticket=ticket)
+            self.store.finish(ticket, result(ticket.nonce))
 
 
-def _traced(work) -> int:
-    """Bytes that are held after the work and were not before."""
+def _allocated_bytes(work) -> int:
+    """Returns how much more memory is allocated after the call."""
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     work()
