--- a/endivewind/tests/callers/budgets_tests.py
+++ b/endivewind/tests/callers/budgets_tests.py
@@ -122,7 +122,7 @@
                 continue
             self.retry_counts[-1] += 1
             if self.rng.random() < 0.2:
-                # The retried request calls the service from the node where it runs.
+                # The retried request calls the service from its node.
                 self._call(self.rng.choice(self.nodes), now)
 
     def _call(self, node, now):
--- a/examples/camerino_abierto.py
+++ b/examples/camerino_abierto.py
@@ -1,8 +1,8 @@
 """Camerino Abierto: rider consultations and supplier confirmations.
 
-Crews wait at venues while a failing target keeps its work, so both services
-weigh detection. Each has 12 servers in three regions: 4 targets of 3 slots
-in a region, of which ejection may take one.
+Crews wait at venues while requests are stuck at a failing target, so both
+services use the detection profile. Each has 12 servers in three regions: 4
+targets of 3 slots in each region, of which one may be ejected.
 """
 
 import datetime
@@ -13,7 +13,7 @@
 
 
 def build() -> operators.Firm:
-    """The firm's configuration."""
+    """Returns the firm's configuration."""
     firm = operators.Firm("camerino")
     riders = firm.service(
         "riders",
@@ -33,8 +33,9 @@
     )
     firm.route(riders, host=HOST, prefix="/riders")
     firm.route(venues, host=HOST, prefix="/venues")
-    # A doubled confirmation makes a supplier deliver twice, whatever the
-    # method; a lost one empties a green room, so it is refused last.
+    # A confirmation that runs twice makes a supplier deliver twice, whatever
+    # the method is. A lost one leaves a green room empty, so confirmations have
+    # high priority.
     firm.route(
         venues,
         host=HOST,
@@ -42,7 +43,7 @@
         repeat=operators.Repeat.NEVER,
         priority=operators.Priority.HIGH,
     )
-    # Searches by POST change nothing and may be sent again.
+    # Searches use POST but are idempotent, so they may be retried.
     firm.route(
         riders,
         host=HOST,
--- a/examples/pay_once.py
+++ b/examples/pay_once.py
@@ -1,4 +1,4 @@
-"""Pays a trip out at most once, whatever happens on the way.
+"""Runs a payout at most once with the client library, whatever fails.
 
 Usage: python examples/pay_once.py http://NODE [http://NODE...]
 """
@@ -13,7 +13,7 @@
 
 
 async def main(nodes: list[str]) -> int:
-    """Sends one payout and says what came of it."""
+    """Sends one payout and prints its result."""
     async with aiohttp.ClientSession() as session:
         caller = client.Caller(session, nodes, workspace="boat-1")
         body = json.dumps({"trip": 7}).encode()
@@ -21,7 +21,7 @@
     if reply.outcome is None:
         print(f"the ledger answered {reply.status}: {reply.body.decode()}")
         return 0
-    print(f"{reply.outcome}: {reply.body.decode() or 'no answer'}")
+    print(f"{reply.outcome}: {reply.body.decode() or 'no response'}")
     return 1
 
 
--- a/examples/saltline_share_ledger.py
+++ b/examples/saltline_share_ledger.py
@@ -1,8 +1,8 @@
 """Saltline Share Ledger: shares of catch money, and species codes.
 
-Nobody is awake at night to bring capacity back, so both services weigh
-capacity. Each has 12 servers in three regions: 4 targets of 3 slots in a
-region, of which ejection may take one.
+Nobody is on call at night to restore capacity, so both services use the
+capacity profile. Each has 12 servers in three regions: 4 targets of 3 slots in
+each region, of which one may be ejected.
 """
 
 import datetime
@@ -13,7 +13,7 @@
 
 
 def build() -> operators.Firm:
-    """The firm's configuration."""
+    """Returns the firm's configuration."""
     firm = operators.Firm("saltline")
     ledger = firm.service(
         "share-ledger",
@@ -21,7 +21,7 @@
         slots=3,
         targets_per_region=4,
         floor_targets=3,
-        # Skippers may wait, but they must see their own trip.
+        # Skippers can wait, but must be able to see their own trip.
         timeout=datetime.timedelta(seconds=20),
         queue_limit=256,
     )
@@ -34,7 +34,7 @@
         timeout=datetime.timedelta(seconds=2),
     )
     firm.route(ledger, host=HOST, prefix="/trips")
-    # A doubled payout means a clawback that sours the whole boat.
+    # A payout that runs twice has to be reclaimed, which upsets the whole crew.
     firm.route(
         ledger,
         host=HOST,
@@ -44,7 +44,7 @@
     )
     firm.route(catalog, host=HOST, prefix="/catalog")
     ledger_service = firm.workspace("ledger-service", weight=4, burst=200)
-    # The ledger's own look-ups go before those of people at the catalog.
+    # Look-ups by the ledger service have priority over those by people.
     firm.route(
         catalog,
         host=HOST,
