--- a/endivewind/tests/callers/ingress_routes_tests.py
+++ b/endivewind/tests/callers/ingress_routes_tests.py
@@ -16,7 +16,7 @@
     def setUp(self):
         self.local_target = _LocalTarget()
         self.clock = clocks.ManualClock()
-        self.origins = origins.Origins(self.clock, self.local_target)
+        self.routes = origins.Origins(self.clock, self.local_target)
 
     def test_calls_of_busy_target_are_not_callers_requests(self):
         """Guards against too many retries to services that targets call.
@@ -26,24 +26,24 @@
         """
         self.local_target.is_working = True
 
-        self.assertFalse(self.origins.is_caller("venues", "/status/"))
+        self.assertFalse(self.routes.is_caller("venues", "/status/"))
 
     def test_request_while_target_is_idle_is_a_callers(self):
         """Later requests by the same route are callers' even if it is busy."""
-        self.assertTrue(self.origins.is_caller("riders", "/orders/"))
+        self.assertTrue(self.routes.is_caller("riders", "/orders/"))
         self.local_target.is_working = True
 
-        self.assertTrue(self.origins.is_caller("riders", "/orders/"))
-        self.assertFalse(self.origins.is_caller("riders", "/calls/"))
+        self.assertTrue(self.routes.is_caller("riders", "/orders/"))
+        self.assertFalse(self.routes.is_caller("riders", "/calls/"))
 
     def test_retry_probability_is_share_of_retried_requests(self):
         """The probability is zero for known routes of callers."""
-        self.origins.is_caller("riders", "/orders/")
+        self.routes.is_caller("riders", "/orders/")
         self.local_target.is_working = True
         self.local_target.repeat_share = 0.25
 
-        self.assertEqual(0.25, self.origins.repeat_share("venues", "/status/"))
-        self.assertEqual(0.0, self.origins.repeat_share("riders", "/orders/"))
+        self.assertEqual(0.25, self.routes.repeat_share("venues", "/status/"))
+        self.assertEqual(0.0, self.routes.repeat_share("riders", "/orders/"))
 
     def test_routes_are_learned_from_neighbours(self):
         """Guards against a node that counts no request as a caller's.
@@ -53,11 +53,11 @@
         """
         other_node = origins.Origins(self.clock, _LocalTarget())
         other_node._local_target.is_working = True
-        self.origins.is_caller("riders", "/orders/")
-        self.assertEqual((), self.origins.due())
+        self.routes.is_caller("riders", "/orders/")
+        self.assertEqual((), self.routes.due())
         self.clock.advance(origins.TELL_PERIOD)
 
-        for route in self.origins.due():
+        for route in self.routes.due():
             other_node.hear(route)
 
         self.assertTrue(other_node.is_caller("riders", "/orders/"))
