--- a/endivewind/callers/ticket_book.py
+++ b/endivewind/callers/ticket_book.py
@@ -179,7 +179,7 @@
         if ticket.issued <= self._refused_until:
             return exchange.not_run(
                 exchange.Reason.BUSY,
-                "the key was issued while the node had no room for records",
+                "the key was refused, or issued before another was refused",
                 FULL_RETRY,
             )
         if self._exceeds_capacity(RECORD_BYTES):
