--- a/endivewind/callers/placement.py
+++ b/endivewind/callers/placement.py
@@ -1,4 +1,9 @@
-"""Chooses a target for a request from what this node knows of the fleet."""
+"""Chooses a target for each request, as one entry node sees the fleet.
+
+Supplies load balancing with this entry's own load per target, the status that
+homes report, latencies, cooldowns, circuit breakers, slow start and the budget
+for traffic between regions. The gateway and the request queues call it.
+"""
 
 import collections.abc
 import datetime
@@ -23,85 +28,107 @@
 FloorOf = collections.abc.Callable[[str], int]
 ShareOf = collections.abc.Callable[[str], float]
 
-# A target that refused for want of room has some again when a part of its work
-# has ended; asking it sooner is a wasted hop. Of the usual length of the work,
-# and where that is not known:
+# Cooldown of a target that refused a request because it was full. It has room
+# again once some of its work has ended; asking sooner wastes a hop. The
+# cooldown is this share of the service's usual latency, and no less than
+# MIN_COOLDOWN, which also applies where the latency is unknown.
 REST_SHARE = 0.25
 REST = datetime.timedelta(milliseconds=50)
-# A target that sheds answers at once and so looks idle; without a rest it
-# would draw the work of all.
+# A target that sheds load answers at once and so looks idle; without a
+# cooldown it would attract the requests of all entries.
 SHED_REST = datetime.timedelta(milliseconds=250)
-_SHED_STATUS = frozenset({429, 503})
-# So does a home that no longer hands over to its target, until the news of it
-# has come here: each of these answers took a hop and one of the placings that
-# a request has.
-_REST_LONGER = frozenset(
+_OVERLOAD_STATUSES = frozenset({429, 503})
+# The same holds for a home that no longer forwards to its target, until this
+# entry learns of the change: each such refusal costs a hop and one of the
+# request's attempts.
+_LONG_COOLDOWN_REASONS = frozenset(
     {
         exchange.Reason.TARGET_FULL,
         exchange.Reason.STALE_HOME,
         exchange.Reason.STOPPING,
     }
 )
-_PATH_FAILURES = (exchange.Reason.HOME_LOST, exchange.Reason.HOME_UNREACHABLE)
-# A region pair shares 4 Gbit/s each way; an entry's part of it where each
-# region has some 250 nodes.
+_HOME_FAILURE_REASONS = (
+    exchange.Reason.HOME_LOST,
+    exchange.Reason.HOME_UNREACHABLE,
+)
+# One entry's share of the 4 Gbit/s that a pair of regions has in each
+# direction, with about 250 nodes in each region.
 CROSS_REGION_BYTES = 2_000_000.0
-# What headers and frames add to each direction of a request, about.
+# Approximate bytes that headers and framing add in each direction.
 HEAD_BYTES = 500
-# At most this share of a pool is on a ramp through one change.
+# A change of the pool starts slow start for its new targets only if they are
+# at most this share of the pool.
 RAMP_SHARE = 0.25
-# When a refused caller may come back at the earliest.
+# Bounds of the Retry-After of a refusal: at least MIN_RETRY_AFTER, at most this
+# many times as long.
 LEAST_RETRY = datetime.timedelta(seconds=1)
 RETRY_SPREAD = 3
-# A node that has just started hears of every target that lives within this
-# time: they announce themselves every second and a half or more often, and
-# the news of it takes some hundred milliseconds.
+# A node that has just started learns of every live target within this time:
+# targets announce themselves at least every 1.5 s, and the announcements take
+# a few hundred milliseconds to reach all nodes.
 SETTLING = datetime.timedelta(seconds=2)
-_LATENCY_WEIGHT = 1 / 8
-_FAILED_STATUS = 500
-# What a home told of its load counts so long where nothing is known of the
-# length of the work there; requests last some hundred milliseconds.
+_LATENCY_EWMA_WEIGHT = 1 / 8
+_MIN_FAILURE_STATUS = 500
+# How long a reported load is used where the service's latency is unknown.
+# Requests take a few hundred milliseconds.
 _GLANCE_LIFE = datetime.timedelta(milliseconds=300)
-_NEVER_SECONDS = 86_400.0
-# An older latency says nothing of the present. It is shorter where answers take
-# milliseconds: a target that is left aside for one slow answer is asked again
-# after a few times that answer's length.
-_LATENCY_LIFE = datetime.timedelta(seconds=2)
-_LIFE_IN_LATENCIES = 8
+_NEVER_REPORTED_SECONDS = 86_400.0
+# Older latencies are ignored. For targets that respond within milliseconds the
+# limit is a multiple of the latency instead, so that a target avoided for one
+# slow response is tried again after a few times that response's duration.
+_MAX_LATENCY_AGE = datetime.timedelta(seconds=2)
+_MAX_AGE_IN_LATENCIES = 8
 
 
-def _default_share(service: str) -> float:
+def _default_floor_share(service: str) -> float:
     return capacity_floor.DEFAULT_FLOOR_SHARE
 
 
-def _rest_after(
+def _cooldown_after(
     result: expression.Result[exchange.Response, exchange.Refusal],
-    usual: float,
+    service_latency: float,
 ) -> datetime.timedelta | None:
-    """How long a target gets nothing after a result; None if it may at once.
+    """Returns the cooldown of a target after a result, or None for none.
 
     Args:
-      result: of one request.
-      usual: usual seconds of the service's answers; 0 is unknown.
+      result: The result of one request.
+      service_latency: The service's usual latency in seconds; 0 if unknown.
     """
     if result.is_ok():
-        return SHED_REST if result.ok.status in _SHED_STATUS else None
-    if result.error.reason in _REST_LONGER and not result.error.moved_to:
+        return SHED_REST if result.ok.status in _OVERLOAD_STATUSES else None
+    if (
+        result.error.reason in _LONG_COOLDOWN_REASONS
+        and not result.error.moved_to
+    ):
         return SHED_REST
     if result.error.reason is exchange.Reason.BUSY:
-        return max(REST, datetime.timedelta(seconds=REST_SHARE * usual))
+        return max(
+            REST, datetime.timedelta(seconds=REST_SHARE * service_latency)
+        )
     return None
 
 
 class _TargetLoad:
-    """What this entry has at one target, how it went, and what it was told."""
+    """Load and latency of one target, from own requests and its home's reports.
+
+    Attributes:
+      in_use: This entry's requests at the target.
+      latency: Moving average of the latency in seconds.
+      latency_updated_at: When the latency was last updated.
+      cooldown_until: No request is sent to the target before this time.
+      peer_load: Requests of other entries, as last reported by the home.
+      slots: The target's slots.
+      suspicion: The suspicion last reported.
+      reported_at: When the home last reported.
+    """
 
     __slots__ = (
-        "heard",
+        "latency_updated_at",
         "in_use",
         "latency",
         "others",
-        "rests_until",
+        "cooldown_until",
         "slots",
         "suspicion",
         "told",
@@ -110,103 +137,116 @@
     def __init__(self) -> None:
         self.in_use = 0
         self.latency = 0.0
-        self.heard = datetime.timedelta()
-        self.rests_until = datetime.timedelta()
+        self.latency_updated_at = datetime.timedelta()
+        self.cooldown_until = datetime.timedelta()
         self.others = 0
         self.slots = 0
         self.suspicion = suspicion.PRIOR_SUSPICION
         self.told = -_GLANCE_LIFE
 
-    def tell(
-        self, glance: exchange.TargetStatus, now: datetime.timedelta
+    def update_status(
+        self, status: exchange.TargetStatus, now: datetime.timedelta
     ) -> None:
-        """Takes what the home tells of the target."""
-        self.others = max(0, glance.load - self.in_use)
-        self.suspicion = glance.suspicion
+        """Stores the target status that the home has reported."""
+        self.others = max(0, status.load - self.in_use)
+        self.suspicion = status.suspicion
         self.told = now
 
-    def others_now(self, usual: float, now: datetime.timedelta) -> float:
-        """What is left of the load that its home has told of.
+    def others_now(
+        self, service_latency: float, now: datetime.timedelta
+    ) -> float:
+        """Returns the estimated remainder of the load that the home reported.
 
-        Load: targets that are full for seconds, with work of any length, and
-        entries that send a request or two a second. Harm: an entry that takes
-        them for idle again after a fixed time sends to full ones, one after
-        the other, and its request is refused although it has time. At a full
-        target as much has ended as its slots do in the usual time.
+        Load: targets that are full for seconds, with requests of any duration,
+        and entries that send one or two requests a second. Harm: an entry that
+        considers them idle again after a fixed time tries one full target
+        after the other, and its request is refused although its deadline is
+        far off. So the load is assumed to shrink at the rate at which a full
+        target completes requests: its slots per usual latency.
 
         Args:
-          usual: usual seconds of the service's answers; 0 is unknown.
-          now: the time.
+          service_latency: The service's usual latency in seconds; 0 if
+            unknown.
+          now: The current time.
         """
         age = now - self.told
-        if not usual or not self.slots:
+        if not service_latency or not self.slots:
             return self.others if age < _GLANCE_LIFE else 0.0
-        done = age.total_seconds() * self.slots / usual
+        done = age.total_seconds() * self.slots / service_latency
         return max(0.0, self.others - done)
 
-    def usual_seconds(self, now: datetime.timedelta) -> float:
-        """Its usual latency; 0 where none is known of late."""
-        life = datetime.timedelta(seconds=_LIFE_IN_LATENCIES * self.latency)
-        fresh = now - self.heard < min(life, _LATENCY_LIFE)
-        return self.latency if fresh else 0.0
+    def recent_latency(self, now: datetime.timedelta) -> float:
+        """Returns the average latency in seconds; 0 if there is no recent one."""
+        max_age = datetime.timedelta(
+            seconds=_MAX_AGE_IN_LATENCIES * self.latency
+        )
+        is_recent = now - self.latency_updated_at < min(
+            max_age, _MAX_LATENCY_AGE
+        )
+        return self.latency if is_recent else 0.0
 
-    def take(
-        self, seconds: float, usual: float, now: datetime.timedelta
+    def record_latency(
+        self, seconds: float, service_latency: float, now: datetime.timedelta
     ) -> None:
-        """Takes the latency of one answer.
-
-        Load: a few requests a second and entry, work with a long tail. Harm:
-        where an entry knows one latency of a target, the tail of one request
-        made a healthy target look several times slower than the others, and
-        it got nothing for as long as that was remembered. What is known
-        starts at what is usual for the service, so that it takes several.
+        """Adds the latency of one response to the moving average.
+
+        Load: a few requests a second per entry, and latencies with a long
+        tail. Harm: if the average started at the first latency, one response
+        from the tail made a healthy target look several times slower than the
+        others, and it got no requests until that latency expired. So the
+        average starts at the service's usual latency, and it takes several
+        slow responses to raise it.
         """
-        if not self.usual_seconds(now):
-            self.latency = usual
-        self.latency += _LATENCY_WEIGHT * (seconds - self.latency)
-        self.heard = now
+        if not self.recent_latency(now):
+            self.latency = service_latency
+        self.latency += _LATENCY_EWMA_WEIGHT * (seconds - self.latency)
+        self.latency_updated_at = now
 
 
 class Loads(load_balancing.Load):
-    """This entry's work by target; only targets that it has used."""
+    """Load per target, for targets that this entry has used or heard about."""
 
     def __init__(
         self,
         clock: clocks.Clock,
-        known: circuit_breakers.CircuitBreakers,
+        breakers: circuit_breakers.CircuitBreakers,
         budget: cross_region.CrossRegionBudget,
-        ramps: slow_start.SlowStart,
+        slow_starts: slow_start.SlowStart,
     ) -> None:
         self._clock = clock
-        self._ramps = ramps
-        self._paths = known
+        self._slow_start = slow_starts
+        self._circuit_breakers = breakers
         self._budget = budget
         self._loads: dict[str, _TargetLoad] = {}
-        # Usual seconds of a service's answers.
-        self._usual: dict[str, float] = {}
+        # Moving average of the latency in seconds, by service.
+        self._service_latencies: dict[str, float] = {}
 
     def own_in_use(self, target: str) -> int:
-        """Requests of this entry that are there now."""
+        """Returns the number of this entry's requests at the target."""
         known = self._loads.get(target)
         return known.in_use if known else 0
 
     def in_use(self, item: capacity_floor.Candidate) -> float:
-        """Requests that are there now: this entry's, and what it was told."""
+        """Returns own requests plus the estimated ones of other entries."""
         known = self._loads.get(item.id)
         if known is None:
             return 0
         known.slots = item.slots
-        usual = self._usual.get(item.service, 0.0)
-        return known.in_use + known.others_now(usual, self._clock.monotonic())
+        service_latency = self._service_latencies.get(item.service, 0.0)
+        return known.in_use + known.others_now(
+            service_latency, self._clock.monotonic()
+        )
 
     def wait(self, item: capacity_floor.Candidate) -> float:
-        """Seconds that a request would wait for one of its slots."""
+        """Returns the expected wait in seconds for one of its slots."""
         ahead = self.in_use(item) + 1 - item.slots
-        usual = self.latency(item.id) or self._usual.get(item.service, 0.0)
-        return max(0, ahead) * usual / item.slots
+        latency = self.latency(item.id) or self._service_latencies.get(
+            item.service, 0.0
+        )
+        return max(0, ahead) * latency / item.slots
 
     def suspicion(self, target: str) -> float:
-        """How likely it is sick."""
+        """Returns the probability that the target is unhealthy."""
         known = self._loads.get(target)
         if known is None:
             return suspicion.PRIOR_SUSPICION
@@ -214,43 +254,45 @@
         return suspicion.decay(known.suspicion, age)
 
     def seconds_since_report(self, target: str) -> float:
-        """Seconds since its home has told of it; a day where it never did."""
+        """Returns the seconds since its home's last report; a day if none."""
         known = self._loads.get(target)
         if known is None or known.told < datetime.timedelta():
-            return _NEVER_SECONDS
+            return _NEVER_REPORTED_SECONDS
         return (self._clock.monotonic() - known.told).total_seconds()
 
     def latency(self, target: str) -> float:
-        """Usual latency in seconds; 0 where none is known of late."""
+        """Returns its latency in seconds; 0 if there is no recent one."""
         known = self._loads.get(target)
-        return known.usual_seconds(self._clock.monotonic()) if known else 0.0
+        return known.recent_latency(self._clock.monotonic()) if known else 0.0
 
     def slots(self, item: capacity_floor.Candidate) -> int:
-        """Slots of it that this entry may use now."""
-        return self._ramps.usable_slots(
+        """Returns the slots that slow start allows this entry to use now."""
+        return self._slow_start.usable_slots(
             item.id, item.slots, self._clock.monotonic()
         )
 
     def has_traffic_budget(self, region: str) -> bool:
-        """Whether the traffic budget allows work in another region."""
+        """Returns whether the traffic budget allows requests to a region."""
         return self._budget.allows(region, self._clock.monotonic())
 
     def is_cooling_down(self, target: str) -> bool:
-        """Whether it refused work a moment ago."""
+        """Returns whether the target is cooling down after a refusal."""
         known = self._loads.get(target)
-        return known is not None and known.rests_until > self._clock.monotonic()
+        return (
+            known is not None and known.cooldown_until > self._clock.monotonic()
+        )
 
     def is_reachable(self, home: str) -> bool:
-        """Whether the path from this entry to a home is open."""
-        return self._paths.allows(home, self._clock.monotonic())
+        """Returns whether the circuit breaker allows requests to a home."""
+        return self._circuit_breakers.allows(home, self._clock.monotonic())
 
     def started(self, target: str) -> None:
         """Counts a request sent to a target."""
-        self._of(target).in_use += 1
+        self._load_of(target).in_use += 1
 
     def ended(self, target: str) -> None:
         """Counts the end of a request sent to a target."""
-        self._of(target).in_use -= 1
+        self._load_of(target).in_use -= 1
 
     def learn(
         self,
@@ -258,44 +300,46 @@
         result: expression.Result[exchange.Response, exchange.Refusal],
         latency: datetime.timedelta,
     ) -> None:
-        """Takes how a request went, for the next choices.
+        """Updates status, cooldown and latency from the result of a request.
 
-        The latency of a failure says nothing: a sick target that fails at
-        once would look like the fastest of all and draw the work.
+        Latencies of failures are ignored: an unhealthy target that fails at
+        once would look like the fastest one and attract requests.
         """
-        usual = self._usual.get(record.service, 0.0)
-        rest = _rest_after(result, usual)
-        known = self._of(record.id)
+        service_latency = self._service_latencies.get(record.service, 0.0)
+        cooldown = _cooldown_after(result, service_latency)
+        known = self._load_of(record.id)
         now = self._clock.monotonic()
-        glance = (
+        status = (
             result.ok.target_status
             if result.is_ok()
             else result.error.target_status
         )
-        if glance is not None:
-            known.tell(glance, now)
-        if rest is not None:
-            known.rests_until = now + rest
-        elif result.is_ok() and result.ok.status < _FAILED_STATUS:
+        if status is not None:
+            known.update_status(status, now)
+        if cooldown is not None:
+            known.cooldown_until = now + cooldown
+        elif result.is_ok() and result.ok.status < _MIN_FAILURE_STATUS:
             seconds = latency.total_seconds()
-            usual = usual or seconds
-            known.take(seconds, usual, now)
-            usual += _LATENCY_WEIGHT * (seconds - usual)
-            self._usual[record.service] = usual
-
-    def hear(self, condition: peer_updates.TargetUpdate) -> None:
-        """Takes what a home has told without being asked."""
+            service_latency = service_latency or seconds
+            known.record_latency(seconds, service_latency, now)
+            service_latency += _LATENCY_EWMA_WEIGHT * (
+                seconds - service_latency
+            )
+            self._service_latencies[record.service] = service_latency
+
+    def hear(self, update: peer_updates.TargetUpdate) -> None:
+        """Stores the target status from a target update of a home."""
         now = self._clock.monotonic()
-        self._of(condition.target).tell(condition.status, now)
+        self._load_of(update.target).update_status(update.status, now)
 
     def forget(self, targets: collections.abc.Iterable[str]) -> None:
-        """Drops targets that the fleet no longer has, once they are idle."""
+        """Drops the load of removed targets, unless requests are running."""
         for name in targets:
             load = self._loads.get(name)
             if load is not None and not load.in_use:
                 del self._loads[name]
 
-    def _of(self, target: str) -> _TargetLoad:
+    def _load_of(self, target: str) -> _TargetLoad:
         known = self._loads.get(target)
         if known is None:
             known = self._loads[target] = _TargetLoad()
@@ -303,66 +347,75 @@
 
 
 class Placement:
-    """Feeds the placing decision and counts this entry's work."""
+    """Chooses targets and counts this entry's requests at each of them."""
 
     def __init__(
         self,
-        place: Place,
+        locality: Place,
         fleet: view.FleetView,
-        floor_of: FloorOf,
+        floor_slots_of: FloorOf,
         clock: clocks.Clock,
         rng: random.Random,
-        cross_region_bytes: float = CROSS_REGION_BYTES,
-        share_of: ShareOf = _default_share,
+        cross_region_bytes_per_second: float = CROSS_REGION_BYTES,
+        share_of: ShareOf = _default_floor_share,
     ) -> None:
         """Starts with no load.
 
         Args:
-          place: where this entry is.
-          fleet: what is known of the targets.
-          floor_of: slots for each region that stay in use, by service.
-          clock: for paths, rests and budgets.
-          rng: for the choices.
-          cross_region_bytes: a second, to each other region.
-          share_of: share of a region's slots that stays in use, by service,
-            where no slots are given.
+          locality: Where this entry is.
+          fleet: The known nodes and targets.
+          floor_slots_of: Returns a service's capacity floor in slots per region.
+          clock: For circuit breakers, cooldowns and budgets.
+          rng: For random choices.
+          cross_region_bytes_per_second: Traffic budget for each other region.
+          floor_share_of: Returns a service's capacity floor as a share of a
+            region's slots, used where no number of slots is set.
         """
-        self._share_of = share_of
-        self._place = place
+        self._floor_share_of = share_of
+        self._locality = locality
         self._fleet = fleet
-        self._floor_of = floor_of
+        self._floor_slots_of = floor_slots_of
         self._rng = rng
         self._clock = clock
         self._started = clock.monotonic()
         self._pools: dict[str, tuple[tuple[int, int], load_balancing.Pool]] = {}
-        self._paths = circuit_breakers.CircuitBreakers()
-        self._crossing = cross_region.CrossRegionBudget(cross_region_bytes)
-        self._ramps = slow_start.SlowStart()
-        self._loads = Loads(clock, self._paths, self._crossing, self._ramps)
+        self._circuit_breakers = circuit_breakers.CircuitBreakers()
+        self._cross_region_budget = cross_region.CrossRegionBudget(
+            cross_region_bytes_per_second
+        )
+        self._slow_start = slow_start.SlowStart()
+        self._loads = Loads(
+            clock,
+            self._circuit_breakers,
+            self._cross_region_budget,
+            self._slow_start,
+        )
 
     @property
     def place(self) -> Place:
-        """Where this entry is."""
-        return self._place
+        """The location of this entry."""
+        return self._locality
 
     @property
     def is_settling(self) -> bool:
-        """Whether targets may live of which this node has not heard yet."""
+        """Whether live targets may exist that this node doesn't know yet."""
         return self._clock.monotonic() - self._started < SETTLING
 
     def choose(
         self, service: str, demand: load_balancing.Demand
     ) -> records.TargetRecord | None:
-        """A target that may take the request, or None."""
+        """Returns a target that the request can be sent to, or None."""
         pool = self._pool(service)
         chosen = load_balancing.choose(pool, demand, self._loads, self._rng)
         return self._fleet.targets(service)[chosen.id] if chosen else None
 
     def started(self, record: records.TargetRecord, size: int = 0) -> None:
-        """Takes note of a request, with its bytes, sent to a target."""
-        self._spend(record, size)
+        """Counts a request sent to a target, with the bytes of its body."""
+        self._charge_traffic(record, size)
         self._loads.started(record.id)
-        self._paths.record_start(record.home, self._clock.monotonic())
+        self._circuit_breakers.record_start(
+            record.home, self._clock.monotonic()
+        )
 
     def ended(
         self,
@@ -370,31 +423,33 @@
         result: expression.Result[exchange.Response, exchange.Refusal] | None,
         latency: datetime.timedelta,
     ) -> None:
-        """Takes note of a request's end; None where its caller left."""
+        """Records the end of a request; no result if it was cancelled."""
         self._loads.ended(record.id)
         if result is None:
             return
         self._loads.learn(record, result, latency)
         if result.is_ok():
-            self._spend(record, _size(result.ok))
-        if result.is_error() and result.error.reason in _PATH_FAILURES:
-            self._paths.record_failure(record.home, self._clock.monotonic())
+            self._charge_traffic(record, _body_size(result.ok))
+        if result.is_error() and result.error.reason in _HOME_FAILURE_REASONS:
+            self._circuit_breakers.record_failure(
+                record.home, self._clock.monotonic()
+            )
         else:
-            self._paths.record_success(record.home)
+            self._circuit_breakers.record_success(record.home)
 
-    def hear(self, condition: peer_updates.TargetUpdate) -> None:
-        """Takes what a home tells of a target that the fleet has."""
-        if self._fleet.find_target(condition.target) is not None:
-            self._loads.hear(condition)
+    def hear(self, update: peer_updates.TargetUpdate) -> None:
+        """Stores a home's target update if the target is known."""
+        if self._fleet.find_target(update.target) is not None:
+            self._loads.hear(update)
 
     def suspicion(self, target: str) -> float:
-        """How likely a target is sick, as far as this entry knows."""
+        """Returns this entry's estimate that a target is unhealthy."""
         return self._loads.suspicion(target)
 
     def has_candidate(
         self, service: str, demand: load_balancing.Demand
     ) -> bool:
-        """Whether any target could take the request once it has a slot."""
+        """Returns whether any target could take the request with a free slot."""
         return any(
             item.id not in demand.excluded
             for tier in self._pool(service).tiers
@@ -402,30 +457,34 @@
         )
 
     def admitted_slots(self, service: str) -> int:
-        """Slots of the targets that this entry may give normal work."""
+        """Returns the slots of all targets that get regular traffic."""
         return self._pool(service).slots
 
-    def _spend(self, record: records.TargetRecord, size: int) -> None:
-        if record.region != self._place.region:
+    def _charge_traffic(self, record: records.TargetRecord, size: int) -> None:
+        if record.region != self._locality.region:
             now = self._clock.monotonic()
-            self._crossing.spend(record.region, size + HEAD_BYTES, now)
+            self._cross_region_budget.spend(
+                record.region, size + HEAD_BYTES, now
+            )
 
-    def come_back_after(self, least: datetime.timedelta) -> datetime.timedelta:
-        """When a refused caller should come back.
+    def come_back_after(
+        self, minimum: datetime.timedelta
+    ) -> datetime.timedelta:
+        """Returns a randomized Retry-After of one to three times the minimum.
 
-        Spread over three times the least: callers that were refused together
-        would else come back together, and be refused together again.
+        Without the jitter, callers that were refused together would come back
+        together and be refused together again.
         """
-        return least * self._rng.uniform(1, RETRY_SPREAD)
+        return minimum * self._rng.uniform(1, RETRY_SPREAD)
 
     def _pool(self, service: str) -> load_balancing.Pool:
-        """The service's pool; made again only when something has changed.
+        """Returns the service's pool, rebuilt only when something changed.
 
-        A request must not pay for the number of targets: at a service of
-        hundreds, a list of them all for each request would take longer than
-        the request is allowed to.
+        The cost per request must not grow with the number of targets: building
+        a list of hundreds of targets for each request would exceed the time
+        that the proxy may add to it.
         """
-        floor_slots = self._floor_of(service)
+        floor_slots = self._floor_slots_of(service)
         version = (self._fleet.revision(service), floor_slots)
         known = self._pools.get(service)
         if known and known[0] == version:
@@ -436,35 +495,39 @@
             if record.state is not records.State.DRAINING
         ]
         pool = load_balancing.Pool.from_candidates(
-            candidates, floor_slots, self._place, self._share_of(service)
+            candidates,
+            floor_slots,
+            self._locality,
+            self._floor_share_of(service),
         )
         if known is not None:
-            gone = known[1].targets() - {item.id for item in candidates}
-            self._loads.forget(gone)
-            self._ramps.forget(gone)
-            self._start_ramps(known[1], pool)
+            removed = known[1].targets() - {item.id for item in candidates}
+            self._loads.forget(removed)
+            self._slow_start.forget(removed)
+            self._start_slow_starts(known[1], pool)
         self._pools[service] = (version, pool)
         return pool
 
-    def _start_ramps(
+    def _start_slow_starts(
         self, before: load_balancing.Pool, pool: load_balancing.Pool
     ) -> None:
-        """Ramps targets that are new to the pool.
+        """Starts slow start for targets that are new to the pool.
 
-        Not where they are many, as after a node's start or a restart of most
-        of the service, and not where the floor has brought them back: then
-        their slots are needed at once, and the floor must not be undercut.
+        Skipped where they are many, as after a node's start or a restart of
+        most of the service, and for targets readmitted by the capacity floor:
+        then all their slots are needed at once, and slow start would take the
+        capacity below the floor.
         """
         now = self._clock.monotonic()
-        fresh = pool.normal_targets() - before.targets()
-        if len(fresh) > RAMP_SHARE * len(pool.targets()):
+        new_targets = pool.normal_targets() - before.targets()
+        if len(new_targets) > RAMP_SHARE * len(pool.targets()):
             return
-        for target in fresh:
-            self._ramps.start(target, now)
+        for target in new_targets:
+            self._slow_start.start(target, now)
 
 
-def _size(answer: exchange.Response) -> int:
-    """Bytes of an answer's body, as far as its head tells them."""
+def _body_size(answer: exchange.Response) -> int:
+    """Returns the size of a response's body, as far as its headers tell."""
     if answer.stream is None:
         return len(answer.body)
     for name, value in answer.headers:
--- a/endivewind/callers/problems.py
+++ b/endivewind/callers/problems.py
@@ -1,4 +1,8 @@
-"""Refusals as HTTP answers: a status and a problem body (RFC 9457)."""
+"""Converts refusals to HTTP: status, headers and problem details (RFC 9457).
+
+The listener and the connections use it for every response that the fleet gives
+instead of a target.
+"""
 
 import json
 import math
@@ -8,7 +12,7 @@
 
 CONTENT_TYPE = "application/problem+json"
 
-_STATUS = {
+_STATUS_BY_REASON = {
     exchange.Reason.BAD_REQUEST: 400,
     exchange.Reason.BODY_TOO_LARGE: 413,
     exchange.Reason.NO_ROUTE: 404,
@@ -40,24 +44,28 @@
 }
 
 
-# Statuses by which HTTP clients take it that a request has not run.
-_NOT_RUN_STATUS = frozenset({408, 421, 429, 503})
-# Statuses that leave open whether it has.
-_OPEN_STATUS = frozenset({502, 504})
+# Statuses after which HTTP clients assume that the request was not executed.
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+# Statuses that leave open whether it was.
+_UNKNOWN_OUTCOME_STATUSES = frozenset({502, 504})
 
 
 def status(refusal: exchange.Refusal) -> int:
-    """The HTTP status of a refusal.
+    """Returns the HTTP status of a refusal.
 
-    Failure: a home that has lost its record says "busy" of work that may have
-    run. Symptom: the caller reads 503, sends a payout again, and it is paid
-    twice. So the outcome decides between the statuses that say "not run" and
-    those that leave it open, whatever the reason.
+    Failure: a home that has lost its record refuses with "busy" a request that
+    may have been executed. Symptom: the caller sees 503, repeats a payout, and
+    it is paid twice. So, whatever the reason, the outcome decides between
+    statuses that mean "not executed" and those that leave it open.
     """
-    found = _STATUS[refusal.reason]
+    default_status = _STATUS_BY_REASON[refusal.reason]
     if refusal.outcome is exchange.Outcome.NOT_RUN:
-        return 503 if found in _OPEN_STATUS else found
-    return 502 if found in _NOT_RUN_STATUS else found
+        return (
+            503
+            if default_status in _UNKNOWN_OUTCOME_STATUSES
+            else default_status
+        )
+    return 502 if default_status in _NOT_RUN_STATUSES else default_status
 
 
 def header_fields(
@@ -65,23 +73,23 @@
     request_id: str,
     id_field: str = headers.REQUEST_ID,
 ) -> dict[str, str]:
-    """The headers that go with a refusal; the id's is named by id_field."""
-    fields = {
+    """Returns a refusal's headers; `id_field` names that of the request id."""
+    header_values = {
         headers.OUTCOME: refusal.outcome.value,
         headers.REASON: refusal.reason.value,
         id_field: request_id,
         "Content-Type": CONTENT_TYPE,
     }
     if refusal.reason is exchange.Reason.UNAUTHENTICATED:
-        fields["WWW-Authenticate"] = "Bearer"
+        header_values["WWW-Authenticate"] = "Bearer"
     if refusal.retry_after is not None:
         seconds = math.ceil(refusal.retry_after.total_seconds())
-        fields["Retry-After"] = str(max(1, seconds))
-    return fields
+        header_values["Retry-After"] = str(max(1, seconds))
+    return header_values
 
 
 def body(refusal: exchange.Refusal, request_id: str) -> bytes:
-    """The problem body of a refusal."""
+    """Returns a refusal as a JSON problem details object."""
     problem = {
         "type": f"urn:endivewind:{refusal.reason.value}",
         "title": refusal.reason.value.replace("-", " "),
--- a/endivewind/callers/routing.py
+++ b/endivewind/callers/routing.py
@@ -1,4 +1,8 @@
-"""Finds the route of a request: by host, workspace and longest prefix."""
+"""The routing table: finds a request's route by host, workspace and prefix.
+
+The gateway keeps one table and replaces the routes of a group whenever that
+group's configuration changes. Prefixes are matched longest first.
+"""
 
 import collections
 import collections.abc
@@ -7,22 +11,24 @@
 
 ANY_HOST = "*"
 
-_ByPrefix = dict[str, tuple[objects.Route, ...]]
+_RoutesByPrefix = dict[str, tuple[objects.Route, ...]]
 
 
 class RoutingTable:
-    """Routes indexed so that a look-up costs the path's depth, not the table.
-
-    A route for the exact host goes before one for any host, then a route of
-    the workspace before one for all, then the longer prefix. Two routes of
-    the same key are decided by the service's name, the same on every node.
-    A changed group costs its own routes, not the table.
+    """Routes indexed by host, workspace and prefix.
+
+    A route for the exact host takes precedence over one for any host, then a
+    route of the workspace over one for all workspaces, then the longer prefix.
+    Of several routes with the same key the one with the smallest service name
+    is used, which is the same on every node. The cost of a look-up depends on
+    the depth of the path, and that of replacing a group on the routes of that
+    group, not on the size of the table.
     """
 
     def __init__(
         self, routes: collections.abc.Iterable[objects.Route] = ()
     ) -> None:
-        self._routes: dict[tuple[str, str], _ByPrefix] = (
+        self._routes: dict[tuple[str, str], _RoutesByPrefix] = (
             collections.defaultdict(dict)
         )
         self._groups: dict[str, tuple[objects.Route, ...]] = {}
@@ -31,62 +37,62 @@
     def replace(
         self, group: str, routes: collections.abc.Iterable[objects.Route]
     ) -> None:
-        """Takes the routes of one group in place of those it had."""
+        """Replaces the routes of one group."""
         for route in self._groups.pop(group, ()):
             self._remove(route)
-        fresh = tuple(routes)
-        for route in fresh:
+        new_routes = tuple(routes)
+        for route in new_routes:
             self._add(route)
-        if fresh:
-            self._groups[group] = fresh
+        if new_routes:
+            self._groups[group] = new_routes
 
     def match(
         self, host: str, path: str, workspace: str
     ) -> objects.Route | None:
-        """The route for a request, or None."""
+        """Returns the route for a request, or None."""
         host = host.lower()
-        for known_host in (host, ANY_HOST):
-            for known_workspace in (workspace, "") if workspace else ("",):
-                group = self._routes.get((known_host, known_workspace))
-                found = _longest(group, path) if group else None
+        for route_host in (host, ANY_HOST):
+            for route_workspace in (workspace, "") if workspace else ("",):
+                group = self._routes.get((route_host, route_workspace))
+                found = _longest_match(group, path) if group else None
                 if found:
                     return found
         return None
 
     def _add(self, route: objects.Route) -> None:
         group = self._routes[route.host.lower(), route.workspace]
-        prefix = _normal(route.prefix)
-        same = (*group.get(prefix, ()), route)
-        group[prefix] = tuple(sorted(same, key=_order))
+        prefix = _normalize_prefix(route.prefix)
+        same_key_routes = (*group.get(prefix, ()), route)
+        group[prefix] = tuple(sorted(same_key_routes, key=_sort_key))
 
     def _remove(self, route: objects.Route) -> None:
-        place = (route.host.lower(), route.workspace)
-        group = self._routes[place]
-        prefix = _normal(route.prefix)
-        left = list(group[prefix])
-        left.remove(route)
-        if left:
-            group[prefix] = tuple(left)
+        key = (route.host.lower(), route.workspace)
+        group = self._routes[key]
+        prefix = _normalize_prefix(route.prefix)
+        remaining = list(group[prefix])
+        remaining.remove(route)
+        if remaining:
+            group[prefix] = tuple(remaining)
             return
         del group[prefix]
         if not group:
-            del self._routes[place]
+            del self._routes[key]
 
 
-def _order(route: objects.Route) -> tuple[str, str, str]:
+def _sort_key(route: objects.Route) -> tuple[str, str, str]:
     return route.service, route.repeat.value, route.priority.value
 
 
-def _normal(prefix: str) -> str:
-    """The prefix as it is looked up; "/" matches every path, as "" does."""
+def _normalize_prefix(prefix: str) -> str:
+    """Returns the index key of a prefix; "/" matches every path, like ""."""
     return "" if prefix == "/" else prefix
 
 
-def _longest(group: _ByPrefix, path: str) -> objects.Route | None:
-    """Looks for the path itself, then for each part of it that is left.
+def _longest_match(group: _RoutesByPrefix, path: str) -> objects.Route | None:
+    """Returns the route with the longest prefix of the path, or None.
 
-    Both spellings of a part are tried, the longer one first: "/a/" stands
-    for what is below "/a", and "/a" for the same and for itself.
+    Each parent path is tried with a trailing slash first, then without: the
+    prefix "/a/" matches paths below "/a"; "/a" matches these and "/a" itself.
     """
     candidate = path
     while candidate:
--- a/endivewind/callers/waiting.py
+++ b/endivewind/callers/waiting.py
@@ -1,4 +1,9 @@
-"""Waits for a target with a free slot, in the order that admission decides."""
+"""Request queues, one per service: requests wait here for a free slot.
+
+The gateway calls `place` for each request. Placement chooses targets, and the
+admission queue decides on the order, on fairness between workspaces and on
+what is refused.
+"""
 
 import asyncio
 import collections.abc
@@ -15,36 +20,36 @@
 from endivewind.decisions import load_balancing
 from endivewind.targets import records
 
-# Slots also get free through the work of other entries, of which this one
-# hears nothing; so the queue is looked at this often while it has waiters.
+# Slots are also freed by other entries' requests, about which this entry gets
+# no event, so a queue with waiters is polled this often.
 LOOK = datetime.timedelta(milliseconds=50)
-# Of those who wait, so many are tried for each free slot. What they ask of a
-# target differs in a few ways only; trying all would cost a long queue a
-# millisecond for each of its members at every look.
+# Waiters tried for each free slot. Their demands differ in a few ways only;
+# with a long queue, trying all would cost a millisecond per waiter at each
+# poll.
 TRIED = 8
 
 PlacedResult = expression.Result[records.TargetRecord, exchange.Refusal]
 QueueLimitOf = collections.abc.Callable[[str], int]
 
-_PRIORITIES = {
+_PRIORITY_VALUES = {
     objects.Priority.LOW: 0,
     objects.Priority.NORMAL: 1,
     objects.Priority.HIGH: 2,
 }
-# More than the ranks that a priority may have.
-_RANKS = 1_001
+# Greater than the highest rank within a priority.
+_RANK_COUNT = 1_001
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Claim:
-    """What a request asks of the waiting room.
+    """A request's need for a slot of one of a service's targets.
 
     Attributes:
-      service: the service.
-      demand: where it may be placed.
-      waiter: its place in the queue.
-      size: bytes of its body.
-      placed: its target, reserved, or why there is none.
+      service: The service.
+      demand: Which targets it may be sent to.
+      waiter: Its entry in the admission queue.
+      body_bytes: The size of its body.
+      future: The target with a reserved slot, or the refusal.
     """
 
     service: str
@@ -57,180 +62,180 @@
 def level(
     route: objects.Route, workspace: objects.Workspace | None = None
 ) -> int:
-    """A request's place in queues; a higher one goes first."""
+    """Returns a request's queue priority; higher values go first."""
     rank = route.rank
     if workspace is not None and workspace.rank is not None:
         rank = workspace.rank
-    return _PRIORITIES[route.priority] * _RANKS - rank
+    return _PRIORITY_VALUES[route.priority] * _RANK_COUNT - rank
 
 
 class WaitingRoom:
-    """The queues of all services at this entry."""
+    """The request queues of all services at this entry."""
 
     def __init__(
         self,
-        placed: placement.Placement,
-        limit_of: QueueLimitOf,
+        placement: placement.Placement,
+        queue_limit_of: QueueLimitOf,
         clock: clocks.Clock,
     ) -> None:
-        self._placement = placed
-        self._limit_of = limit_of
+        self._placement = placement
+        self._queue_limit_of = queue_limit_of
         self._clock = clock
         self._queues: dict[str, admission.ServiceQueue] = {}
-        self._claims: dict[admission.Waiter, Claim] = {}
-        self._looks: dict[str, asyncio.TimerHandle] = {}
+        self._requests: dict[admission.Waiter, Claim] = {}
+        self._timers: dict[str, asyncio.TimerHandle] = {}
 
     def waiting(self, service: str) -> int:
-        """Requests that wait here for a slot of a service."""
+        """Returns the number of requests waiting for a slot of a service."""
         return len(self._queue(service))
 
-    async def place(self, claim: Claim) -> PlacedResult:
-        """A target for the request, with its slot counted, or a refusal."""
-        queue = self._queue(claim.service)
+    async def place(self, request: Claim) -> PlacedResult:
+        """Returns a target with a slot reserved for the request, or a refusal."""
+        queue = self._queue(request.service)
         if not len(queue):
-            record = self._try(claim)
+            record = self._choose_target(request)
             if record is not None:
                 return expression.Ok(record)
-        if self._is_hopeless(claim):
-            # Nothing to wait for: the caller hears it now, not later.
-            return self._no_target(claim.service)
+        if self._is_unplaceable(request):
+            # Waiting can't help, so the caller is refused at once.
+            return self._no_target(request.service)
         now = self._clock.monotonic()
-        offered = queue.offer(claim.waiter, now)
+        offered = queue.offer(request.waiter, now)
         if isinstance(offered, admission.Rejection):
             return self._refusal(
                 exchange.Reason.BUSY, offered.reason.value, offered.retry_after
             )
         if offered is not None:
-            self._refuse(offered, admission.Reason.QUEUE_FULL)
-        claim.placed = asyncio.get_running_loop().create_future()
-        self._claims[claim.waiter] = claim
-        self._serve(claim.service)
-        return await self._wait(claim, claim.placed)
+            self._evict(offered, admission.Reason.QUEUE_FULL)
+        request.placed = asyncio.get_running_loop().create_future()
+        self._requests[request.waiter] = request
+        self._assign_free_slots(request.service)
+        return await self._wait(request, request.placed)
 
     def ended(self, service: str) -> None:
-        """Takes note of a request's end: a slot may be free."""
+        """Records the end of a request, whose slot may now be free."""
         queue = self._queue(service)
         queue.record_completion(self._clock.monotonic())
         if len(queue):
-            self._serve(service)
+            self._assign_free_slots(service)
 
     async def _wait(
-        self, claim: Claim, placed: asyncio.Future[PlacedResult]
+        self, request: Claim, future: asyncio.Future[PlacedResult]
     ) -> PlacedResult:
-        self._look_later(claim.service)
-        left = claim.waiter.deadline - self._clock.monotonic()
+        self._schedule_poll(request.service)
+        remaining = request.waiter.deadline - self._clock.monotonic()
         try:
-            async with asyncio.timeout(left.total_seconds()):
-                return await placed
+            async with asyncio.timeout(remaining.total_seconds()):
+                return await future
         except TimeoutError:
-            self._release(claim)
+            self._release_slot(request)
             return self._refusal(
                 exchange.Reason.BUSY,
                 admission.Reason.DEADLINE_TOO_SOON.value,
                 datetime.timedelta(),
             )
         except asyncio.CancelledError:
-            self._release(claim)
+            self._release_slot(request)
             raise
         finally:
-            self._queue(claim.service).remove(claim.waiter)
-            self._claims.pop(claim.waiter, None)
+            self._queue(request.service).remove(request.waiter)
+            self._requests.pop(request.waiter, None)
 
-    def _release(self, claim: Claim) -> None:
-        """Frees a slot that was reserved for a caller who has just left.
+    def _release_slot(self, request: Claim) -> None:
+        """Frees a slot reserved for a request that was cancelled meanwhile.
 
-        Else this entry would count it as in use for ever.
+        Otherwise this entry would count it as in use for ever.
         """
-        if claim.placed is None or not claim.placed.done():
+        if request.placed is None or not request.placed.done():
             return
-        if claim.placed.cancelled():
+        if request.placed.cancelled():
             return
-        result = claim.placed.result()
+        result = request.placed.result()
         if result.is_ok():
             self._placement.ended(result.ok, None, datetime.timedelta())
 
-    def _serve(self, service: str) -> None:
-        """Gives free slots to those whose turn it is.
+    def _assign_free_slots(self, service: str) -> None:
+        """Assigns free slots to the first waiters that can use them.
 
-        Load: the first in the queue may go to few targets, since it has tried
-        the others or must not fail. Harm: tried in strict order, those behind
-        it would wait for slots that they do not need, and the targets stand
-        idle.
+        Load: the first waiter may go to few targets only, because it has tried
+        the others or is not idempotent. Harm: in strict order, the waiters
+        behind it would be blocked although targets that they could use are
+        idle (head-of-line blocking).
         """
         queue = self._queue(service)
-        while any(self._offer(item) for item in queue.first_few(TRIED)):
+        while any(self._assign_slot(item) for item in queue.first_few(TRIED)):
             pass
 
-    def _offer(self, waiter: admission.Waiter) -> bool:
-        """Whether there is a slot for one that waits; it is answered then."""
-        claim = self._claims[waiter]
-        record = self._try(claim)
+    def _assign_slot(self, waiter: admission.Waiter) -> bool:
+        """Assigns a free slot to a waiter; returns False if there is none."""
+        request = self._requests[waiter]
+        record = self._choose_target(request)
         if record is None:
             return False
-        self._answer(claim, expression.Ok(record))
+        self._resolve(request, expression.Ok(record))
         return True
 
-    def _is_hopeless(self, claim: Claim) -> bool:
-        """Whether no target could take the request, however long it waits.
+    def _is_unplaceable(self, request: Claim) -> bool:
+        """Returns whether no target could take the request, even later.
 
-        Load: all nodes and targets start at once, after a loss of power.
-        Harm: callers come back at once, and a node that has heard of no
-        target yet would refuse them for seconds, with targets that announce
-        themselves in the next moment. While it settles they wait.
+        Load: all nodes and targets start at once, after a power failure. Harm:
+        callers come back at once, and a node that knows no target yet would
+        refuse them for seconds although targets are about to announce
+        themselves. So requests wait while the node discovers targets.
         """
-        if self._placement.has_candidate(claim.service, claim.demand):
+        if self._placement.has_candidate(request.service, request.demand):
             return False
-        unheard = not self._placement.admitted_slots(claim.service)
-        return not (unheard and self._placement.is_settling)
+        has_no_slots = not self._placement.admitted_slots(request.service)
+        return not (has_no_slots and self._placement.is_settling)
 
-    def _look(self, service: str) -> None:
-        del self._looks[service]
-        self._serve(service)
-        self._give_up(service)
+    def _poll(self, service: str) -> None:
+        del self._timers[service]
+        self._assign_free_slots(service)
+        self._refuse_unplaceable(service)
         if len(self._queue(service)):
-            self._look_later(service)
+            self._schedule_poll(service)
 
-    def _give_up(self, service: str) -> None:
-        """Refuses those that wait for targets which have not come."""
+    def _refuse_unplaceable(self, service: str) -> None:
+        """Refuses waiters for which no target has been discovered."""
         if self._placement.is_settling:
             return
         for waiter in self._queue(service).first_few(TRIED):
-            claim = self._claims[waiter]
-            if self._is_hopeless(claim):
-                self._answer(claim, self._no_target(service))
+            request = self._requests[waiter]
+            if self._is_unplaceable(request):
+                self._resolve(request, self._no_target(service))
 
-    def _look_later(self, service: str) -> None:
-        if service not in self._looks:
+    def _schedule_poll(self, service: str) -> None:
+        if service not in self._timers:
             loop = asyncio.get_running_loop()
-            self._looks[service] = loop.call_later(
-                LOOK.total_seconds(), self._look, service
+            self._timers[service] = loop.call_later(
+                LOOK.total_seconds(), self._poll, service
             )
 
-    def _try(self, claim: Claim) -> records.TargetRecord | None:
-        record = self._placement.choose(claim.service, claim.demand)
+    def _choose_target(self, request: Claim) -> records.TargetRecord | None:
+        record = self._placement.choose(request.service, request.demand)
         if record is not None:
-            self._placement.started(record, claim.size)
+            self._placement.started(record, request.size)
         return record
 
-    def _refuse(
-        self, refused: admission.Waiter, reason: admission.Reason
+    def _evict(
+        self, evicted: admission.Waiter, reason: admission.Reason
     ) -> None:
-        claim = self._claims[refused]
-        wait = self._queue(claim.service).expected_wait(refused.priority)
-        self._answer(
-            claim, self._refusal(exchange.Reason.BUSY, reason.value, wait)
+        request = self._requests[evicted]
+        wait = self._queue(request.service).expected_wait(evicted.priority)
+        self._resolve(
+            request, self._refusal(exchange.Reason.BUSY, reason.value, wait)
         )
 
-    def _answer(self, claim: Claim, result: PlacedResult) -> None:
-        self._queue(claim.service).remove(claim.waiter)
-        del self._claims[claim.waiter]
-        assert claim.placed is not None
-        if claim.placed.done():
-            # Its caller has left in this very moment.
+    def _resolve(self, request: Claim, result: PlacedResult) -> None:
+        self._queue(request.service).remove(request.waiter)
+        del self._requests[request.waiter]
+        assert request.placed is not None
+        if request.placed.done():
+            # The request was cancelled at the same moment.
             if result.is_ok():
                 self._placement.ended(result.ok, None, datetime.timedelta())
             return
-        claim.placed.set_result(result)
+        request.placed.set_result(result)
 
     def _no_target(self, service: str) -> PlacedResult:
         return self._refusal(
@@ -242,17 +247,17 @@
     def _refusal(
         self, reason: exchange.Reason, detail: str, wait: datetime.timedelta
     ) -> PlacedResult:
-        least = max(wait, placement.LEAST_RETRY)
+        minimum = max(wait, placement.LEAST_RETRY)
         return expression.Error(
             exchange.not_run(
-                reason, detail, self._placement.come_back_after(least)
+                reason, detail, self._placement.come_back_after(minimum)
             )
         )
 
     def _queue(self, service: str) -> admission.ServiceQueue:
-        known = self._queues.get(service)
-        if known is None:
-            known = admission.ServiceQueue(self._limit_of(service))
-            self._queues[service] = known
-        known.configure(self._limit_of(service))
-        return known
+        queue = self._queues.get(service)
+        if queue is None:
+            queue = admission.ServiceQueue(self._queue_limit_of(service))
+            self._queues[service] = queue
+        queue.configure(self._queue_limit_of(service))
+        return queue
