--- a/endivewind/callers/__init__.py
+++ b/endivewind/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The side towards callers: listener, routing, tickets, outcomes."""
+"""The side towards callers: HTTP listener, routing, placement and tickets."""
--- a/endivewind/callers/calls.py
+++ b/endivewind/callers/calls.py
@@ -1,4 +1,8 @@
-"""One request of a caller, and how callers speak."""
+"""Callers' requests as the listener handles them, and their conventions.
+
+The listener creates a `CallerRequest` for each HTTP request, and uses
+`CallerConventions` to map headers between callers and targets.
+"""
 
 import asyncio
 import dataclasses
@@ -14,22 +18,22 @@
 from endivewind.callers import tickets
 from endivewind.config import objects
 
-_MAX_ID = 128
-_ID_BYTES = 16
-# What only the system may say to a caller.
-_OWN_FIELDS = (headers.OUTCOME, headers.REASON)
+_MAX_REQUEST_ID_LENGTH = 128
+_REQUEST_ID_BYTES = 16
+# Headers that only the fleet may set; removed from targets' responses.
+_RESERVED_HEADERS = (headers.OUTCOME, headers.REASON)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dialect:
-    """How callers speak to this node.
+    """The headers and options by which callers use this node.
 
     Attributes:
-      names: the headers that they use.
-      caller_service: the service on this VM, which targets are told; empty
-        where there is none.
-      tickets: whether work that must not repeat needs a ticket; else the id
-        of each request names it.
+      header_names: The names of the headers.
+      caller_service: The service on this VM, which is passed to targets as the
+        caller; empty if there is none.
+      uses_tickets: Whether requests that are not idempotent need a ticket;
+        otherwise they are identified by their request id.
     """
 
     names: headers.HeaderNames = headers.DEFAULT_NAMES
@@ -38,14 +42,14 @@
 
 
 class Call:
-    """One request of a caller, and what is known of it so far."""
+    """One request of a caller, with what routing has added to it so far."""
 
-    def __init__(self, request: web.BaseRequest, dialect: Dialect) -> None:
+    def __init__(self, request: web.BaseRequest, conventions: Dialect) -> None:
         self.request = request
-        self._dialect = dialect
-        self.request_id = _request_id(request, dialect.names)
+        self._conventions = conventions
+        self.request_id = _request_id(request, conventions.names)
         self.workspace = request.headers.get(headers.WORKSPACE, "")
-        # Whether its workspace is the holder of its key, not what it says.
+        # Whether the workspace was determined by its key, not by its header.
         self.is_keyed = False
         self.ticket = request.headers.get(headers.IDEMPOTENCY_KEY, "")
         self.once = False
@@ -54,41 +58,41 @@
         self.body = exchange.RequestBody()
         self.deadline = datetime.timedelta()
 
-    def identify(self, holder: str) -> None:
-        """Takes whose key it bears, empty if nobody's."""
-        self.workspace = holder
+    def identify(self, workspace: str) -> None:
+        """Sets the workspace that its key belongs to; empty if to none."""
+        self.workspace = workspace
         self.is_keyed = True
 
     @property
     def key(self) -> str:
-        """What it sends to show whose it is."""
+        """The value of its Authorization header."""
         return self.request.headers.get(headers.AUTHORIZATION, "")
 
     @property
     def ticketed(self) -> bool:
-        """Whether it must not repeat and needs a ticket."""
-        return self.once and self._dialect.tickets
+        """Whether it is not idempotent and so needs a ticket."""
+        return self.once and self._conventions.tickets
 
     @property
     def work_name(self) -> str:
-        """What names its work at the homes, if it must not repeat."""
-        return self.ticket if self._dialect.tickets else self.request_id
+        """The id by which homes recognize repeats, if it is not idempotent."""
+        return self.ticket if self._conventions.tickets else self.request_id
 
     @property
     def host(self) -> str:
-        """The host that it asks for, without a port."""
-        return _host(self.request.headers.get("Host", ""))
+        """The requested host without its port."""
+        return _strip_port(self.request.headers.get("Host", ""))
 
     @property
     def path(self) -> str:
-        """Path and query as sent, without scheme and host."""
+        """The path and query as sent, without scheme and host."""
         path = self.request.raw_path
         return (
             path if path.startswith("/") else self.request.rel_url.raw_path_qs
         )
 
     def remaining(self) -> datetime.timedelta:
-        """Time left until the deadline; never zero."""
+        """Returns the time left until the deadline, at least 1 ms."""
         return max(self.deadline - now(), datetime.timedelta(milliseconds=1))
 
     def refuse(
@@ -97,22 +101,24 @@
         detail: str,
         retry_after: datetime.timedelta | None = None,
     ) -> exchange.Refusal:
-        """A refusal of this send by the entry."""
+        """Returns a refusal of this request by the entry."""
         refusal = exchange.not_run(reason, detail, retry_after)
-        if self._dialect.tickets and tickets.parse(self.ticket) is not None:
+        if self._conventions.tickets and tickets.parse(self.ticket) is not None:
             refusal = ticketing.unconfirmed(refusal)
         return refusal
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestFields:
-    """Which headers of a request go on to a target.
+    """Selects the headers of a request that are forwarded to a target.
 
     Attributes:
-      dropped: as bytes in lower case, since every header is compared.
-      key: where callers send their key; dropped where workspaces have keys.
-      request_id: name of the request's id.
-      added: what the system itself says to every target.
+      dropped_names: The headers that are not forwarded, as bytes in lower
+        case because every header is looked up here.
+      key_name: The header with the caller's key, which is not forwarded where
+        workspaces have keys.
+      request_id_name: The header with the request id.
+      added_headers: Headers that the node adds to every request.
     """
 
     dropped: frozenset[bytes]
@@ -121,10 +127,10 @@
     added: exchange.HeaderList
 
     @classmethod
-    def from_dialect(cls, dialect: Dialect) -> "RequestFields":
-        """The fields for callers that speak so."""
-        names = dialect.names
-        own = (
+    def from_dialect(cls, conventions: Dialect) -> "RequestFields":
+        """Returns the filter for callers with these conventions."""
+        names = conventions.names
+        fleet_headers = (
             names.request_id,
             names.caller_service,
             names.expected_target,
@@ -132,13 +138,13 @@
         )
         dropped = frozenset(
             name.lower().encode()
-            for name in (*headers.HOP_BY_HOP, "expect", *own)
+            for name in (*headers.HOP_BY_HOP, "expect", *fleet_headers)
             if name
         )
         added: exchange.HeaderList = ()
-        if names.caller_service and dialect.caller_service:
+        if names.caller_service and conventions.caller_service:
             name = names.caller_service.encode()
-            added = ((name, dialect.caller_service.encode()),)
+            added = ((name, conventions.caller_service.encode()),)
         key = headers.AUTHORIZATION.lower().encode()
         return cls(dropped, key, names.request_id.encode(), added)
 
@@ -149,56 +155,66 @@
         *,
         drop_key: bool = False,
     ) -> exchange.HeaderList:
-        """The headers that a target gets; its home adds the workspace."""
-        named = [self.key] if drop_key else []
-        named += [
+        """Returns the headers for a target; its home adds the workspace."""
+        dropped_by_request = [self.key] if drop_key else []
+        dropped_by_request += [
             token.strip().lower()
             for name, value in raw
             if name.lower() == b"connection"
             for token in value.split(b",")
         ]
-        dropped = self.dropped.union(named) if named else self.dropped
-        kept = [item for item in raw if item[0].lower() not in dropped]
-        kept.append((self.request_id, request_id.encode()))
-        kept.extend(self.added)
-        return tuple(kept)
+        dropped = (
+            self.dropped.union(dropped_by_request)
+            if dropped_by_request
+            else self.dropped
+        )
+        forwarded = [item for item in raw if item[0].lower() not in dropped]
+        forwarded.append((self.request_id, request_id.encode()))
+        forwarded.extend(self.added)
+        return tuple(forwarded)
 
 
 def headers_out(
-    answer: exchange.Response, call: Call, names: headers.HeaderNames
+    response: exchange.Response, call: Call, names: headers.HeaderNames
 ) -> multidict.CIMultiDict[str]:
-    """The headers of an answer as the caller gets them."""
+    """Returns the headers of a response as they are sent to the caller."""
     fields = multidict.CIMultiDict(
         [
             (name.decode("latin-1"), value.decode("utf-8", "surrogateescape"))
-            for name, value in answer.headers
+            for name, value in response.headers
         ]
     )
-    for name in _OWN_FIELDS:
+    for name in _RESERVED_HEADERS:
         fields.popall(name, None)
     fields[names.request_id] = call.request_id
     return fields
 
 
 def now() -> datetime.timedelta:
-    """Time of the running loop."""
+    """Returns the time of the running event loop."""
     return datetime.timedelta(seconds=asyncio.get_running_loop().time())
 
 
-def _host(field: str) -> str:
-    """The Host field without its port."""
-    if field.endswith("]"):
-        return field
-    host, colon, _ = field.rpartition(":")
-    return host if colon else field
+def _strip_port(host_header: str) -> str:
+    """Returns a Host header without its port."""
+    if host_header.endswith("]"):
+        return host_header
+    host, colon, _ = host_header.rpartition(":")
+    return host if colon else host_header
 
 
 def _request_id(request: web.BaseRequest, names: headers.HeaderNames) -> str:
-    given = request.headers.get(names.request_id, "")
-    usable = 0 < len(given) <= _MAX_ID and given.isascii()
-    return given if usable and given.isprintable() else new_request_id()
+    given_id = request.headers.get(names.request_id, "")
+    is_short_ascii = (
+        0 < len(given_id) <= _MAX_REQUEST_ID_LENGTH and given_id.isascii()
+    )
+    return (
+        given_id
+        if is_short_ascii and given_id.isprintable()
+        else new_request_id()
+    )
 
 
 def new_request_id() -> str:
-    """An id for a request that brought none."""
-    return os.urandom(_ID_BYTES).hex()
+    """Returns an id for a request that has none."""
+    return os.urandom(_REQUEST_ID_BYTES).hex()
--- a/endivewind/callers/connections.py
+++ b/endivewind/callers/connections.py
@@ -1,9 +1,9 @@
-"""Callers' connections: HTTP by aiohttp, with pipelined requests side by side.
+"""Callers' connections: an aiohttp server that runs pipelined requests at once.
 
-aiohttp parses the requests of a connection and hands them to the listener one
-at a time, in order; answers go out in that order too. Requests that have been
-read behind the one in hand are begun here before their turn, where all of them
-may be repeated, and their results are kept until it comes.
+aiohttp parses the requests of a connection and passes them to the listener one
+at a time; responses are sent in the same order. Idempotent requests that were
+received behind the current one are started early here, and their results are
+kept until their turn comes.
 """
 
 import asyncio
@@ -25,10 +25,10 @@
 
 log = logging.getLogger(__name__)
 
-# Requests of one connection that are begun before their turn. Clients that
-# send ahead keep a handful open; each held answer takes up to 64 KB here (a
-# longer one stays a stream that is not read), so that a connection holds half
-# a megabyte at most.
+# Requests of one connection that are started before their turn. Clients that
+# pipeline usually have a handful outstanding. Each response held back takes up
+# to 64 KB (a longer one remains an unread stream), so that a connection holds
+# half a megabyte at most.
 MAX_AHEAD = 8
 
 AnswerResult = expression.Result[exchange.Response, exchange.Refusal]
@@ -39,9 +39,9 @@
     """A request that is being served.
 
     Attributes:
-      call: the request, and what is known of it.
-      started: when it was begun.
-      task: serves it, where it was begun before its turn.
+      call: The request.
+      started: When it was started.
+      task: The task that serves it, if it was started before its turn.
     """
 
     call: calls.Call
@@ -49,9 +49,9 @@
     task: asyncio.Task[AnswerResult] | None = None
 
 
-# Begins a request before its turn; None where it must wait for it.
+# Starts a request before its turn; returns None if it must wait for its turn.
 Begin = collections.abc.Callable[[web.BaseRequest], Begun | None]
-# Ends a request that was begun and whose caller has left.
+# Cancels a request that was started early and whose caller has disconnected.
 Drop = collections.abc.Callable[[Begun], None]
 Handle = collections.abc.Callable[
     [web.BaseRequest], collections.abc.Awaitable[web.StreamResponse]
@@ -59,7 +59,7 @@
 
 
 class Server(web.Server):
-    """An HTTP server whose own errors tell the outcome, too."""
+    """An HTTP server whose own error responses carry the outcome headers."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         self._options = options
 
     def __call__(self) -> web.RequestHandler:
-        """The handler of one connection."""
+        """Returns the handler of a new connection."""
         options = {**self._options, **self._connection_options()}
         return Connection(self, loop=asyncio.get_running_loop(), **options)
 
@@ -84,69 +84,75 @@
 class Connection(web.RequestHandler):
     """One caller's connection.
 
-    Load: callers that send their next look-ups before the first is answered.
-    Harm: served one after the other, each waits for all before it, and a slow
-    first one makes the rest late although targets are free. Begun together
-    they take as long as the slowest. Only requests that may be repeated, in an
-    unbroken row from the one in hand, run side by side: the caller of an order
-    may count on what it has sent before.
+    Load: callers that pipeline look-ups. Harm: served one after the other,
+    each waits for all before it, and a slow first one delays the rest although
+    targets are free (head-of-line blocking). Run concurrently they take as
+    long as the slowest. Only an unbroken sequence of idempotent requests from
+    the current one on is run concurrently, since an order may depend on the
+    requests sent before it.
     """
 
-    __slots__ = ("_ahead", "_is_open", "_server")
+    __slots__ = ("_allows_early", "_early_requests", "_server")
 
     def __init__(self, server: Server, **options: Any) -> None:
         super().__init__(server, **options)
         self._server = server
-        self._ahead: collections.deque[Begun] = collections.deque()
-        self._is_open = False
+        self._early_requests: collections.deque[Begun] = collections.deque()
+        self._allows_early = False
 
     @property
     def has_begun(self) -> bool:
-        """Whether requests behind the one in hand have been begun."""
-        return bool(self._ahead)
+        """Whether requests behind the current one have been started."""
+        return bool(self._early_requests)
 
     def turn(self) -> Begun | None:
-        """The request whose turn has come, if it was begun before."""
-        return self._ahead.popleft() if self._ahead else None
+        """Returns the request whose turn has come, if it was started early."""
+        return self._early_requests.popleft() if self._early_requests else None
 
     def open_turn(self) -> None:
-        """Lets others run beside the request in hand, which may be repeated."""
-        self._is_open = True
-        self._begin_ahead()
+        """Starts requests behind the current one, which must be idempotent."""
+        self._allows_early = True
+        self._start_early_requests()
 
     def end_turn(self) -> None:
-        """Takes the end of the request in hand."""
-        self._is_open = False
+        """Stops starting requests early, as the current one has ended."""
+        self._allows_early = False
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes; begins the requests in them that need not wait."""
+        """Parses received bytes and starts requests that need not wait."""
         super().data_received(data)
-        self._begin_ahead()
+        self._start_early_requests()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Ends what was begun: nobody is left to be answered."""
+        """Cancels the requests that were started early."""
         super().connection_lost(exc)
-        self._is_open = False
-        while self._ahead:
-            self._server.drop(self._ahead.popleft())
+        self._allows_early = False
+        while self._early_requests:
+            self._server.drop(self._early_requests.popleft())
 
-    def _begin_ahead(self) -> None:
-        if not self._is_open:
+    def _start_early_requests(self) -> None:
+        if not self._allows_early:
             return
-        # aiohttp has no public way to see what it has parsed. The first of
-        # these are the ones begun already.
-        waiting = itertools.islice(self._messages, len(self._ahead), MAX_AHEAD)
-        for message, payload in list(waiting):
-            begun = self._begin(message, payload)
-            if begun is None:
+        # aiohttp has no public access to the parsed requests. The first of
+        # them have been started already.
+        messages = itertools.islice(
+            self._messages, len(self._early_requests), MAX_AHEAD
+        )
+        for message, payload in list(messages):
+            active = self._start_early(message, payload)
+            if active is None:
                 return
-            self._ahead.append(begun)
+            self._early_requests.append(active)
 
-    def _begin(self, message: Any, payload: Any) -> Begun | None:
+    def _start_early(self, message: Any, payload: Any) -> Begun | None:
         if not isinstance(message, http.RawRequestMessage):
-            # What could not be parsed is answered in its turn.
+            # Messages that could not be parsed are answered in their turn.
             return None
-        last = self._ahead[-1].call.request if self._ahead else None
+        last = (
+            self._early_requests[-1].call.request
+            if self._early_requests
+            else None
+        )
         if last is not None and not last.keep_alive:
             return None
         assert self._task_handler is not None
@@ -167,14 +173,16 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answers what is not HTTP, or what a fault here has left open."""
+        """Returns the error response for invalid HTTP or an internal error."""
         if request.writer.output_size > 0:
-            raise ConnectionError("an answer has begun already")
+            raise ConnectionError(
+                "cannot send an error: the response has already started"
+            )
         if status < 500:
             detail = (message or "not a valid request").strip()
             refusal = exchange.not_run(exchange.Reason.BAD_REQUEST, detail)
         else:
-            log.error("request failed", exc_info=exc)
+            log.error("internal error while serving a request", exc_info=exc)
             refusal = exchange.outcome_unknown(
                 exchange.Reason.INTERNAL, "the node failed"
             )
--- a/endivewind/callers/gateway.py
+++ b/endivewind/callers/gateway.py
@@ -1,4 +1,9 @@
-"""Serves a request: routes it, places it and passes it to a target's home."""
+"""The gateway: routes a request, chooses a target and sends the request there.
+
+The listener and the ticket handler call it. It retries within the service's
+retry budget, sends hedged requests, and applies workspace quotas and the
+protection against poison requests.
+"""
 
 import asyncio
 import collections.abc
@@ -38,39 +43,42 @@
 
 AnswerResult = routed.AnswerResult
 
-# Hears how requests went at targets of other homes.
+# Called with the result of each request to a target of another home.
 Witness = collections.abc.Callable[
     [records.TargetRecord, str, AnswerResult, datetime.timedelta], None
 ]
 
-# Homes that are asked for one request; most of them refuse before their target
-# has any work of it, and each costs a hop. A full target rests for a quarter of
-# its work's length, so that these last for some lengths of it: an order with a
-# deadline of many lengths is not refused in the first of them.
+# Attempts of one request, each at a home. Most attempts beyond the first few are
+# refused before the target receives anything, and each costs a hop. A full
+# target has a cooldown of a quarter of its usual latency, so the attempts last
+# for several latencies, and an order with a deadline of many latencies is not
+# refused within the first one.
 MAX_PLACINGS = 16
-# When a second target is asked, as a part of the time that its answer has:
-# nineteen in twenty have answered by then, and the second one still has time
-# to.
+# Delay of a hedged request, as a share of the latency objective. About 95 % of
+# requests have a response by then, and the second target still has time for
+# one.
 HEDGE_SHARE = 0.6
-# When it is asked although few retries are left: what is silent for so long has
-# failed, though nothing has ended.
+# Delay after which a hedged request is sent although few retries are left: an
+# attempt without a response for so long counts as failed.
 FAILED_SHARE = 1.0
-# Part of the retry budget that may be spent before doubtful targets are left
-# alone, and slow answers waited for: the rest is for requests that have
-# failed. One that is late is worth something, one that failed is not.
+# Spent share of the retry budget above which suspect targets are no longer
+# probed and slow responses no longer hedged. The rest is kept for failed
+# requests, since a late response is worth something and a failure nothing.
 CHOSEN_SPENT = 0.4
-# Each time to ask a second target, with the retries that may be spent before.
-_HEDGES = ((HEDGE_SHARE, CHOSEN_SPENT), (FAILED_SHARE, 1.0))
-# From this part on every retry has several takers.
+# Delays of hedged requests, each with the spent share of the retry budget up to
+# which it applies.
+_HEDGE_STAGES = ((HEDGE_SHARE, CHOSEN_SPENT), (FAILED_SHARE, 1.0))
+# Spent share of the retry budget from which several requests compete for each
+# retry.
 CARE_SPENT = 0.75
-# Part of the time left to a request that it may wait for a slot.
+# Share of a request's remaining time that it may wait in the request queue.
 WAIT_SHARE = 0.5
-# A home hears of a failure before the entry does.
+# Added to the entry's estimate, because a home learns of failures earlier.
 RISK_MARGIN = 0.1
 
 
 class Gateway:
-    """What happens to a request between the listener and the home."""
+    """Serves requests by sending them to targets, with retries and hedging."""
 
     def __init__(
         self,
@@ -81,14 +89,14 @@
         dispatcher: dispatch.Dispatcher,
         pool: links.LinkPool,
         clock: clocks.Clock,
-        witness: Witness | None = None,
+        observer: Witness | None = None,
         rng: random.Random | None = None,
-        origin: origins.Origins | None = None,
-        quota: allowances.Allowances | None = None,
+        ingress_routes: origins.Origins | None = None,
+        quota_client: allowances.Allowances | None = None,
     ) -> None:
-        self._origins = origin or origins.Origins(clock)
+        self._ingress_routes = ingress_routes or origins.Origins(clock)
         self._rng = rng or random.Random()
-        self._witness = witness
+        self._observer = observer
         self._node = node
         self._placement = placement
         self._configuration = configuration
@@ -96,65 +104,69 @@
         self._dispatcher = dispatcher
         self._pool = pool
         self._clock = clock
-        self._table = routing.RoutingTable()
+        self._routing_table = routing.RoutingTable()
         self._budgets = budgets.RetryBudgets(
             configuration, fleet, placement.place, clock
         )
-        self._quota = quota
-        self._crashes = crashes.CrashWatch(clock)
+        self._quota_client = quota_client
+        self._poison_guard = crashes.CrashWatch(clock)
         self._workspaces = workspaces.Workspaces(configuration)
-        self._waiting = waiting.WaitingRoom(placement, self._queue_limit, clock)
-        self._counts = counts.RequestCounts(clock)
-        self._limits: objects.CallerLimits | None = None
+        self._request_queues = waiting.WaitingRoom(
+            placement, self._queue_limit, clock
+        )
+        self._metrics = counts.RequestCounts(clock)
+        self._caller_limits: objects.CallerLimits | None = None
         self._splitters: dict[
             objects.Route, traffic_splitting.TrafficSplitter
         ] = {}
-        self._open: set[routed.RoutedRequest] = set()
+        self._active_requests: set[routed.RoutedRequest] = set()
 
     @property
     def origins(self) -> origins.Origins:
-        """Which ways are callers'."""
-        return self._origins
+        """The routes by which requests of callers enter the fleet."""
+        return self._ingress_routes
 
     @property
     def workspaces(self) -> workspaces.Workspaces:
-        """The workspaces in force."""
+        """The workspaces of the current configuration."""
         return self._workspaces
 
     @property
     def budgets(self) -> budgets.RetryBudgets:
-        """What this entry may retry."""
+        """The retry budgets of this entry."""
         return self._budgets
 
     @property
     def counts(self) -> counts.RequestCounts:
-        """Counts of this entry's requests."""
-        return self._counts
+        """The request metrics of this entry."""
+        return self._metrics
 
     def configure(self, kind: str, name: str) -> None:
-        """Takes one object that has come into force."""
+        """Applies a changed object of the configuration."""
         if kind == store.ROUTE_GROUP:
             group = self._configuration.route_group(name)
-            self._table.replace(name, group.routes if group else ())
+            self._routing_table.replace(name, group.routes if group else ())
         elif kind == store.DOCUMENT:
             document = self._configuration.document(name)
-            self._table.replace(name, document.routes if document else ())
-            self._limits = document.limits if document else None
+            self._routing_table.replace(
+                name, document.routes if document else ()
+            )
+            self._caller_limits = document.limits if document else None
             self._splitters.clear()
         self._workspaces.configure(kind, name)
 
     def _queue_limit(self, service: str) -> int:
-        found = self._configuration.service(service) or objects.Service()
-        return found.queue_limit
+        settings = self._configuration.service(service) or objects.Service()
+        return settings.queue_limit
 
     def route(
         self, host: str, path: str, workspace: str
     ) -> objects.Route | None:
-        """The route of a request, or None."""
-        return self._table.match(host, path, workspace)
+        """Returns the route of a request, or None."""
+        return self._routing_table.match(host, path, workspace)
 
     def service_of(self, route: objects.Route) -> str:
-        """The service that takes the next request of a route."""
+        """Returns the service for the next request of a route."""
         if not route.split:
             return route.service
         splitter = self._splitters.get(route)
@@ -168,20 +180,20 @@
         return splitter.next_service()
 
     def limits(self) -> objects.CallerLimits | None:
-        """What callers are held to by the configuration, if it says so."""
-        return self._limits
+        """Returns the configured limits for callers, or None."""
+        return self._caller_limits
 
     def timeout(self, route: objects.Route) -> datetime.timedelta | None:
-        """How long a route lets its callers wait, if it says so."""
+        """Returns the configured time limit of a route, or None."""
         if not route.timeout_ms:
             return None
         return datetime.timedelta(milliseconds=route.timeout_ms)
 
     def default_timeout(self, route: objects.Route) -> datetime.timedelta:
-        """The deadline of a request that brings none on such a route."""
+        """Returns the time limit of a request that sets none itself."""
         name = route.service or route.split[0].service
-        found = self._configuration.service(name) or objects.Service()
-        return datetime.timedelta(milliseconds=found.timeout_ms)
+        settings = self._configuration.service(name) or objects.Service()
+        return datetime.timedelta(milliseconds=settings.timeout_ms)
 
     async def serve(
         self,
@@ -189,81 +201,93 @@
         head: exchange.RequestHead,
         body: exchange.RequestBody,
     ) -> AnswerResult:
-        """Places a request until a target has run it or may have run it."""
+        """Sends a request to targets until one has, or may have, executed it.
+
+        Returns:
+          The target's response, or a refusal.
+        """
         started = self._clock.monotonic()
         deadline = started + head.remaining
-        refused = self._crashes.refusal(head, body)
-        refused = refused or await self._over_quota(head.workspace)
+        refused = self._poison_guard.refusal(head, body)
+        refused = refused or await self._quota_refusal(head.workspace)
         if refused is not None:
             return expression.Error(refused)
         call = routed.RoutedRequest(route, head, body, deadline, started)
         call.task = asyncio.current_task()
-        self._open.add(call)
+        self._active_requests.add(call)
         try:
-            told = await self._serve(call)
+            result = await self._run_attempts(call)
         except asyncio.CancelledError:
             if not call.was_ended():
                 raise
-            told = call.told_at_end()
+            result = call.told_at_end()
         finally:
-            self._open.discard(call)
-        self._return_quota(head.workspace, told)
-        told = self._with_a_time(told)
-        self._log(call, told)
-        return told
+            self._active_requests.discard(call)
+        self._refund_quota(head.workspace, result)
+        result = self._with_retry_after(result)
+        self._log(call, result)
+        return result
 
-    def _with_a_time(self, told: AnswerResult) -> AnswerResult:
-        """A refusal of work that has not run, with the time to come back.
+    def _with_retry_after(self, result: AnswerResult) -> AnswerResult:
+        """Adds a Retry-After to a refusal of a request that was not executed.
 
-        Homes and targets refuse without one, since the entry may have others
-        to ask. Its caller, told nothing, comes back at once or never.
+        Homes and targets refuse without one, since the entry may try others.
+        Without it callers would retry immediately or not at all.
         """
-        if told.is_ok() or not told.error.was_not_run:
-            return told
-        if told.error.retry_after is not None:
-            return told
+        if result.is_ok() or not result.error.was_not_run:
+            return result
+        if result.error.retry_after is not None:
+            return result
         wait = self._placement.come_back_after(placement.LEAST_RETRY)
-        refusal = dataclasses.replace(told.error, retry_after=wait)
+        refusal = dataclasses.replace(result.error, retry_after=wait)
         return expression.Error(refusal)
 
     def end_all(self) -> None:
-        """Ends every request now; each caller hears what is known of it."""
-        for call in list(self._open):
+        """Cancels all requests; callers get the outcome as far as known."""
+        for call in list(self._active_requests):
             call.end()
 
-    async def _serve(self, call: routed.RoutedRequest) -> AnswerResult:
-        """Tries targets until one has answered or no other may be tried."""
-        self._count(call)
-        last = await self._first(call)
+    async def _run_attempts(self, call: routed.RoutedRequest) -> AnswerResult:
+        """Makes attempts until one succeeds or no further one is allowed."""
+        self._count_request(call)
+        last = await self._place_undelivered(call)
         while call.may_go_on(MAX_PLACINGS) and call.may_place_again(last):
-            if self._crashes.refusal(call.head, call.body) is not None:
+            if self._poison_guard.refusal(call.head, call.body) is not None:
                 break
-            record = self._moved(call, last)
+            record = self._relocated_target(call, last)
             if record is None and routed.was_unseen(last):
-                last = await self._again(call, last)
+                last = await self._requeue(call, last)
                 continue
             if record is None:
-                if not self._pays(call.head.service):
+                if not self._take_retry(call.head.service):
                     break
-                last = await self._placed(call, call.demand(may_probe=False))
+                last = await self._place_and_send(
+                    call, call.demand(may_probe=False)
+                )
                 continue
             self._placement.started(record, len(call.body.buffered))
             last = await self._attempt(call, record)
         return call.told(last)
 
-    def _count(self, call: routed.RoutedRequest) -> None:
-        """Counts a request towards the retries of its service, or as one."""
+    def _count_request(self, call: routed.RoutedRequest) -> None:
+        """Adds a request to its service's retry budget, or charges a retry.
+
+        Requests of callers add to the budget. Those from other targets are
+        charged with the probability that they are retries.
+        """
         service, prefix = call.head.service, call.route.prefix
-        if self._origins.is_caller(service, prefix):
+        if self._ingress_routes.is_caller(service, prefix):
             self._budgets.of(service).record_request(call.started)
-        share = self._origins.repeat_share(service, prefix)
+        share = self._ingress_routes.repeat_share(service, prefix)
         if share:
             self._budgets.charge(service, share)
 
-    def _log(self, call: routed.RoutedRequest, told: AnswerResult) -> None:
-        """One line for a request that took more than one plain answer."""
-        plain = told.is_ok() and told.ok.status not in routed.FAILED_STATUS
-        if plain and call.tries <= 1:
+    def _log(self, call: routed.RoutedRequest, result: AnswerResult) -> None:
+        """Logs a request unless its first attempt was successful."""
+        is_plain = (
+            result.is_ok() and result.ok.status not in routed.FAILED_STATUS
+        )
+        if is_plain and call.tries <= 1:
             return
         spent = self._clock.monotonic() - call.started
         fields = logs.fields(
@@ -271,27 +295,27 @@
             service=call.head.service,
             prefix=call.route.prefix,
             once=not call.repeatable,
-            result=routed.word(told),
+            result=routed.word(result),
             milliseconds=routed.milliseconds(spent),
             tries=[step.as_fields() for step in call.steps],
         )
         log.info("request", extra=fields)
 
-    def _pays(self, service: str) -> bool:
-        """Takes one retry from the budget; False where none is left.
+    def _take_retry(self, service: str) -> bool:
+        """Takes one retry from the budget; returns False if none is left.
 
-        While requests wait here for slots a retry would take the place of
-        one of them; then this entry does not use what others have left.
+        While requests wait here for slots, a retry would displace one of them,
+        so this entry then doesn't borrow retries that other entries left over.
         """
         return self._budgets.of(service).take(
             self._clock.monotonic(),
-            may_borrow=not self._waiting.waiting(service),
+            may_borrow=not self._request_queues.waiting(service),
         )
 
-    def _moved(
+    def _relocated_target(
         self, call: routed.RoutedRequest, last: AnswerResult
     ) -> records.TargetRecord | None:
-        """The target just tried, at the later home that the last one named."""
+        """Returns the last target at its new home, if the old one named it."""
         if last.is_ok() or call.record is None:
             return None
         home = self._fleet.nodes.get(last.error.moved_to)
@@ -301,21 +325,25 @@
             call.record, home=home.name, home_incarnation=home.incarnation
         )
 
-    async def _again(
+    async def _requeue(
         self, call: routed.RoutedRequest, last: AnswerResult
     ) -> AnswerResult:
-        """Puts a request back into the queue that its home had no slot for."""
+        """Places a request again that did not reach a target."""
         if last.error.reason is exchange.Reason.BUSY and call.record:
-            # It rests for a moment, and may be the only one there is.
+            # A busy target is eligible again: after its cooldown it may be the
+            # only one available.
             call.tried.discard(call.record.id)
-        return await self._first(call)
+        return await self._place_undelivered(call)
 
-    async def _first(self, call: routed.RoutedRequest) -> AnswerResult:
-        """Sends a request that no target has seen.
+    async def _place_undelivered(
+        self, call: routed.RoutedRequest
+    ) -> AnswerResult:
+        """Places a request of which no target has received anything.
 
-        Load: most of a service fails, and its retries run out. Harm: a
-        look-up that may be tried again in theory goes to a doubtful target,
-        and its failure is final. It is placed as carefully as an order.
+        Load: most of a service fails, and its retries run out. Harm: an
+        idempotent request goes to a suspect target because it could be
+        retried, but no retry is left and its failure is final. So its target
+        is then chosen as carefully as for a non-idempotent request.
         """
         budget = self._budgets.of(call.head.service)
         spent = budget.spent_share(self._clock.monotonic())
@@ -323,15 +351,15 @@
             may_probe=spent <= CHOSEN_SPENT,
             is_last=spent >= CARE_SPENT and budget.has_any,
         )
-        return await self._placed(call, demand)
+        return await self._place_and_send(call, demand)
 
-    async def _placed(
+    async def _place_and_send(
         self, call: routed.RoutedRequest, demand: load_balancing.Demand
     ) -> AnswerResult:
-        """Waits for a slot within the fair order, and sends the request."""
-        owner = self._workspaces.get(call.head.workspace)
-        weight = owner.weight if owner else 1
-        placed = await self._waiting.place(
+        """Waits in the request queue for a slot and sends the request."""
+        workspace = self._workspaces.get(call.head.workspace)
+        weight = workspace.weight if workspace else 1
+        placed = await self._request_queues.place(
             waiting.Claim(
                 call.head.service,
                 demand,
@@ -339,7 +367,7 @@
                     call.head.workspace,
                     weight,
                     call.head.queue_priority,
-                    self._wait_until(call),
+                    self._queue_deadline(call),
                 ),
                 len(call.body.buffered),
             )
@@ -349,41 +377,43 @@
             return expression.Error(placed.error)
         if not call.may_hedge:
             return await self._attempt(call, placed.ok)
-        return await self._hedged(call, placed.ok)
+        return await self._send_hedged(call, placed.ok)
 
-    def _wait_until(self, call: routed.RoutedRequest) -> datetime.timedelta:
-        """How long a request waits for a slot before it is refused.
+    def _queue_deadline(self, call: routed.RoutedRequest) -> datetime.timedelta:
+        """Returns when a request that waits for a slot is refused.
 
-        Load: a service that gets more than it can take for longer than its
-        callers wait, most of it of a higher rank. Harm: the rest waits for
-        its deadline and is refused then, when it is too late to come back.
-        Half of the time is left to whoever is refused here.
+        Load: a service is overloaded for longer than its callers' deadlines,
+        mostly by requests of a higher rank. Harm: the others wait until their
+        deadlines and are refused when it is too late for a retry. So half of
+        the time is left to the callers that are refused.
         """
         now = self._clock.monotonic()
         return now + WAIT_SHARE * (call.deadline - now)
 
-    async def _hedged(
+    async def _send_hedged(
         self, call: routed.RoutedRequest, record: records.TargetRecord
     ) -> AnswerResult:
-        """Sends the request to a second target if the first is late.
+        """Sends the request, and also to a second target if the first is late.
 
         Load: a target that hangs, or is slow for one request in twenty. Harm:
-        a caller who would have had its answer from another target in time
-        waits for the deadline. Both run on, and the first that has not failed
-        is taken.
+        a caller that would have had a response from another target in time
+        waits for its deadline. Both attempts continue, and the first result
+        that is not a failure is returned.
         """
         first = asyncio.create_task(self._attempt(call, record))
         tasks = {first}
         started = self._clock.monotonic()
-        # A route may let its callers wait for less than its aim.
+        # A route's time limit may be shorter than its latency objective.
         time = min(
             call.head.latency_objective, HEDGE_SHARE * (call.deadline - started)
         )
         try:
-            for share, spent in _HEDGES:
+            for share, spent in _HEDGE_STAGES:
                 wait = started + share * time - self._clock.monotonic()
                 await asyncio.wait(tasks, timeout=wait.total_seconds())
-                second = None if first.done() else self._second(call, spent)
+                second = (
+                    None if first.done() else self._hedge_attempt(call, spent)
+                )
                 if second is not None:
                     tasks.add(asyncio.create_task(second))
                 if first.done() or second is not None:
@@ -392,36 +422,40 @@
         finally:
             await hedging.end(tasks)
 
-    def _second(
-        self, call: routed.RoutedRequest, most_spent: float
+    def _hedge_attempt(
+        self, call: routed.RoutedRequest, max_spent_share: float
     ) -> collections.abc.Coroutine[Any, Any, AnswerResult] | None:
-        """An attempt at another target with a free slot, if one may be made.
+        """Returns an attempt at another target with a free slot, or None.
 
         Args:
-          call: the request.
-          most_spent: the part of the retries that may be spent before.
+          call: The request.
+          max_spent_share: The spent share of the retry budget up to which the
+            attempt is allowed.
         """
-        if self._spent(call) > most_spent:
+        if self._spent_share(call) > max_spent_share:
             return None
         demand = load_balancing.Demand(True, call.tried, is_last=True)
         record = self._placement.choose(call.head.service, demand)
         if record is None:
             return None
-        if not self._pays(call.head.service):
+        if not self._take_retry(call.head.service):
             return None
         self._placement.started(record, len(call.body.buffered))
         return self._attempt(call, record)
 
-    def _spent(self, call: routed.RoutedRequest) -> float:
-        """The part of its service's retries that is spent."""
+    def _spent_share(self, call: routed.RoutedRequest) -> float:
+        """Returns the spent share of its service's retry budget."""
         budget = self._budgets.of(call.head.service)
         return budget.spent_share(self._clock.monotonic())
 
-    async def _over_quota(self, workspace: str) -> exchange.Refusal | None:
-        """A refusal where the workspace has used up its quota."""
-        if self._quota is None or self._workspaces.quota(workspace) is None:
+    async def _quota_refusal(self, workspace: str) -> exchange.Refusal | None:
+        """Returns a refusal if the workspace has used up its quota."""
+        if (
+            self._quota_client is None
+            or self._workspaces.quota(workspace) is None
+        ):
             return None
-        wait = await self._quota.take(workspace)
+        wait = await self._quota_client.take(workspace)
         if wait is None:
             return None
         return exchange.not_run(
@@ -430,33 +464,36 @@
             self._placement.come_back_after(max(wait, placement.LEAST_RETRY)),
         )
 
-    def _return_quota(self, workspace: str, told: AnswerResult) -> None:
-        """Gives the request back that no target has run."""
-        if self._quota is None or self._workspaces.quota(workspace) is None:
+    def _refund_quota(self, workspace: str, result: AnswerResult) -> None:
+        """Returns the quota of a request that was not executed."""
+        if (
+            self._quota_client is None
+            or self._workspaces.quota(workspace) is None
+        ):
             return
-        if told.is_error() and told.error.was_not_run:
-            self._quota.give_back(workspace)
+        if result.is_error() and result.error.was_not_run:
+            self._quota_client.give_back(workspace)
 
     async def _attempt(
         self, call: routed.RoutedRequest, record: records.TargetRecord
     ) -> AnswerResult:
-        """Sends the request to a target whose slot is counted already."""
+        """Sends the request to a target in which its slot is reserved."""
         call.tries += 1
         call.tried.add(record.id)
         call.record = record
-        self._counts.placed(call.head.service, call.tries)
+        self._metrics.placed(call.head.service, call.tries)
         started = self._clock.monotonic()
         suspicion = self._placement.suspicion(record.id)
         head = call.head.for_attempt(
             call.tries,
             call.deadline - started,
-            _risk(suspicion),
+            _max_suspicion(suspicion),
             may_be_duplicate=call.sent + call.under_way > 0,
         )
         call.under_way += 1
         result: AnswerResult | None = None
         try:
-            result = await self._pass_on(record, head, call.body)
+            result = await self._forward(record, head, call.body)
         except TimeoutError:
             result = expression.Error(
                 exchange.outcome_unknown(
@@ -465,21 +502,21 @@
             )
         finally:
             latency = self._clock.monotonic() - started
-            self._note(call, record, result, started, suspicion)
+            self._record_attempt(call, record, result, started, suspicion)
             call.is_open = call.is_open or result is None
             call.under_way -= 1
             self._placement.ended(record, result, latency)
-            self._waiting.ended(call.head.service)
+            self._request_queues.ended(call.head.service)
         if not routed.was_unseen(result):
             call.sent += 1
         if result.is_ok() or not result.error.was_not_run:
             call.reached = result
-            self._crashes.ended(head, call.body, record, result)
-        if self._witness is not None and record.home != self._node:
-            self._witness(record, call.head.workspace, result, latency)
+            self._poison_guard.ended(head, call.body, record, result)
+        if self._observer is not None and record.home != self._node:
+            self._observer(record, call.head.workspace, result, latency)
         return result
 
-    def _note(
+    def _record_attempt(
         self,
         call: routed.RoutedRequest,
         record: records.TargetRecord,
@@ -487,7 +524,7 @@
         started: datetime.timedelta,
         suspicion: float,
     ) -> None:
-        """Keeps how one attempt went, and what it was chosen by."""
+        """Records one attempt for the log."""
         call.steps.append(
             routed.Step(
                 record.id,
@@ -499,7 +536,7 @@
             )
         )
 
-    async def _pass_on(
+    async def _forward(
         self,
         record: records.TargetRecord,
         head: exchange.RequestHead,
@@ -514,16 +551,16 @@
                     exchange.Reason.HOME_UNREACHABLE, f"{record.home} is gone"
                 )
             )
-        # The dispatcher above bounds its own work; here the bound holds also
-        # where the home has gone silent.
+        # The dispatcher above has its own timeout; this one applies even if
+        # the home no longer responds.
         async with asyncio.timeout(head.remaining.total_seconds()):
             return await self._pool.forward(home, record.id, head, body)
 
 
-def _risk(suspicion: float) -> float:
-    """How likely a target may be sick for its home to take the request.
+def _max_suspicion(suspicion: float) -> float:
+    """Returns the suspicion above which the target's home refuses the request.
 
-    It was chosen for want of a better one; its home refuses only what is
-    clearly worse than the entry believed.
+    The entry had no better target, so the home should refuse only if its own
+    estimate is clearly worse than the entry's.
     """
     return max(exchange.DEFAULT_MAX_SUSPICION, suspicion + RISK_MARGIN)
--- a/endivewind/callers/listener.py
+++ b/endivewind/callers/listener.py
@@ -1,7 +1,8 @@
-"""The listener for callers: from an HTTP request to an exchange and back.
+"""The HTTP listener for callers.
 
-A request comes from connections; what is routed and in order goes on to the
-gateway, or to ticketing where it must not repeat.
+Converts HTTP requests from the connections to exchanges, validates and routes
+them, and passes them to the gateway, or to the ticket handler if they need a
+ticket. Sends the response or refusal back to the caller.
 """
 
 import asyncio
@@ -31,64 +32,64 @@
 log = logging.getLogger(__name__)
 
 MAX_TIMEOUT = datetime.timedelta(minutes=10)
-_READ_BYTES = 65_536
-# A caller that is answered before its body ends gets this long to read the
-# answer before its connection is closed.
+_READ_CHUNK_BYTES = 65_536
+# Time that a caller has to read a response sent before the end of its request
+# body, until its connection is closed.
 LINGER = datetime.timedelta(seconds=1)
 NOT_READY_RETRY = datetime.timedelta(seconds=1)
 LEAVING_RETRY = datetime.timedelta(seconds=1)
-# A node that has just started has its configuration by then, from its peers or
-# from the platform, and looks so often whether it has.
+# Time after a node's start within which requests wait for the configuration,
+# which normally arrives from peers or from the platform by then.
 START_PATIENCE = datetime.timedelta(seconds=1)
-_START_LOOK = datetime.timedelta(milliseconds=20)
-_CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+_STARTUP_POLL_INTERVAL = datetime.timedelta(milliseconds=20)
+_CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class Listener:
-    """Turns HTTP requests into exchanges and answers them."""
+    """Serves callers' HTTP requests."""
 
     def __init__(
         self,
-        served: gateway.Gateway,
-        ticketed: ticketing.Ticketing,
+        request_gateway: gateway.Gateway,
+        ticket_handler: ticketing.Ticketing,
         limits: settings.Limits,
-        doubts: authorization.Doubts,
-        dialect: calls.Dialect | None = None,
+        configuration_status: authorization.Doubts,
+        conventions: calls.Dialect | None = None,
     ) -> None:
-        """Serves nothing before server() is started.
+        """Initializes the listener; `make_server` returns the HTTP server.
 
         Args:
-          served: routes and places requests.
-          ticketed: runs work that must not repeat.
-          limits: bounds of this process.
-          doubts: what this node may not know of the configuration.
-          dialect: how callers speak; None for the project's own way.
+          request_gateway: Sends requests to targets.
+          ticket_handler: Runs requests that need a ticket.
+          limits: Limits of this process.
+          configuration_status: Whether this node has its configuration.
+          conventions: Headers and options of callers; None for the defaults.
         """
-        self._gateway = served
-        self._tickets = ticketed
+        self._gateway = request_gateway
+        self._ticket_handler = ticket_handler
         self._limits = limits
-        self._doubts = doubts
-        self.speak(dialect or calls.Dialect())
-        self._counts = served.counts
-        self._leaving = False
-        self._started = calls.now()
+        self._configuration_status = configuration_status
+        self.speak(conventions or calls.Dialect())
+        self._metrics = request_gateway.counts
+        self._is_stopping = False
+        self._started_at = calls.now()
         self._in_flight = 0
-        self._dropped: set[asyncio.Task[None]] = set()
+        self._cancel_tasks: set[asyncio.Task[None]] = set()
         self._idle = asyncio.Event()
         self._idle.set()
 
     @property
     def in_flight(self) -> int:
-        """Requests being served now."""
+        """The number of requests being served."""
         return self._in_flight
 
-    def speak(self, dialect: calls.Dialect) -> None:
-        """Takes how callers speak from the next request on."""
-        self._dialect = dialect
-        self._fields = calls.RequestFields.from_dialect(dialect)
+    def speak(self, conventions: calls.Dialect) -> None:
+        """Sets the conventions of callers, from the next request on."""
+        self._conventions = conventions
+        self._header_filter = calls.RequestFields.from_dialect(conventions)
 
     def limit(self, limits: settings.Limits) -> None:
-        """Takes the bounds of this process from the next request on."""
+        """Sets the limits of this process, from the next request on."""
         self._limits = limits
 
     async def drained(self) -> None:
@@ -96,7 +97,7 @@
         await self._idle.wait()
 
     def server(self) -> web.Server:
-        """The HTTP server; a caller that leaves cancels its request."""
+        """Returns the HTTP server; a caller's disconnect cancels its requests."""
         return connections.Server(
             self.handle,
             self.begin,
@@ -108,7 +109,7 @@
         )
 
     def _connection_options(self) -> dict[str, Any]:
-        """What a new connection is held to, by the limits in force."""
+        """Returns the options of a new connection, from the current limits."""
         limits = self._gateway.limits()
         if limits is None:
             size = self._limits.header_bytes
@@ -120,130 +121,138 @@
         }
 
     def end(self) -> None:
-        """Ends every request now, each with what is known of its outcome."""
+        """Cancels all requests; callers get the outcome as far as known."""
         self._gateway.end_all()
 
     def refuse_new(self) -> None:
-        """Refuses work from now on; sends of tickets may still be answered."""
-        self._leaving = True
+        """Refuses new requests, except those with a ticket."""
+        self._is_stopping = True
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serves one request, or answers it where it was begun before."""
+        """Serves one request, which may have been started early."""
         connection = _connection(request)
-        begun = connection.turn() or self._open(request)
-        call = begun.call
+        active = connection.turn() or self._start(request)
+        call = active.call
         call.request = request
         result: gateway.AnswerResult | None = None
         try:
-            result = await self._result(begun, connection)
+            result = await self._serve_in_turn(active, connection)
             if result.is_error():
                 _log_refusal(call, result.error)
-                return self._refusal(call, result.error)
-            return await self._respond(call, result.ok)
+                return self._refusal_response(call, result.error)
+            return await self._send_response(call, result.ok)
         finally:
             connection.end_turn()
-            self._close(begun, result)
+            self._end(active, result)
 
     def begin(self, request: web.BaseRequest) -> connections.Begun | None:
-        """Starts a request before its turn, if it may run beside others.
+        """Starts a request before its turn if it is idempotent.
 
-        What would be refused waits for its turn, and so does all that comes
-        while the node leaves: it has not been read, and the caller sends it
-        elsewhere once the connection is closed.
+        Requests that would be refused wait for their turn, and so do all
+        requests while the node is stopping: they have not been read, and the
+        caller sends them to another node once the connection is closed.
+
+        Returns:
+          The request, or None if it must wait for its turn.
         """
-        call = calls.Call(request, self._dialect)
-        route = self._route(call)
-        if self._leaving or route is None:
+        call = calls.Call(request, self._conventions)
+        route = self._find_route(call)
+        if self._is_stopping or route is None:
             return None
         if not routed.may_repeat(route, request.method):
             return None
         if self._admit(call) is not None:
             return None
-        begun = self._open(request, call)
-        begun.task = asyncio.create_task(self._pass_on(call))
-        return begun
-
-    def drop(self, begun: connections.Begun) -> None:
-        """Ends a request that was begun, and frees what its answer holds."""
-        task = asyncio.create_task(self._discard(begun))
-        self._dropped.add(task)
-        task.add_done_callback(self._dropped.discard)
-
-    async def _discard(self, begun: connections.Begun) -> None:
-        assert begun.task is not None
-        begun.task.cancel()
+        active = self._start(request, call)
+        active.task = asyncio.create_task(self._pass_on(call))
+        return active
+
+    def drop(self, active: connections.Begun) -> None:
+        """Cancels a request that was started early and closes its response."""
+        task = asyncio.create_task(self._cancel(active))
+        self._cancel_tasks.add(task)
+        task.add_done_callback(self._cancel_tasks.discard)
+
+    async def _cancel(self, active: connections.Begun) -> None:
+        assert active.task is not None
+        active.task.cancel()
         try:
-            result = await begun.task
+            result = await active.task
             if result.is_ok() and result.ok.stream is not None:
                 await result.ok.stream.aclose()
         except asyncio.CancelledError:
             return
         finally:
-            self._close(begun, None)
+            self._end(active, None)
 
-    def _open(
+    def _start(
         self, request: web.BaseRequest, call: calls.Call | None = None
     ) -> connections.Begun:
-        """Counts a request as being served."""
+        """Counts the start of a request."""
         self._in_flight += 1
         self._idle.clear()
         return connections.Begun(
-            call or calls.Call(request, self._dialect), self._counts.started()
+            call or calls.Call(request, self._conventions),
+            self._metrics.started(),
         )
 
-    def _close(
-        self, begun: connections.Begun, result: gateway.AnswerResult | None
+    def _end(
+        self, active: connections.Begun, result: gateway.AnswerResult | None
     ) -> None:
-        """Counts a request's end; no result where its caller left."""
-        self._counts.ended(begun.started, begun.call.service, result)
+        """Counts the end of a request; no result if its caller disconnected."""
+        self._metrics.ended(active.started, active.call.service, result)
         self._in_flight -= 1
         if not self._in_flight:
             self._idle.set()
 
-    async def _result(
-        self, begun: connections.Begun, connection: connections.Connection
+    async def _serve_in_turn(
+        self, active: connections.Begun, connection: connections.Connection
     ) -> gateway.AnswerResult:
-        """What came of a request whose turn it is."""
-        if begun.task is not None:
-            self._let_ahead(begun.call, connection)
-            return await begun.task
-        await self._settle(begun.call)
-        refusal = self._admit(begun.call)
+        """Returns the result of a request whose turn it is."""
+        if active.task is not None:
+            self._allow_early_requests(active.call, connection)
+            return await active.task
+        await self._settle(active.call)
+        refusal = self._admit(active.call)
         if refusal is None:
-            self._let_ahead(begun.call, connection)
-            refusal = await self._read_body(begun.call)
+            self._allow_early_requests(active.call, connection)
+            refusal = await self._read_body(active.call)
         if refusal is not None:
             return expression.Error(refusal)
-        return await self._pass_on(begun.call)
+        return await self._pass_on(active.call)
 
     async def _settle(self, call: calls.Call) -> None:
-        """Lets a request wait for the first configuration of a new start.
+        """Waits for the node's first configuration, if it has just started.
 
-        Load: all nodes start at once, after a loss of power. Harm: callers
-        are back before the configuration is, and are refused work that could
-        be served half a second later. Only the first second is waited for;
-        where the platform is away for longer, callers hear so at once.
+        Load: all nodes start at once, after a power failure. Harm: callers
+        come back before the configuration does, and requests are refused that
+        could be served half a second later. Requests wait only within the
+        first second after the start; if the platform is unavailable for
+        longer, callers are refused at once.
         """
-        while calls.now() - self._started < START_PATIENCE:
-            if self._route(call) is not None or not self._doubts.missing():
+        while calls.now() - self._started_at < START_PATIENCE:
+            if (
+                self._find_route(call) is not None
+                or not self._configuration_status.missing()
+            ):
                 return
-            await asyncio.sleep(_START_LOOK.total_seconds())
+            await asyncio.sleep(_STARTUP_POLL_INTERVAL.total_seconds())
 
-    def _let_ahead(
+    def _allow_early_requests(
         self, call: calls.Call, connection: connections.Connection
     ) -> None:
-        """Lets requests behind this one begin, if it may be repeated."""
+        """Lets requests behind this one start early if it is idempotent."""
         if not call.once and call.request.keep_alive:
             connection.open_turn()
 
     async def _pass_on(self, call: calls.Call) -> gateway.AnswerResult:
-        """Hands a request in order over to what runs it."""
+        """Passes an admitted request to the gateway or the ticket handler."""
         route = call.route
         head = exchange.RequestHead(
             request_id=call.request_id,
             method=call.request.method,
             path=call.path,
-            headers=self._fields.forwarded(
+            headers=self._header_filter.forwarded(
                 call.request.raw_headers,
                 call.request_id,
                 drop_key=call.is_keyed,
@@ -258,43 +267,49 @@
             ),
         )
         if call.ticketed:
-            return await self._tickets.serve(route, head, call.body)
+            return await self._ticket_handler.serve(route, head, call.body)
         return await self._gateway.serve(route, head, call.body)
 
-    def _route(self, call: calls.Call) -> objects.Route | None:
-        """The route of a request, as its workspace may use it."""
+    def _find_route(self, call: calls.Call) -> objects.Route | None:
+        """Returns the route of a request, or None."""
         authorization.identify(call, self._gateway.workspaces)
         path = call.path.partition("?")[0]
         return self._gateway.route(call.host, path, call.workspace)
 
     def _admit(self, call: calls.Call) -> exchange.Refusal | None:
-        """Routes a request whose head is in order; its body is unread."""
-        route = self._route(call)
-        missing = self._doubts.missing() if route is None else None
+        """Routes and checks a request before its body is read.
+
+        Returns:
+          A refusal, or None if the request may be served.
+        """
+        route = self._find_route(call)
+        missing = (
+            self._configuration_status.missing() if route is None else None
+        )
         if missing:
-            # Without its configuration a node can't tell a route that does
-            # not exist from one that it has not heard of; a 404 would have
-            # callers give up on work that the next node takes.
+            # Without its configuration a node can't tell whether a route
+            # exists. After a 404 callers would give up on requests that
+            # another node could serve.
             return call.refuse(
                 exchange.Reason.NOT_READY, missing, NOT_READY_RETRY
             )
         if route is None:
             detail = f"no route for {call.host}"
             return call.refuse(exchange.Reason.NO_ROUTE, detail)
-        refused = authorization.refusal(call, route, self._doubts)
+        refused = authorization.refusal(call, route, self._configuration_status)
         if refused is not None:
             return refused
-        return self._admit_on(call, route)
+        return self._admit_to_route(call, route)
 
-    def _admit_on(
+    def _admit_to_route(
         self, call: calls.Call, route: objects.Route
     ) -> exchange.Refusal | None:
-        """Takes the route of a request whose caller may use it."""
+        """Sets the route of a request and checks its ticket and deadline."""
         call.route = route
         call.service = self._gateway.service_of(route)
         call.once = not routed.may_repeat(route, call.request.method)
-        keyed = call.ticketed and bool(call.ticket)
-        if self._leaving and not keyed:
+        has_ticket = call.ticketed and bool(call.ticket)
+        if self._is_stopping and not has_ticket:
             return call.refuse(
                 exchange.Reason.STOPPING, "the node is leaving", LEAVING_RETRY
             )
@@ -303,7 +318,7 @@
             return call.refuse(exchange.Reason.TICKET_REQUIRED, detail)
         remaining = self._remaining(call.request, route)
         if remaining is None:
-            name = self._dialect.names.timeout_ms
+            name = self._conventions.names.timeout_ms
             detail = f"{name} must be a whole number from 1"
             return call.refuse(exchange.Reason.BAD_REQUEST, detail)
         call.deadline = calls.now() + remaining
@@ -313,55 +328,60 @@
         self, request: web.BaseRequest, route: objects.Route
     ) -> datetime.timedelta | None:
         limit = self._gateway.timeout(route)
-        given = request.headers.get(self._dialect.names.timeout_ms)
-        if given is None:
+        header_value = request.headers.get(self._conventions.names.timeout_ms)
+        if header_value is None:
             return limit or self._gateway.default_timeout(route)
-        if not (given.isascii() and given.isdigit() and int(given) > 0):
+        if not (
+            header_value.isascii()
+            and header_value.isdigit()
+            and int(header_value) > 0
+        ):
             return None
-        asked = datetime.timedelta(milliseconds=int(given))
-        return min(asked, limit or MAX_TIMEOUT, MAX_TIMEOUT)
+        requested = datetime.timedelta(milliseconds=int(header_value))
+        return min(requested, limit or MAX_TIMEOUT, MAX_TIMEOUT)
 
     def _body_limit(self, call: calls.Call) -> int:
-        """Most bytes of a body; one that must not repeat is held whole.
+        """Returns the maximum size of a body in bytes.
 
-        A resend is recognised by its body, so none of it may be passed on
-        before all of it is here.
+        Bodies of requests with a ticket have a limit of their own because they
+        are buffered: a repeated request is recognized by its body, so nothing
+        of it may be forwarded before all of it has been received.
         """
         if call.ticketed:
             return self._limits.ticketed_body_bytes
-        return self._body_bytes()
+        return self._configured_body_limit()
 
-    def _body_bytes(self) -> int:
+    def _configured_body_limit(self) -> int:
         limits = self._gateway.limits()
         return limits.body_bytes if limits else self._limits.body_bytes
 
     async def _read_body(self, call: calls.Call) -> exchange.Refusal | None:
-        """Reads the body, whole where it is small or must not repeat."""
+        """Buffers the body if it is small or needs a ticket, else streams it."""
         request = call.request
         if not request.body_exists:
             return None
         limit = self._body_limit(call)
         length = request.content_length
         if length is not None and length > limit:
-            return _too_large(call, limit)
+            return _body_too_large(call, limit)
         if request.headers.get("Expect", "").lower() == "100-continue":
-            await request.writer.write(_CONTINUE)
+            await request.writer.write(_CONTINUE_RESPONSE)
             request.writer.output_size = 0
-        small = length is not None and (
+        is_small = length is not None and (
             length <= self._limits.buffered_body_bytes
         )
-        if not small and not call.ticketed:
-            call.body = exchange.RequestBody(b"", self._chunks(request))
+        if not is_small and not call.ticketed:
+            call.body = exchange.RequestBody(b"", self._body_chunks(request))
             return None
-        return await self._hold(call, limit)
+        return await self._buffer_body(call, limit)
 
-    async def _hold(
+    async def _buffer_body(
         self, call: calls.Call, limit: int
     ) -> exchange.Refusal | None:
-        """Reads the whole body; nothing of it has gone on to a target."""
+        """Reads the whole body before any of it is forwarded."""
         try:
             async with asyncio.timeout(call.remaining().total_seconds()):
-                body = await _held_body(call.request, limit)
+                body = await _read_whole_body(call.request, limit)
         except TimeoutError:
             detail = "the body did not end before the deadline"
             return call.refuse(exchange.Reason.DEADLINE, detail)
@@ -369,75 +389,75 @@
             detail = f"the body broke off: {error}"
             return call.refuse(exchange.Reason.BAD_REQUEST, detail)
         if body is None:
-            return _too_large(call, limit)
+            return _body_too_large(call, limit)
         call.body = body
         return None
 
-    async def _chunks(
+    async def _body_chunks(
         self, request: web.BaseRequest
     ) -> collections.abc.AsyncGenerator[bytes, None]:
         total = 0
         try:
-            async for data in request.content.iter_chunked(_READ_BYTES):
+            async for data in request.content.iter_chunked(_READ_CHUNK_BYTES):
                 total += len(data)
-                if total > self._body_bytes():
+                if total > self._configured_body_limit():
                     limit = f"over {self._body_bytes()} bytes"
                     raise exchange.TruncatedBodyError(limit)
                 yield data
         except (OSError, web.RequestPayloadError) as error:
             raise exchange.TruncatedBodyError(str(error)) from error
 
-    def _refusal(
+    def _refusal_response(
         self, call: calls.Call, refusal: exchange.Refusal
     ) -> web.Response:
         response = web.Response(
             status=problems.status(refusal),
             headers=problems.header_fields(
-                refusal, call.request_id, self._dialect.names.request_id
+                refusal, call.request_id, self._conventions.names.request_id
             ),
             body=problems.body(refusal, call.request_id),
         )
         self._add_ticket(call, response)
-        stopping = refusal.reason is exchange.Reason.STOPPING
-        if stopping and not _connection(call.request).has_begun:
-            # The caller's next request goes to a node that stays. Those that
-            # targets already have are answered first.
+        is_stopping = refusal.reason is exchange.Reason.STOPPING
+        if is_stopping and not _connection(call.request).has_begun:
+            # Makes the caller send its next request to another node, but
+            # only after requests that targets already have are answered.
             response.force_close()
         return response
 
     def _add_ticket(
         self, call: calls.Call, response: web.StreamResponse
     ) -> None:
-        """Gives the caller a ticket for its next operation."""
-        if call.ticketed and not self._leaving:
-            ticket = self._tickets.issue(call.workspace)
+        """Adds a ticket for the caller's next request to the response."""
+        if call.ticketed and not self._is_stopping:
+            ticket = self._ticket_handler.issue(call.workspace)
             response.headers[headers.IDEMPOTENCY_KEY] = ticket
 
-    async def _respond(
-        self, call: calls.Call, answer: exchange.Response
+    async def _send_response(
+        self, call: calls.Call, response: exchange.Response
     ) -> web.StreamResponse:
-        fields = calls.headers_out(answer, call, self._dialect.names)
-        if answer.stream is None:
+        fields = calls.headers_out(response, call, self._conventions.names)
+        if response.stream is None:
             if call.request.method != "HEAD":
                 fields.popall("Content-Length", None)
-            response = web.Response(
-                status=answer.status, headers=fields, body=answer.body
+            http_response = web.Response(
+                status=response.status, headers=fields, body=response.body
             )
-            self._add_ticket(call, response)
-            return response
-        stream = web.StreamResponse(status=answer.status, headers=fields)
+            self._add_ticket(call, http_response)
+            return http_response
+        stream = web.StreamResponse(status=response.status, headers=fields)
         self._add_ticket(call, stream)
-        async with contextlib.aclosing(answer.stream):
+        async with contextlib.aclosing(response.stream):
             await stream.prepare(call.request)
-            if answer.body:
-                await stream.write(answer.body)
+            if response.body:
+                await stream.write(response.body)
             try:
-                async for data in answer.stream:
+                async for data in response.stream:
                     await stream.write(data)
             except exchange.TruncatedResponseError as error:
-                # Closing without the end of the body is the only way left to
-                # tell the caller that this is not the whole answer.
-                log.warning("answer cut by the target: %s", error)
+                # Closing the connection before the end of the body is the only
+                # remaining way to signal that the response is incomplete.
+                log.warning("response truncated by the target: %s", error)
                 if call.request.transport is not None:
                     call.request.transport.abort()
                 return stream
@@ -451,20 +471,20 @@
     return connection
 
 
-def _too_large(call: calls.Call, limit: int) -> exchange.Refusal:
+def _body_too_large(call: calls.Call, limit: int) -> exchange.Refusal:
     return call.refuse(
         exchange.Reason.BODY_TOO_LARGE, f"a body may have {limit} bytes"
     )
 
 
 def _log_refusal(call: calls.Call, refusal: exchange.Refusal) -> None:
-    """Logs a refusal: aloud only where the outcome is unknown.
+    """Logs a refusal, as a warning only if the outcome is unknown.
 
-    Under overload a node refuses thousands a second, and a line for each
-    would cost more than the refusal.
+    Under overload a node refuses thousands of requests a second, and a log
+    line for each would cost more than the refusal itself.
     """
-    unknown = refusal.outcome is exchange.Outcome.UNKNOWN
-    level = logging.WARNING if unknown else logging.DEBUG
+    is_unknown = refusal.outcome is exchange.Outcome.UNKNOWN
+    level = logging.WARNING if is_unknown else logging.DEBUG
     if not log.isEnabledFor(level):
         return
     fields = logs.fields(
@@ -478,12 +498,12 @@
     log.log(level, "refused", extra=fields)
 
 
-async def _held_body(
+async def _read_whole_body(
     request: web.BaseRequest, limit: int
 ) -> exchange.RequestBody | None:
-    held = bytearray()
-    async for data in request.content.iter_chunked(_READ_BYTES):
-        held += data
-        if len(held) > limit:
+    buffer = bytearray()
+    async for data in request.content.iter_chunked(_READ_CHUNK_BYTES):
+        buffer += data
+        if len(buffer) > limit:
             return None
-    return exchange.RequestBody(bytes(held))
+    return exchange.RequestBody(bytes(buffer))
--- a/endivewind/callers/routed.py
+++ b/endivewind/callers/routed.py
@@ -1,7 +1,7 @@
-"""One request on its way from the gateway to a target and back.
+"""The state of one request while the gateway routes it.
 
-The gateway makes one, tries targets with it, and asks it what may be done next
-and what its caller is told.
+Records the attempts at targets and decides from them whether the request may
+be retried or hedged and which result its caller gets.
 """
 
 import asyncio
@@ -18,11 +18,11 @@
 
 AnswerResult = expression.Result[exchange.Response, exchange.Refusal]
 
-# Targets that one request may be sent to, where its route does not say.
+# Targets that one request may be sent to, unless its route sets a number.
 MAX_ATTEMPTS = 3
 FAILED_STATUS = frozenset({500, 502, 503, 504})
-# Refusals that came before any target had a byte.
-_UNSEEN = frozenset(
+# Reasons of refusals before any byte was sent to a target.
+_UNDELIVERED_REASONS = frozenset(
     {
         exchange.Reason.BUSY,
         exchange.Reason.SUSPECT,
@@ -32,27 +32,28 @@
         exchange.Reason.HOME_UNREACHABLE,
     }
 )
-# A request waits in a near queue for up to this part of its aim: with the
-# usual work, about a quarter of the aim, the answer is then still in time.
-# Below a third, one order in twelve went to another region while the near
-# targets were busy for a moment; at a half one in forty, none of them late.
+# Share of its latency objective that a request may wait for a near target
+# before it goes to a more distant one. A usual request runs for a quarter of
+# its objective, so its response is still in time. Below a third, one order in
+# twelve went to another region while the near targets were briefly busy; at a
+# half it is one in forty, and none was late.
 PATIENCE_SHARE = 0.5
-# When a caller may come back whose request a leaving node has not run: the
-# least that it can be told; another node takes it.
+# Retry-After of requests that a stopping node has not executed. The smallest
+# possible value, since another node takes the request.
 END_RETRY = datetime.timedelta(seconds=1)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """One try of a request, for its line in the log.
+    """One attempt of a request, for the log.
 
     Attributes:
-      target: where it went.
-      home: the target's home.
-      after: since the request came.
-      lasted: until the try ended.
-      suspicion: how likely the target seemed sick when it was chosen.
-      result: how it ended; None where it was broken off.
+      target: The target that was chosen.
+      home: The target's home.
+      start_offset: Time from the request's arrival to the attempt's start.
+      duration: How long the attempt took.
+      suspicion: The target's suspicion when it was chosen.
+      result: The result; None if the attempt was cancelled.
     """
 
     target: str
@@ -63,7 +64,7 @@
     result: AnswerResult | None
 
     def as_fields(self) -> dict[str, object]:
-        """The step as fields of a log line."""
+        """Returns the attempt as fields of a log line."""
         return {
             "target": self.target,
             "home": self.home,
@@ -76,24 +77,25 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class RoutedRequest:
-    """One request on its way through the gateway.
+    """One request that the gateway is serving.
 
     Attributes:
-      route: how it is configured.
-      head: the request.
-      body: its body.
-      deadline: when its caller stops waiting.
-      started: when it came.
-      tries: placings so far.
-      sent: targets that may have seen something of it.
-      under_way: tries that have not ended.
-      given_up: no target is to be looked for any more.
-      is_open: a try was broken off, and nobody knows how it ended.
-      record: the target tried last.
-      reached: the last answer or refusal of a try that may have run.
-      tried: targets tried.
-      steps: the tries, in order.
-      task: serves it.
+      route: The route that it matched.
+      head: The request without its body.
+      body: Its body.
+      deadline: When its caller stops waiting.
+      started: When it arrived.
+      attempt_count: Attempts so far.
+      delivered_count: Attempts whose target may have received some of it.
+      active_attempts: Attempts that have not ended.
+      is_abandoned: Whether no further target is to be tried.
+      last_target: The target of the last attempt.
+      executed_result: The last result of an attempt that may have executed it.
+      tried_targets: The ids of the targets tried.
+      attempts: The attempts, in order of their end.
+      has_cancelled_attempt: Whether an attempt was cancelled, so that its
+        outcome is unknown.
+      task: The task that serves it.
     """
 
     route: objects.Route
@@ -111,39 +113,39 @@
     steps: list[Step] = dataclasses.field(default_factory=list)
     is_open: bool = False
     task: asyncio.Task[Any] | None = None
-    _ended: bool = False
+    _abort_requested: bool = False
 
     def end(self) -> None:
-        """Breaks it off wherever it is."""
+        """Cancels the request in whatever state it is."""
         assert self.task is not None
-        self._ended = True
+        self._abort_requested = True
         self.task.cancel()
 
     def was_ended(self) -> bool:
-        """Whether it was broken off by end() alone, not by its caller."""
-        if not self._ended or self.task is None:
+        """Returns whether only `abort` cancelled it, not its caller as well."""
+        if not self._abort_requested or self.task is None:
             return False
         return self.task.uncancel() == 0
 
     @property
     def repeatable(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether it may be executed more than once."""
         if self.head.ticket:
             return False
         return may_repeat(self.route, self.head.method)
 
     @property
     def most_sends(self) -> int:
-        """Targets that it may be sent to."""
+        """The number of targets that it may be sent to."""
         return self.route.attempts or MAX_ATTEMPTS
 
-    def may_go_on(self, most_placings: int) -> bool:
-        """Whether it may be placed once more, with so many in all."""
-        return self.sent < self.most_sends and self.tries < most_placings
+    def may_go_on(self, max_attempts: int) -> bool:
+        """Returns whether the limits on attempts and targets allow one more."""
+        return self.sent < self.most_sends and self.tries < max_attempts
 
     @property
     def may_hedge(self) -> bool:
-        """Whether it may be at two targets at once."""
+        """Whether it may be sent to two targets at once."""
         return (
             self.repeatable
             and self.body.is_replayable
@@ -154,27 +156,29 @@
     def demand(
         self, *, may_probe: bool, is_last: bool = False
     ) -> load_balancing.Demand:
-        """Where it may be placed now.
+        """Returns which targets it may be sent to now.
 
         Args:
-          may_probe: whether retries are left for one that is likely to fail.
-          is_last: whether no retry is left for this one.
+          may_probe: Whether enough retries are left to try a target that is
+            likely to fail.
+          is_last: Whether this attempt can't be retried.
         """
-        patience = PATIENCE_SHARE * self.head.latency_objective.total_seconds()
+        max_wait = PATIENCE_SHARE * self.head.latency_objective.total_seconds()
         return load_balancing.Demand(
             self.repeatable,
             self.tried,
-            patience,
+            max_wait,
             may_probe=may_probe and self.may_hedge,
             is_last=is_last or self.sent + 1 >= self.most_sends,
         )
 
     def may_place_again(self, result: AnswerResult) -> bool:
-        """Whether another target may get the request after a result.
+        """Returns whether the request may be sent to another target.
 
-        Only what truly did not run, or what may run twice. An answer of 5xx
-        to the latter is one target's trouble as long as the budget pays for
-        asking another. What was refused before any target was chosen is final.
+        It may if it was certainly not executed or is idempotent. For an
+        idempotent request a 5xx response is taken for a fault of that target
+        as long as the retry budget pays for asking another one. A refusal
+        before any target was chosen is final.
         """
         if not self.body.is_replayable or self.given_up:
             return False
@@ -186,16 +190,18 @@
         return self.repeatable or result.error.was_not_run
 
     def told(self, last: AnswerResult) -> AnswerResult:
-        """What the caller hears: never "not run" of work that a target had.
+        """Returns the caller's result, given that of the last attempt.
 
-        A first try may have run and failed while a later one found no slot.
+        The outcome is never "not run" if an attempt may have executed the
+        request: the first one may have failed at its target while a later one
+        found no slot.
         """
         if self.reached is None or last.is_ok() or not last.error.was_not_run:
             return last
         return self.reached
 
     def told_at_end(self) -> AnswerResult:
-        """What the caller of a request that was broken off hears."""
+        """Returns the caller's result after `abort`."""
         if self.is_open:
             detail = "the node ended before the answer came"
             refusal = exchange.outcome_unknown(
@@ -212,12 +218,12 @@
 
 
 def was_unseen(result: AnswerResult) -> bool:
-    """Whether no target has seen anything of the request."""
-    return result.is_error() and result.error.reason in _UNSEEN
+    """Returns whether no part of the request was sent to a target."""
+    return result.is_error() and result.error.reason in _UNDELIVERED_REASONS
 
 
 def word(result: AnswerResult | None) -> str:
-    """A result in one word, for logs."""
+    """Returns a short description of a result for logs."""
     if result is None:
         return "cancelled"
     if result.is_ok():
@@ -225,13 +231,13 @@
     return f"{result.error.reason.value} ({result.error.outcome.value})"
 
 
-def milliseconds(span: datetime.timedelta) -> int:
-    """A span in whole milliseconds."""
-    return span // datetime.timedelta(milliseconds=1)
+def milliseconds(duration: datetime.timedelta) -> int:
+    """Returns a duration in whole milliseconds."""
+    return duration // datetime.timedelta(milliseconds=1)
 
 
 def may_repeat(route: objects.Route, method: str) -> bool:
-    """Whether the route lets a request of this method run more than once."""
+    """Returns whether a request of this method may be executed repeatedly."""
     match route.repeat:
         case objects.Repeat.ALWAYS:
             return True
--- a/endivewind/nodes/digests.py
+++ b/endivewind/nodes/digests.py
@@ -23,7 +23,7 @@
         """What digests are made of; the same at every node."""
         incarnation, refutation, state = self.member
         own = f"{self.name} {incarnation} {refutation} {int(state)}"
-        return f"{member_text} {self.home.incarnation} {self.home.sequence}"
+        return f"{own} {self.home.incarnation} {self.home.sequence}"
 
 
 class Digests:
--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -103,8 +103,8 @@
     Mutant(
         "an answer closes the connection although targets have others on it",
         "callers/listener.py",
-        "        if stopping and not _connection(call.request).has_begun:\n",
-        "        if stopping:\n",
+        "        if is_stopping and not _connection(call.request).has_begun:\n",
+        "        if is_stopping:\n",
         "callers.pipelining_tests",
     ),
     Mutant(
