--- a/endivewind/callers/connections.py
+++ b/endivewind/callers/connections.py
@@ -64,14 +64,14 @@
     def __init__(
         self,
         handle: Handle,
-        begin: Begin,
-        drop: Drop,
+        start_early: Begin,
+        cancel_early: Drop,
         connection_options: collections.abc.Callable[[], dict[str, Any]],
         **options: Any,
     ) -> None:
         super().__init__(handle, handler_cancellation=True, **options)
-        self.begin = begin
-        self.drop = drop
+        self.begin = start_early
+        self.drop = cancel_early
         self._connection_options = connection_options
         self._options = options
 
--- a/endivewind/callers/gateway.py
+++ b/endivewind/callers/gateway.py
@@ -91,10 +91,10 @@
         clock: clocks.Clock,
         observer: Witness | None = None,
         rng: random.Random | None = None,
-        ingress_routes: origins.Origins | None = None,
+        caller_routes: origins.Origins | None = None,
         quota_client: allowances.Allowances | None = None,
     ) -> None:
-        self._ingress_routes = ingress_routes or origins.Origins(clock)
+        self._ingress_routes = caller_routes or origins.Origins(clock)
         self._rng = rng or random.Random()
         self._observer = observer
         self._node = node
--- a/endivewind/tests/callers/gateway_hedging_tests.py
+++ b/endivewind/tests/callers/gateway_hedging_tests.py
@@ -1,4 +1,4 @@
-"""A second target is asked when the first is late, in virtual time."""
+"""Tests of hedged requests, in virtual time."""
 
 import asyncio
 import datetime
@@ -19,20 +19,20 @@
 
 SERVICE = "riders"
 OK = expression.Ok(exchange.Response(200, ()))
-FAILED = expression.Ok(exchange.Response(500, ()))
+FAILURE = expression.Ok(exchange.Response(500, ()))
 
 
 class _Dispatcher:
-    """Answers each hand-over after the seconds that the test has set."""
+    """Fake dispatcher that returns scripted results after given delays."""
 
     def __init__(self) -> None:
         self.script = []
-        self.met = []
+        self.called_targets = []
         self.cancelled = []
 
     async def run(self, target, head, body):
-        self.met.append(target)
-        seconds, result = self.script[len(self.met) - 1]
+        self.called_targets.append(target)
+        seconds, result = self.script[len(self.called_targets) - 1]
         try:
             await asyncio.sleep(seconds)
         except asyncio.CancelledError:
@@ -42,7 +42,7 @@
 
 
 class HedgingTest(unittest.TestCase):
-    """One look-up at a service with several targets; its aim is a second."""
+    """One look-up at a service with four targets; its objective is 1 s."""
 
     def setUp(self):
         self.loop = virtual.VirtualLoop()
@@ -69,8 +69,8 @@
             rng,
         )
 
-    def ask(self, *script, ticket="", attempts=2, leave_after=None):
-        """The result, and the seconds that it took."""
+    def send_request(self, *script, ticket="", attempts=2, cancel_after=None):
+        """Returns the result and the seconds that it took."""
         self.dispatcher.script = script
         repeat = objects.Repeat.NEVER if ticket else objects.Repeat.ALWAYS
         route = objects.Route(
@@ -90,10 +90,10 @@
 
         async def run():
             work = self.gateway.serve(route, head, exchange.RequestBody())
-            if leave_after is None:
+            if cancel_after is None:
                 return await work
             try:
-                async with asyncio.timeout(leave_after):
+                async with asyncio.timeout(cancel_after):
                     return await work
             except TimeoutError:
                 return None
@@ -102,42 +102,44 @@
         result = self.loop.run_until_complete(run())
         return result, self.loop.time() - started
 
-    def test_a_silent_target_costs_part_of_the_aim_not_the_deadline(self):
-        result, seconds = self.ask((99, OK), (0.2, OK))
+    def test_second_target_responds_within_latency_objective(self):
+        result, seconds = self.send_request((99, OK), (0.2, OK))
 
         self.assertEqual(OK, result)
         self.assertLess(seconds, 1)
-        self.assertEqual(2, len(set(self.dispatcher.met)))
-        self.assertEqual(self.dispatcher.met[:1], self.dispatcher.cancelled)
+        self.assertEqual(2, len(set(self.dispatcher.called_targets)))
+        self.assertEqual(
+            self.dispatcher.called_targets[:1], self.dispatcher.cancelled
+        )
 
-    def test_the_first_may_still_win(self):
-        result, seconds = self.ask((0.8, OK), (9, OK))
+    def test_first_target_may_respond_first(self):
+        result, seconds = self.send_request((0.8, OK), (9, OK))
 
         self.assertEqual(OK, result)
         self.assertAlmostEqual(0.8, seconds, places=3)
 
-    def test_a_failed_second_leaves_the_first_its_time(self):
-        result, seconds = self.ask((1.5, OK), (0.01, FAILED))
+    def test_failure_of_second_target_does_not_end_first(self):
+        result, seconds = self.send_request((1.5, OK), (0.01, FAILURE))
 
         self.assertEqual(OK, result)
         self.assertAlmostEqual(1.5, seconds, places=3)
 
-    def test_what_must_not_repeat_is_never_at_two_targets(self):
-        result, _ = self.ask((1.5, OK), ticket="order")
+    def test_non_idempotent_request_is_not_hedged(self):
+        result, _ = self.send_request((1.5, OK), ticket="order")
 
         self.assertEqual(OK, result)
-        self.assertEqual(1, len(self.dispatcher.met))
+        self.assertEqual(1, len(self.dispatcher.called_targets))
 
-    def test_nor_is_what_its_route_sends_to_one_target_only(self):
-        self.ask((1.5, OK), attempts=1)
+    def test_route_with_one_attempt_is_not_hedged(self):
+        self.send_request((1.5, OK), attempts=1)
 
-        self.assertEqual(1, len(self.dispatcher.met))
+        self.assertEqual(1, len(self.dispatcher.called_targets))
 
-    def test_slow_answers_leave_retries_for_failures(self):
-        """Every answer is late for a while, and then a target fails.
+    def test_slow_responses_leave_retries_for_failures(self):
+        """All responses are late for a while, and then a target fails.
 
-        Hedges for late answers would use up the retries, and the failed one
-        is lost. With two fifths of the retries spent they stop.
+        If hedged requests used up the retry budget, the failed request could
+        not be retried. So hedging stops when two fifths of it are spent.
         """
         budget = self.gateway.budgets.of(SERVICE)
         now = datetime.timedelta(seconds=self.loop.time())
@@ -146,18 +148,19 @@
         while budget.spent_share(now) <= gateway.CHOSEN_SPENT:
             self.assertTrue(budget.take(now))
 
-        self.ask((0.9, OK))
-        self.assertEqual(1, len(self.dispatcher.met))
-        self.dispatcher.met.clear()
-        result, _ = self.ask((0.1, FAILED), (0.1, OK))
+        self.send_request((0.9, OK))
+        self.assertEqual(1, len(self.dispatcher.called_targets))
+        self.dispatcher.called_targets.clear()
+        result, _ = self.send_request((0.1, FAILURE), (0.1, OK))
 
         self.assertEqual(OK, result)
-        self.assertEqual(2, len(self.dispatcher.met))
+        self.assertEqual(2, len(self.dispatcher.called_targets))
 
-    def test_both_stop_when_the_caller_leaves(self):
-        result, _ = self.ask((99, OK), (99, OK), leave_after=1.0)
+    def test_cancellation_stops_both_attempts(self):
+        result, _ = self.send_request((99, OK), (99, OK), cancel_after=1.0)
 
         self.assertIsNone(result)
         self.assertEqual(
-            sorted(self.dispatcher.met), sorted(self.dispatcher.cancelled)
+            sorted(self.dispatcher.called_targets),
+            sorted(self.dispatcher.cancelled),
         )
--- a/endivewind/tests/callers/gateway_retries_tests.py
+++ b/endivewind/tests/callers/gateway_retries_tests.py
@@ -1,4 +1,4 @@
-"""Retries of the gateway: what is sent again, and how often."""
+"""Tests of the gateway's retries: which requests are retried, how often."""
 
 import datetime
 import random
@@ -19,25 +19,25 @@
 from endivewind.tests import samples
 
 SERVICE = "riders"
-TARGETS = 6
+TARGET_COUNT = 6
 OK = expression.Ok(exchange.Response(200, ()))
-FAILED = expression.Ok(exchange.Response(500, ()))
-SHED = expression.Ok(exchange.Response(503, ()))
+FAILURE = expression.Ok(exchange.Response(500, ()))
+OVERLOADED = expression.Ok(exchange.Response(503, ()))
 LOST = expression.Error(exchange.outcome_unknown(exchange.Reason.TARGET_LOST))
 BUSY = expression.Error(
     exchange.not_run(
         exchange.Reason.BUSY, retry_after=datetime.timedelta(seconds=1)
     )
 )
-FULL = expression.Error(exchange.not_run(exchange.Reason.TARGET_FULL))
+TARGET_FULL = expression.Error(exchange.not_run(exchange.Reason.TARGET_FULL))
 
 
 def _record(number):
     return samples.target(f"riders-{number}", sequence=number)
 
 
-class GatewayTest(unittest.IsolatedAsyncioTestCase):
-    """The dispatcher is a fake: it answers what the test tells it to."""
+class GatewayRetriesTest(unittest.IsolatedAsyncioTestCase):
+    """Uses a fake dispatcher that returns the given results in order."""
 
     def setUp(self):
         self.clock = clock = clocks.ManualClock()
@@ -46,7 +46,7 @@
             view.NodeRecord("node-a", 1, "192.0.2.1:1", "andina", "andina-a")
         )
         fleet.put_home_state(
-            "node-a", 1, TARGETS, [_record(n) for n in range(TARGETS)]
+            "node-a", 1, TARGET_COUNT, [_record(n) for n in range(TARGET_COUNT)]
         )
         self.dispatcher = mock.AsyncMock()
         place = load_balancing.Locality("node-a", "andina", "andina-a")
@@ -63,8 +63,8 @@
             mock.Mock(),
         )
 
-    async def ask(self, results, method="GET", ticket="", rest=None):
-        """Sends one request; returns its result and the targets it met."""
+    async def send_request(self, results, method="GET", ticket="", stream=None):
+        """Sends a request; returns its result and the targets it was sent to."""
         self.dispatcher.run.reset_mock()
         self.dispatcher.run.side_effect = results
         head = exchange.RequestHead(
@@ -80,95 +80,105 @@
         result = await self.gateway.serve(
             objects.Route(service=SERVICE),
             head,
-            exchange.RequestBody(b"", rest),
+            exchange.RequestBody(b"", stream),
         )
         calls = self.dispatcher.run.await_args_list
         return result, [call.args[0] for call in calls]
 
-    async def test_safe_work_goes_to_another_target(self):
-        for first in (FAILED, SHED, LOST, BUSY):
-            result, met = await self.ask([first, OK])
+    async def test_idempotent_request_is_retried_at_another_target(self):
+        for first in (FAILURE, OVERLOADED, LOST, BUSY):
+            result, called_targets = await self.send_request([first, OK])
 
             self.assertEqual(OK, result)
-            self.assertEqual(2, len(set(met)))
+            self.assertEqual(2, len(set(called_targets)))
 
-    async def test_what_has_not_run_is_told_when_to_come_back(self):
-        """Every target of a service sheds; its answers say nothing of a time.
+    async def test_request_that_was_not_run_gets_retry_after(self):
+        """All targets of a service refuse as full, without a Retry-After.
 
-        A caller that is told none comes back at once, into the same load, or
-        not at all.
+        Without one, callers would retry immediately, which adds to the
+        overload, or not at all.
         """
-        result, _ = await self.ask([FULL] * 3, "POST", "ticket")
+        result, _ = await self.send_request([TARGET_FULL] * 3, "POST", "ticket")
 
         self.assertIs(exchange.Reason.TARGET_FULL, result.error.reason)
-        most = placement.RETRY_SPREAD * placement.LEAST_RETRY
+        max_retry_after = placement.RETRY_SPREAD * placement.LEAST_RETRY
         self.assertGreaterEqual(result.error.retry_after, placement.LEAST_RETRY)
-        self.assertLessEqual(result.error.retry_after, most)
+        self.assertLessEqual(result.error.retry_after, max_retry_after)
 
-    async def test_what_may_have_run_is_never_sent_again(self):
-        """A confirmation whose target failed or vanished.
+    async def test_request_that_may_have_run_is_not_retried(self):
+        """The target of a confirmation fails, or the connection to it is lost.
 
-        The supplier may have got it. A second send could deliver twice, so
-        the caller hears what happened and nothing is sent again.
+        The supplier may have received the confirmation, and a retry could
+        deliver it twice. So the caller gets the failure, without a retry.
         """
-        for first in (FAILED, SHED, LOST):
+        for first in (FAILURE, OVERLOADED, LOST):
             for ticket in ("", "ticket"):
-                result, met = await self.ask([first, OK], "POST", ticket)
+                result, called_targets = await self.send_request(
+                    [first, OK], "POST", ticket
+                )
 
-                self.assertEqual((first, 1), (result, len(met)))
+                self.assertEqual((first, 1), (result, len(called_targets)))
 
-    async def test_what_did_not_run_is_sent_again(self):
-        result, met = await self.ask([BUSY, OK], "POST", "ticket")
+    async def test_request_that_was_not_run_is_retried(self):
+        result, called_targets = await self.send_request(
+            [BUSY, OK], "POST", "ticket"
+        )
 
-        self.assertEqual((OK, 2), (result, len(met)))
+        self.assertEqual((OK, 2), (result, len(called_targets)))
 
-    async def test_work_that_ran_is_never_called_not_run(self):
-        """A first try fails at its target; later ones find no slot.
+    async def test_outcome_of_executed_request_is_never_not_run(self):
+        """The first attempt fails at its target; later ones get no slot.
 
-        The last refusal says "not run" of itself. The caller must hear of
-        the try that ran, or that it may have run.
+        The last refusal has the outcome "not run", but only for its own
+        attempt. The caller must get the result of the first one.
         """
-        for first in (FAILED, LOST):
+        for first in (FAILURE, LOST):
             with mock.patch.object(gateway, "MAX_PLACINGS", 3):
-                result, met = await self.ask([first, BUSY, BUSY])
+                result, called_targets = await self.send_request(
+                    [first, BUSY, BUSY]
+                )
 
-            self.assertEqual((first, 3), (result, len(met)))
+            self.assertEqual((first, 3), (result, len(called_targets)))
 
-    async def test_a_body_that_is_gone_is_not_sent_again(self):
-        result, met = await self.ask([BUSY, OK], rest=mock.Mock())
+    async def test_request_with_consumed_body_is_not_retried(self):
+        result, called_targets = await self.send_request(
+            [BUSY, OK], stream=mock.Mock()
+        )
 
-        self.assertEqual((BUSY, 1), (result, len(met)))
+        self.assertEqual((BUSY, 1), (result, len(called_targets)))
 
-    async def test_no_storm_when_every_target_fails(self):
-        """Every answer is an error, and every caller's request may repeat.
+    async def test_retry_budget_prevents_retry_storm(self):
+        """All responses are errors, and all requests are idempotent.
 
-        With three tries each, targets would get three times the load while
-        they fail. Tries stay within the service's tenth.
+        With three attempts each, failing targets would get three times the
+        load. Retries must stay within the budget of a tenth of the requests.
         """
         requests = 500
-        tries = 0
+        attempt_count = 0
         for _ in range(requests):
-            _, met = await self.ask([FAILED] * 3)
-            tries += len(met)
+            _, called_targets = await self.send_request([FAILURE] * 3)
+            attempt_count += len(called_targets)
 
-        self.assertLessEqual(tries, 1.1 * requests + retries.DEFAULT_RESERVE)
+        self.assertLessEqual(
+            attempt_count, 1.1 * requests + retries.DEFAULT_RESERVE
+        )
 
-    async def test_refused_callers_come_back_spread(self):
+    async def test_retry_after_has_jitter(self):
         self.fleet.remove_home("node-a")
-        # Just after its start a node would wait for targets to be heard of.
+        # Just after its start the node would wait for targets to be announced.
         self.clock.advance(placement.SETTLING)
-        waits = set()
+        retry_afters = set()
         for _ in range(50):
-            result, _ = await self.ask([])
+            result, _ = await self.send_request([])
             self.assertIs(exchange.Reason.NO_TARGET, result.error.reason)
-            waits.add(result.error.retry_after)
+            retry_afters.add(result.error.retry_after)
 
-        self.assertGreater(len(waits), 40)
+        self.assertGreater(len(retry_afters), 40)
         self.assertTrue(
             all(
                 placement.LEAST_RETRY
-                <= wait
+                <= retry_after
                 <= placement.RETRY_SPREAD * placement.LEAST_RETRY
-                for wait in waits
+                for retry_after in retry_afters
             )
         )
--- a/endivewind/tests/callers/gateway_tests.py
+++ b/endivewind/tests/callers/gateway_tests.py
@@ -1,4 +1,4 @@
-"""Tests of what the gateway does with a home's refusals."""
+"""Tests of refusals by homes, and of aborted requests, in the gateway."""
 
 import asyncio
 import datetime
@@ -20,11 +20,11 @@
 from endivewind.targets import records
 from endivewind.tests import samples
 
-_ANSWER = expression.Ok(exchange.Response(200, (), b"whole"))
+_RESPONSE = expression.Ok(exchange.Response(200, (), b"whole"))
 
 
-class _Pool:
-    """Plays the links: answers as told, and keeps what was sent where."""
+class _LinkPool:
+    """Fake link pool that returns given results and records the requests."""
 
     def __init__(self, results) -> None:
         self.sent: list[tuple[str, str, int]] = []
@@ -36,34 +36,34 @@
 
 
 class MovedTargetTest(unittest.IsolatedAsyncioTestCase):
-    """A service's only target moves while the news is still on its way.
+    """A service's only target moves to another home.
 
-    The caller gets its answer. The old home, leaving as planned, refuses the
-    request with the new home's name before gossip has reached the entry; the
-    entry sends it there instead of refusing it for lack of another target.
+    The old home, which is stopping, refuses the request and names the new home
+    before gossip has reached the entry. The entry must send the request there
+    instead of refusing it for lack of another target.
     """
 
-    async def test_follows_the_target_to_its_new_home(self):
+    async def test_request_follows_target_to_new_home(self):
         moved = exchange.Refusal(
             exchange.Outcome.NOT_RUN,
             exchange.Reason.STALE_HOME,
             moved_to="new",
         )
-        pool = _Pool({"old": expression.Error(moved), "new": _ANSWER})
+        pool = _LinkPool({"old": expression.Error(moved), "new": _RESPONSE})
 
         result = await _serve(pool)
 
         self.assertTrue(result.is_ok(), result)
         self.assertEqual([("old", "t1", 1), ("new", "t1", 2)], pool.sent)
 
-    async def test_two_homes_that_name_each_other_end_it(self):
+    async def test_homes_that_name_each_other_exhaust_attempts(self):
         to_new = exchange.Refusal(
             exchange.Outcome.NOT_RUN, exchange.Reason.STALE_HOME, moved_to="new"
         )
         to_old = exchange.Refusal(
             exchange.Outcome.NOT_RUN, exchange.Reason.STALE_HOME, moved_to="old"
         )
-        pool = _Pool(
+        pool = _LinkPool(
             {"old": expression.Error(to_new), "new": expression.Error(to_old)}
         )
 
@@ -73,68 +73,73 @@
         self.assertEqual(gateway.MAX_PLACINGS, len(pool.sent))
 
 
-class EndTest(unittest.IsolatedAsyncioTestCase):
-    """A node must end while requests are still being served.
+class AbortTest(unittest.IsolatedAsyncioTestCase):
+    """A node exits while requests are still being served.
 
-    A closed connection would tell their callers nothing, and an order that
-    never ran would not be sent again. Each gets an answer that is true.
+    If it just closed the connections, callers would not know the outcome, and
+    an order that was not run would not be repeated. Each caller must get a
+    refusal with the correct outcome.
     """
 
     async def asyncSetUp(self):
-        self.pool = _Silent()
-        self.served = _gateway(self.pool)
+        self.pool = _UnresponsiveLinkPool()
+        self.gateway_under_test = _gateway(self.pool)
 
-    async def test_work_at_a_target_is_of_unknown_outcome(self):
-        asked = asyncio.create_task(_ask(self.served))
+    async def test_request_at_target_has_unknown_outcome(self):
+        task = asyncio.create_task(_send_request(self.gateway_under_test))
         await self.pool.reached.wait()
 
-        self.served.end_all()
+        self.gateway_under_test.end_all()
 
-        refusal = (await asked).error
+        refusal = (await task).error
         self.assertEqual(exchange.Outcome.UNKNOWN, refusal.outcome)
         self.assertEqual(exchange.Reason.CUT_SHORT, refusal.reason)
 
-    async def test_work_that_waits_has_not_run(self):
-        """The only target has one slot, and another request has it."""
-        first = asyncio.create_task(_ask(self.served))
+    async def test_queued_request_was_not_run(self):
+        """The only target has one slot, which another request uses."""
+        first_task = asyncio.create_task(_send_request(self.gateway_under_test))
         await self.pool.reached.wait()
-        waits = asyncio.create_task(_ask(self.served))
+        queued_task = asyncio.create_task(
+            _send_request(self.gateway_under_test)
+        )
         await asyncio.sleep(0)
 
-        self.served.end_all()
+        self.gateway_under_test.end_all()
 
-        refusal = (await waits).error
+        refusal = (await queued_task).error
         self.assertEqual(exchange.Outcome.NOT_RUN, refusal.outcome)
         self.assertEqual(routed.END_RETRY, refusal.retry_after)
-        self.assertEqual(exchange.Outcome.UNKNOWN, (await first).error.outcome)
-        self.assertEqual(1, self.pool.asked)
+        self.assertEqual(
+            exchange.Outcome.UNKNOWN, (await first_task).error.outcome
+        )
+        self.assertEqual(1, self.pool.forward_count)
 
-    async def test_a_caller_that_leaves_then_is_gone(self):
-        asked = asyncio.create_task(_ask(self.served))
+    async def test_cancellation_by_caller_is_propagated(self):
+        task = asyncio.create_task(_send_request(self.gateway_under_test))
         await self.pool.reached.wait()
 
-        self.served.end_all()
-        asked.cancel()
+        self.gateway_under_test.end_all()
+        task.cancel()
 
         with self.assertRaises(asyncio.CancelledError):
-            await asked
+            await task
 
 
-class _Silent:
-    """Links to a home that never answers."""
+class _UnresponsiveLinkPool:
+    """Fake link pool whose home never responds."""
 
     def __init__(self) -> None:
         self.reached = asyncio.Event()
-        self.asked = 0
+        self.forward_count = 0
 
     async def forward(self, home, target, head, body):
-        self.asked += 1
+        self.forward_count += 1
         self.reached.set()
         await asyncio.Event().wait()
 
 
-async def _serve(pool: _Pool) -> gateway.AnswerResult:
-    return await _ask(_gateway(pool))
+async def _serve(pool: _LinkPool) -> gateway.AnswerResult:
+    return await _send_request(_gateway(pool))
 
 
 def _gateway(pool) -> gateway.Gateway:
@@ -156,11 +161,13 @@
     )
 
 
-async def _ask(served: gateway.Gateway) -> gateway.AnswerResult:
+async def _send_request(
+    gateway_under_test: gateway.Gateway,
+) -> gateway.AnswerResult:
     head = exchange.RequestHead(
         "r1", "GET", "/", (), "riders", "", datetime.timedelta(seconds=5)
     )
-    return await served.serve(
+    return await gateway_under_test.serve(
         objects.Route(service="riders"), head, exchange.RequestBody()
     )
 
--- a/endivewind/tests/callers/pipelining_tests.py
+++ b/endivewind/tests/callers/pipelining_tests.py
@@ -1,6 +1,6 @@
-"""Requests that a caller sends before the first is answered, on real sockets.
+"""Tests of pipelined requests, on real sockets.
 
-Behind the listener stands a gateway whose answers the tests give by hand.
+The listener uses a fake gateway whose responses are set by the tests.
 """
 
 import asyncio
@@ -26,20 +26,20 @@
 from endivewind.config import settings
 from endivewind.config import store
 
-LOOKUP = objects.Route(service="riders", repeat=objects.Repeat.ALWAYS)
-ORDER = objects.Route(service="riders", repeat=objects.Repeat.NEVER)
+LOOKUP_ROUTE = objects.Route(service="riders", repeat=objects.Repeat.ALWAYS)
+ORDER_ROUTE = objects.Route(service="riders", repeat=objects.Repeat.NEVER)
 WAIT_SECONDS = 5
 LONG = 300_000
 
 
-class _Gateway:
-    """Routes by path; begins requests and answers when it is told to."""
+class _FakeGateway:
+    """Routes by path; responds to a request when the test sets a response."""
 
     def __init__(self):
         self.counts = counts.RequestCounts(clocks.SystemClock())
         self.workspaces = workspaces.Workspaces(store.ConfigurationStore())
-        self.begun = []
-        self.left = []
+        self.started_paths = []
+        self.cancelled_paths = []
         self.remaining = {}
         self._answers = collections.defaultdict(asyncio.Future)
         self._changed = asyncio.Condition()
@@ -47,7 +47,7 @@
     def route(self, host, path, workspace):
         if path.startswith("/nowhere"):
             return None
-        return ORDER if path.startswith("/order") else LOOKUP
+        return ORDER_ROUTE if path.startswith("/order") else LOOKUP_ROUTE
 
     def service_of(self, route):
         return route.service
@@ -62,65 +62,65 @@
         return datetime.timedelta(seconds=WAIT_SECONDS)
 
     async def serve(self, route, head, body):
-        self.begun.append(head.path)
+        self.started_paths.append(head.path)
         self.remaining[head.path] = head.remaining
-        await self._tell()
+        await self._notify()
         try:
             return await self._answers[head.path]
         except asyncio.CancelledError:
-            self.left.append(head.path)
-            await self._tell()
+            self.cancelled_paths.append(head.path)
+            await self._notify()
             raise
 
-    def answer(self, path, body=None, status=200):
-        told = path.encode() if body is None else body
-        answer = exchange.Response(status, (), told)
-        self._answers[path].set_result(expression.Ok(answer))
+    def respond(self, path, body=None, status=200):
+        content = path.encode() if body is None else body
+        response = exchange.Response(status, (), content)
+        self._answers[path].set_result(expression.Ok(response))
 
-    def answer_in_parts(self, path, rest):
-        length = ((b"Content-Length", str(rest.size).encode()),)
-        answer = exchange.Response(200, length, b"", rest)
-        self._answers[path].set_result(expression.Ok(answer))
+    def respond_with_stream(self, path, stream):
+        length = ((b"Content-Length", str(stream.size).encode()),)
+        response = exchange.Response(200, length, b"", stream)
+        self._answers[path].set_result(expression.Ok(response))
 
     def refuse(self, path, reason):
         refusal = exchange.not_run(reason)
         self._answers[path].set_result(expression.Error(refusal))
 
-    async def until(self, condition):
+    async def wait_for(self, condition):
         async with asyncio.timeout(WAIT_SECONDS), self._changed:
             await self._changed.wait_for(condition)
 
-    async def _tell(self):
+    async def _notify(self):
         async with self._changed:
             self._changed.notify_all()
 
 
-class _Parts:
-    """An answer that comes in parts and counts those that were read."""
+class _StreamedResponse:
+    """A streamed response that counts the chunks that were read."""
 
-    def __init__(self, parts, part_bytes):
-        self.size = parts * part_bytes
-        self.read = 0
+    def __init__(self, chunk_count, chunk_bytes):
+        self.size = chunk_count * chunk_bytes
+        self.read_count = 0
         self.closed = asyncio.Event()
-        self._left = parts
-        self._part = b"x" * part_bytes
+        self._remaining = chunk_count
+        self._chunk = b"x" * chunk_bytes
 
     def __aiter__(self):
         return self
 
     async def __anext__(self):
-        if not self._left:
+        if not self._remaining:
             raise StopAsyncIteration
-        self._left -= 1
-        self.read += 1
-        return self._part
+        self._remaining -= 1
+        self.read_count += 1
+        return self._chunk
 
     async def aclose(self):
         self.closed.set()
 
 
-class _Caller:
-    """One connection."""
+class _CallerConnection:
+    """The caller's side of one connection."""
 
     def __init__(self, reader, writer):
         self._reader = reader
@@ -132,7 +132,7 @@
             self.writer.write(head.encode())
 
     async def receive(self):
-        """Status and body of the next answer, and whether it is the last."""
+        """Returns status, body and whether the response is the last one."""
         async with asyncio.timeout(WAIT_SECONDS):
             head = (await self._reader.readuntil(b"\r\n\r\n")).decode()
             lines = head.split("\r\n")
@@ -141,22 +141,22 @@
             )
             length = int(fields["content-length"])
             body = await self._reader.readexactly(length)
-        last = fields.get("connection") == "close"
-        return int(lines[0].split()[1]), body, last
+        is_last = fields.get("connection") == "close"
+        return int(lines[0].split()[1]), body, is_last
 
-    async def bodies(self, number):
+    async def receive_bodies(self, number):
         return [(await self.receive())[1].decode() for _ in range(number)]
 
-    async def ended(self):
+    async def is_closed(self):
         async with asyncio.timeout(WAIT_SECONDS):
             return await self._reader.read() == b""
 
 
-class _Served:
-    """A listener on a port of its own."""
+class _ListenerFixture:
+    """A listener with a fake gateway, served on a free port."""
 
     def __init__(self):
-        self.gateway = _Gateway()
+        self.gateway = _FakeGateway()
         self.listener = listener.Listener(
             self.gateway,
             None,
@@ -172,7 +172,7 @@
         await web.TCPSite(runner, "127.0.0.1", 0).start()
         reader, writer = await asyncio.open_connection(*runner.addresses[0])
         try:
-            yield _Caller(reader, writer)
+            yield _CallerConnection(reader, writer)
         finally:
             writer.close()
             await runner.cleanup()
@@ -182,176 +182,208 @@
     """One caller, one connection."""
 
     async def asyncSetUp(self):
-        self.served = _Served()
+        self.served = _ListenerFixture()
         self.gateway = self.served.gateway
         self.caller = await self.enterAsyncContext(self.served.caller())
 
-    async def test_lookups_run_side_by_side_and_are_answered_in_order(self):
-        """A slow look-up made those behind it late, one after the other.
+    async def test_lookups_run_concurrently_and_are_answered_in_order(self):
+        """A slow look-up must not delay the start of those behind it.
 
-        All three are begun at once; the later two are ready first, and wait
+        All three are started at once. The later two are ready first and wait
         for their turn.
         """
         self.caller.send("/1", "/2", "/3")
-        await self.gateway.until(lambda: len(self.gateway.begun) == 3)
+        await self.gateway.wait_for(
+            lambda: len(self.gateway.started_paths) == 3
+        )
 
-        self.gateway.answer("/3")
-        self.gateway.answer("/2")
-        self.gateway.answer("/1")
+        self.gateway.respond("/3")
+        self.gateway.respond("/2")
+        self.gateway.respond("/1")
 
-        self.assertEqual(["/1", "/2", "/3"], await self.caller.bodies(3))
+        self.assertEqual(
+            ["/1", "/2", "/3"], await self.caller.receive_bodies(3)
+        )
         self.assertEqual(0, self.served.listener.in_flight)
 
-    async def test_those_that_come_later_are_begun_as_well(self):
+    async def test_later_requests_are_started_early(self):
         self.caller.send("/1")
-        await self.gateway.until(lambda: self.gateway.begun == ["/1"])
+        await self.gateway.wait_for(
+            lambda: self.gateway.started_paths == ["/1"]
+        )
         self.caller.send("/2")
-        await self.gateway.until(lambda: self.gateway.begun == ["/1", "/2"])
+        await self.gateway.wait_for(
+            lambda: self.gateway.started_paths == ["/1", "/2"]
+        )
 
-        self.gateway.answer("/2")
-        self.gateway.answer("/1")
+        self.gateway.respond("/2")
+        self.gateway.respond("/1")
 
-        self.assertEqual(["/1", "/2"], await self.caller.bodies(2))
+        self.assertEqual(["/1", "/2"], await self.caller.receive_bodies(2))
 
-    async def test_an_order_is_begun_only_when_it_is_first(self):
-        """An order must not run before what its caller has sent before.
+    async def test_order_starts_only_in_its_turn(self):
+        """An order must not run before the requests sent before it.
 
-        Nor may the look-up behind it: it may be meant to see the order.
+        Nor may the look-up behind it, which may depend on the order.
         """
         self.caller.send("/1", "/order", "/2")
-        await self.gateway.until(lambda: self.gateway.begun == ["/1"])
-        self.gateway.answer("/1")
-        await self.gateway.until(lambda: "/order" in self.gateway.begun)
-        self.assertEqual(["/1", "/order"], self.gateway.begun)
-        self.gateway.answer("/order")
-        self.gateway.answer("/2")
+        await self.gateway.wait_for(
+            lambda: self.gateway.started_paths == ["/1"]
+        )
+        self.gateway.respond("/1")
+        await self.gateway.wait_for(
+            lambda: "/order" in self.gateway.started_paths
+        )
+        self.assertEqual(["/1", "/order"], self.gateway.started_paths)
+        self.gateway.respond("/order")
+        self.gateway.respond("/2")
 
-        self.assertEqual(["/1", "/order", "/2"], await self.caller.bodies(3))
+        self.assertEqual(
+            ["/1", "/order", "/2"], await self.caller.receive_bodies(3)
+        )
 
-    async def test_no_more_than_the_bound_are_begun(self):
-        """A connection that sends hundreds ahead can't fill the node."""
+    async def test_number_of_early_requests_is_limited(self):
+        """A connection with hundreds of pipelined requests can't fill a node."""
         paths = [f"/{number}" for number in range(30)]
         self.caller.send(*paths)
-        most = 1 + connections.MAX_AHEAD
-        await self.gateway.until(lambda: len(self.gateway.begun) == most)
-        await _settle()
-        self.assertEqual(paths[:most], self.gateway.begun)
+        max_started = 1 + connections.MAX_AHEAD
+        await self.gateway.wait_for(
+            lambda: len(self.gateway.started_paths) == max_started
+        )
+        await _run_pending_tasks()
+        self.assertEqual(paths[:max_started], self.gateway.started_paths)
 
         for path in paths:
-            self.gateway.answer(path)
+            self.gateway.respond(path)
 
-        self.assertEqual(paths, await self.caller.bodies(30))
+        self.assertEqual(paths, await self.caller.receive_bodies(30))
 
-    async def test_the_deadline_counts_from_the_reading(self):
-        """Time behind a slow look-up is not given to a target once more."""
+    async def test_deadline_counts_from_arrival(self):
+        """Time spent behind a slow look-up counts towards the deadline."""
         self.caller.send("/1", "/2", fields="Endivewind-Timeout-Ms: 3000\r\n")
-        await self.gateway.until(lambda: len(self.gateway.begun) == 2)
+        await self.gateway.wait_for(
+            lambda: len(self.gateway.started_paths) == 2
+        )
 
-        least = datetime.timedelta(seconds=2)
+        min_remaining = datetime.timedelta(seconds=2)
         for path in ("/1", "/2"):
-            self.assertGreater(self.gateway.remaining[path], least)
-            self.gateway.answer(path)
+            self.assertGreater(self.gateway.remaining[path], min_remaining)
+            self.gateway.respond(path)
 
-    async def test_a_caller_that_leaves_ends_all_of_them(self):
-        """Targets would else work on for nobody; a ready answer is dropped."""
-        parts = _Parts(4, 1000)
+    async def test_disconnect_cancels_all_requests(self):
+        """Otherwise targets would go on working; ready responses are closed."""
+        stream = _StreamedResponse(4, 1000)
         self.caller.send("/1", "/2", "/3")
-        await self.gateway.until(lambda: len(self.gateway.begun) == 3)
-        self.gateway.answer_in_parts("/3", parts)
+        await self.gateway.wait_for(
+            lambda: len(self.gateway.started_paths) == 3
+        )
+        self.gateway.respond_with_stream("/3", stream)
 
         self.caller.writer.close()
-        await self.gateway.until(lambda: len(self.gateway.left) == 2)
+        await self.gateway.wait_for(
+            lambda: len(self.gateway.cancelled_paths) == 2
+        )
         async with asyncio.timeout(WAIT_SECONDS):
-            await parts.closed.wait()
+            await stream.closed.wait()
             await self.served.listener.drained()
 
-        self.assertEqual({"/1", "/2"}, set(self.gateway.left))
-        self.assertEqual(0, parts.read)
+        self.assertEqual({"/1", "/2"}, set(self.gateway.cancelled_paths))
+        self.assertEqual(0, stream.read_count)
 
-    async def test_a_large_answer_is_not_read_before_its_turn(self):
-        parts = _Parts(100, 10_000)
+    async def test_large_response_is_not_read_before_its_turn(self):
+        stream = _StreamedResponse(100, 10_000)
         self.caller.send("/1", "/2")
-        await self.gateway.until(lambda: len(self.gateway.begun) == 2)
-        self.gateway.answer_in_parts("/2", parts)
-        await _settle()
-        self.assertEqual(0, parts.read)
+        await self.gateway.wait_for(
+            lambda: len(self.gateway.started_paths) == 2
+        )
+        self.gateway.respond_with_stream("/2", stream)
+        await _run_pending_tasks()
+        self.assertEqual(0, stream.read_count)
 
-        self.gateway.answer("/1")
+        self.gateway.respond("/1")
 
         self.assertEqual(b"/1", (await self.caller.receive())[1])
-        self.assertEqual(parts.size, len((await self.caller.receive())[1]))
-        self.assertTrue(parts.closed.is_set())
+        self.assertEqual(stream.size, len((await self.caller.receive())[1]))
+        self.assertTrue(stream.closed.is_set())
 
-    async def test_a_failure_in_the_middle_is_its_own_answer_only(self):
+    async def test_refusal_does_not_affect_other_requests(self):
         self.caller.send("/1", "/2", "/nowhere", "/3")
-        await self.gateway.until(lambda: len(self.gateway.begun) == 2)
+        await self.gateway.wait_for(
+            lambda: len(self.gateway.started_paths) == 2
+        )
         self.gateway.refuse("/2", exchange.Reason.BUSY)
-        self.gateway.answer("/1")
-        self.gateway.answer("/3")
+        self.gateway.respond("/1")
+        self.gateway.respond("/3")
 
-        seen = [await self.caller.receive() for _ in range(4)]
+        responses = [await self.caller.receive() for _ in range(4)]
 
-        self.assertEqual([200, 503, 404, 200], [item[0] for item in seen])
-        self.assertEqual((b"/1", b"/3"), (seen[0][1], seen[3][1]))
+        self.assertEqual([200, 503, 404, 200], [item[0] for item in responses])
+        self.assertEqual((b"/1", b"/3"), (responses[0][1], responses[3][1]))
 
-    async def test_what_stands_behind_a_close_is_not_begun(self):
-        """The caller has said that it will not read an answer to it."""
+    async def test_request_after_connection_close_is_not_started(self):
+        """The caller has announced that it won't read further responses."""
         self.caller.send("/1")
         self.caller.send("/2", fields="Connection: close\r\n")
-        await self.gateway.until(lambda: len(self.gateway.begun) == 2)
+        await self.gateway.wait_for(
+            lambda: len(self.gateway.started_paths) == 2
+        )
         self.caller.send("/3")
-        await _settle()
-        self.gateway.answer("/2")
-        self.gateway.answer("/1")
+        await _run_pending_tasks()
+        self.gateway.respond("/2")
+        self.gateway.respond("/1")
 
-        self.assertEqual(["/1", "/2"], await self.caller.bodies(2))
-        self.assertTrue(await self.caller.ended())
-        self.assertEqual(["/1", "/2"], self.gateway.begun)
+        self.assertEqual(["/1", "/2"], await self.caller.receive_bodies(2))
+        self.assertTrue(await self.caller.is_closed())
+        self.assertEqual(["/1", "/2"], self.gateway.started_paths)
 
-    async def test_a_planned_stop_answers_all_that_was_begun(self):
-        """A node is replaced while look-ups are under way on a connection.
+    async def test_planned_stop_answers_started_requests(self):
+        """A node stops while look-ups of a connection are being served.
 
-        Those that targets have are answered; the next is refused as not run,
-        and the connection closed, so that the caller sends it and all behind
-        it elsewhere.
+        Those that were sent to targets are answered. The next one is refused
+        as not run and the connection closed, so that the caller sends it and
+        all that follow to another node.
         """
         self.caller.send("/1", "/2")
-        await self.gateway.until(lambda: len(self.gateway.begun) == 2)
+        await self.gateway.wait_for(
+            lambda: len(self.gateway.started_paths) == 2
+        )
         self.served.listener.refuse_new()
         self.caller.send("/3", "/4")
-        self.gateway.answer("/2")
-        self.gateway.answer("/1")
+        self.gateway.respond("/2")
+        self.gateway.respond("/1")
 
-        self.assertEqual(["/1", "/2"], await self.caller.bodies(2))
-        status, _, last = await self.caller.receive()
-        self.assertEqual((503, True), (status, last))
-        self.assertTrue(await self.caller.ended())
+        self.assertEqual(["/1", "/2"], await self.caller.receive_bodies(2))
+        status, _, is_last = await self.caller.receive()
+        self.assertEqual((503, True), (status, is_last))
+        self.assertTrue(await self.caller.is_closed())
         await self.served.listener.drained()
-        self.assertEqual(["/1", "/2"], self.gateway.begun)
+        self.assertEqual(["/1", "/2"], self.gateway.started_paths)
 
-    async def test_a_home_that_leaves_closes_nothing_that_was_begun(self):
-        """The first is refused by a home; a target works on the second."""
+    async def test_refusal_by_stopping_home_keeps_connection_open(self):
+        """A home refuses the first request; a target serves the second."""
         self.caller.send("/1", "/2")
-        await self.gateway.until(lambda: len(self.gateway.begun) == 2)
+        await self.gateway.wait_for(
+            lambda: len(self.gateway.started_paths) == 2
+        )
         self.gateway.refuse("/1", exchange.Reason.STOPPING)
-        status, _, last = await self.caller.receive()
-        self.assertEqual((503, False), (status, last))
+        status, _, is_last = await self.caller.receive()
+        self.assertEqual((503, False), (status, is_last))
 
-        self.gateway.answer("/2")
+        self.gateway.respond("/2")
 
-        self.assertEqual(["/2"], await self.caller.bodies(1))
+        self.assertEqual(["/2"], await self.caller.receive_bodies(1))
 
 
-class AnyOrderTest(unittest.TestCase):
-    """Any row of requests, answered in any order."""
+class AnyResponseOrderTest(unittest.TestCase):
+    """Any sequence of requests, answered in any order."""
 
     @hypothesis.settings(deadline=None, max_examples=40, derandomize=True)
     @hypothesis.given(strategies.data())
-    def test_own_answers_in_order_and_no_order_before_its_turn(self, data):
-        """The oracle: each answer is the next request's; an order runs alone.
+    def test_responses_in_order_and_no_order_before_its_turn(self, data):
+        """Checks that responses are in order and that orders run alone.
 
-        When it is begun, all before it have been answered; what is behind it
-        is begun after it.
+        An order starts after all requests before it were answered, and the
+        requests behind it start after the order was answered.
         """
         kinds = data.draw(
             strategies.lists(
@@ -362,39 +394,39 @@
         )
         paths = [f"/{kind}/{number}" for number, kind in enumerate(kinds)]
         first = data.draw(strategies.integers(1, len(paths)))
-        asyncio.run(self._play(data, paths, first))
+        asyncio.run(self._run_case(data, paths, first))
 
-    async def _play(self, data, paths, first):
-        served = _Served()
+    async def _run_case(self, data, paths, first):
+        served = _ListenerFixture()
         async with served.caller() as caller:
             caller.send(*paths[:first])
             unsent, answered = paths[first:], 0
             while answered < len(paths):
-                await _settle()
+                await _run_pending_tasks()
                 waiting = [
                     path
-                    for path in served.gateway.begun
+                    for path in served.gateway.started_paths
                     if not served.gateway._answers[path].done()
                 ]
-                self._check(served.gateway.begun, paths, waiting)
+                self._check(served.gateway.started_paths, paths, waiting)
                 if unsent:
                     caller.send(unsent.pop(0))
                 if waiting:
                     chosen = data.draw(strategies.sampled_from(waiting))
-                    served.gateway.answer(chosen)
+                    served.gateway.respond(chosen)
                     answered += 1
-            self.assertEqual(paths, await caller.bodies(len(paths)))
+            self.assertEqual(paths, await caller.receive_bodies(len(paths)))
 
-    def _check(self, begun, paths, waiting):
-        """Begun is a row from the first on; an order is never overtaken."""
-        self.assertEqual(paths[: len(begun)], begun)
+    def _check(self, started_paths, paths, waiting):
+        """Requests start in order, and none runs together with an order."""
+        self.assertEqual(paths[: len(started_paths)], started_paths)
         orders = [path for path in waiting if path.startswith("/order")]
         if orders:
             self.assertEqual(orders[:1], waiting)
 
 
-async def _settle():
-    """Lets all that can run do so, and what was written arrive."""
+async def _run_pending_tasks():
+    """Lets pending tasks run and written data arrive."""
     for _ in range(30):
         await asyncio.sleep(0)
 
--- a/endivewind/tests/callers/placement_tests.py
+++ b/endivewind/tests/callers/placement_tests.py
@@ -1,4 +1,4 @@
-"""Placement: the pool follows the view, and ramps what is new to it."""
+"""Tests of placement: cooldown, slow start, latency and changes of targets."""
 
 import collections
 import dataclasses
@@ -18,7 +18,7 @@
 from endivewind.tests import samples
 
 SERVICE = "riders"
-FLOOR = 12
+FLOOR_SLOTS = 12
 
 
 def _record(number, health=records.Health.NORMAL):
@@ -36,33 +36,35 @@
         self.placement = placement.Placement(
             load_balancing.Locality("node-a", "andina", "andina-a"),
             self.fleet,
-            lambda service: FLOOR,
+            lambda service: FLOOR_SLOTS,
             self.clock,
             random.Random(1),
         )
 
-    def put(self, items):
+    def put_targets(self, targets):
         self._sequence += 1
-        self.fleet.put_home_state("node-a", 1, self._sequence, items)
+        self.fleet.put_home_state("node-a", 1, self._sequence, targets)
 
     def fill(self):
-        """Places work until no slot is free; counts it by target."""
-        placed = collections.Counter()
+        """Places requests until no slot is free; returns counts by target."""
+        counts = collections.Counter()
         while True:
-            found = self.placement.choose(SERVICE, load_balancing.Demand(False))
-            if found is None:
-                return placed
-            self.placement.started(found)
-            placed[found.id] += 1
-
-    def test_a_target_that_returns_begins_with_one_slot(self):
-        """It was ejected and is normal again, while all want slots."""
-        items = [_record(number) for number in range(8)]
-        out = dataclasses.replace(items[0], health=records.Health.EJECTED)
-        self.put([out, *items[1:]])
+            target = self.placement.choose(
+                SERVICE, load_balancing.Demand(False)
+            )
+            if target is None:
+                return counts
+            self.placement.started(target)
+            counts[target.id] += 1
+
+    def test_readmitted_target_starts_with_one_slot(self):
+        """An ejected target becomes normal again under full load."""
+        targets = [_record(number) for number in range(8)]
+        ejected = dataclasses.replace(targets[0], health=records.Health.EJECTED)
+        self.put_targets([ejected, *targets[1:]])
         self.placement.choose(SERVICE, load_balancing.Demand(False))
 
-        self.put(items)
+        self.put_targets(targets)
         first = self.fill()
         self.clock.advance(slow_start.SLOW_START_DURATION)
         later = self.fill()
@@ -70,20 +72,20 @@
         self.assertEqual((1, 3), (first["riders-0"], first["riders-1"]))
         self.assertEqual({"riders-0": 2}, later)
 
-    def test_a_target_that_its_home_no_longer_holds_rests(self):
-        """A home restarts; its targets are known there until news comes.
+    def test_target_refused_by_stale_home_cools_down(self):
+        """A home restarts, and the entry doesn't know yet that it lost a target.
 
-        It refuses at once and so looks idle. Each request would ask it again
-        and again until its placings are used up, with a healthy target next
-        to it.
+        The home refuses at once, so the target looks idle. Without a cooldown
+        a request would use up its attempts there although another target is
+        healthy.
         """
-        items = [_record(number) for number in range(2)]
-        self.put(items)
+        targets = [_record(number) for number in range(2)]
+        self.put_targets(targets)
         for reason in (exchange.Reason.STALE_HOME, exchange.Reason.STOPPING):
             with self.subTest(reason):
                 refused = expression.Error(exchange.not_run(reason))
-                self.placement.started(items[0])
-                self.placement.ended(items[0], refused, datetime.timedelta())
+                self.placement.started(targets[0])
+                self.placement.ended(targets[0], refused, datetime.timedelta())
 
                 chosen = {self.choose() for _ in range(20)}
                 self.clock.advance(placement.SHED_REST)
@@ -92,90 +94,90 @@
                 self.assertEqual({"riders-1"}, chosen)
                 self.assertEqual({"riders-0", "riders-1"}, later)
 
-    def test_a_target_that_has_moved_is_asked_at_its_new_home(self):
-        """The old home names the new one: a rest would only cost time."""
-        items = [_record(number) for number in range(2)]
-        self.put(items)
+    def test_moved_target_does_not_cool_down(self):
+        """The old home names the new one, so a cooldown would only add delay."""
+        targets = [_record(number) for number in range(2)]
+        self.put_targets(targets)
         moved = exchange.Refusal(
             exchange.Outcome.NOT_RUN,
             exchange.Reason.STALE_HOME,
             moved_to="node-b",
         )
-        self.placement.started(items[0])
+        self.placement.started(targets[0])
         self.placement.ended(
-            items[0], expression.Error(moved), datetime.timedelta()
+            targets[0], expression.Error(moved), datetime.timedelta()
         )
 
         chosen = {self.choose() for _ in range(20)}
 
         self.assertIn("riders-0", chosen)
 
-    def choose(self):
-        """The id of the target that a request would go to."""
+    def choose_target(self):
+        """Returns the id of the target chosen for a request."""
         return self.placement.choose(SERVICE, load_balancing.Demand(False)).id
 
-    def test_what_the_floor_brings_back_has_all_its_slots(self):
-        """Half of the targets are ejected at once; the floor needs some.
+    def test_capacity_floor_readmits_without_slow_start(self):
+        """Most targets are ejected at once, and the floor readmits some.
 
-        A ramp would undercut the floor just when capacity is short.
+        Slow start would take the capacity below the floor.
         """
-        items = [_record(number) for number in range(6)]
-        self.put(items)
+        targets = [_record(number) for number in range(6)]
+        self.put_targets(targets)
         self.placement.choose(SERVICE, load_balancing.Demand(False))
 
-        out = [_record(n, records.Health.EJECTED) for n in range(4)]
-        self.put([*out, *items[4:]])
+        ejected = [_record(n, records.Health.EJECTED) for n in range(4)]
+        self.put_targets([*ejected, *targets[4:]])
 
-        self.assertEqual(FLOOR, self.fill().total())
+        self.assertEqual(FLOOR_SLOTS, self.fill().total())
 
-    def test_a_restart_of_most_of_the_service_is_not_ramped(self):
-        self.put([_record(number) for number in range(2)])
+    def test_restart_of_most_targets_skips_slow_start(self):
+        self.put_targets([_record(number) for number in range(2)])
         self.placement.choose(SERVICE, load_balancing.Demand(False))
 
-        self.put([_record(number) for number in range(8)])
+        self.put_targets([_record(number) for number in range(8)])
 
         self.assertEqual(24, self.fill().total())
 
-    def test_one_slow_answer_does_not_make_a_slow_target(self):
-        """Two targets answer in 0.5 s; then one request of one takes 3 s.
+    def test_one_slow_response_does_not_exclude_target(self):
+        """Two targets take 0.5 s per request; then one request takes 3 s.
 
-        Work has a long tail: the next answers may come as fast as ever. A
-        target that takes 3 s for each is left aside after a few.
+        Latencies have a long tail, so the next responses may be fast again.
+        Only a target that repeatedly takes 3 s is avoided.
         """
-        items = [_record(number) for number in range(2)]
-        self.put(items)
-        for item in items:
-            self.answer(item, 0.5)
+        targets = [_record(number) for number in range(2)]
+        self.put_targets(targets)
+        for target in targets:
+            self.complete_request(target, 0.5)
         self.clock.advance(datetime.timedelta(seconds=5))
-        self.answer(items[1], 0.5)
+        self.complete_request(targets[1], 0.5)
 
-        self.answer(items[0], 3.0)
+        self.complete_request(targets[0], 3.0)
         after_one = {self.choose() for _ in range(20)}
         for _ in range(6):
-            self.answer(items[0], 3.0)
+            self.complete_request(targets[0], 3.0)
         after_many = {self.choose() for _ in range(20)}
 
         self.assertEqual({"riders-0", "riders-1"}, after_one)
         self.assertEqual({"riders-1"}, after_many)
 
-    def answer(self, item, seconds):
-        """A request to a target ends well."""
-        self.placement.started(item)
-        answer = expression.Ok(exchange.Response(200, ()))
+    def complete_request(self, target, seconds):
+        """Records a successful request to a target."""
+        self.placement.started(target)
+        response = expression.Ok(exchange.Response(200, ()))
         latency = datetime.timedelta(seconds=seconds)
-        self.placement.ended(item, answer, latency)
+        self.placement.ended(target, response, latency)
 
-    def test_draining_targets_get_no_new_work(self):
+    def test_draining_target_gets_no_requests(self):
         draining = dataclasses.replace(_record(0), state=records.State.DRAINING)
-        self.put([draining, _record(1)])
+        self.put_targets([draining, _record(1)])
 
         self.assertEqual({"riders-1": 3}, self.fill())
 
-    def test_load_is_remembered_over_a_change_of_the_view(self):
-        self.put([_record(0)])
+    def test_load_survives_change_of_targets(self):
+        self.put_targets([_record(0)])
         self.fill()
         self.placement.ended(_record(0), None, datetime.timedelta())
 
-        self.put([_record(0), _record(1)])
+        self.put_targets([_record(0), _record(1)])
 
         self.assertEqual({"riders-0": 1, "riders-1": 3}, self.fill())
--- a/endivewind/tests/callers/routing_tests.py
+++ b/endivewind/tests/callers/routing_tests.py
@@ -1,4 +1,4 @@
-"""The routing table: what goes first, and changes of one group."""
+"""Tests of the routing table: precedence and replacement of groups."""
 
 import unittest
 
@@ -14,28 +14,28 @@
     def setUp(self):
         self.table = routing.RoutingTable()
 
-    def _service(self, path="/", host="a.example", workspace=""):
+    def _matched_service(self, path="/", host="a.example", workspace=""):
         found = self.table.match(host, path, workspace)
         return found.service if found else None
 
-    def test_a_changed_group_leaves_no_route_behind(self):
+    def test_replaced_group_drops_old_routes(self):
         self.table.replace("g", [_route("old", prefix="/a")])
 
         self.table.replace("g", [_route("new", prefix="/b")])
 
-        self.assertIsNone(self._service("/a"))
-        self.assertEqual("new", self._service("/b/c"))
+        self.assertIsNone(self._matched_service("/a"))
+        self.assertEqual("new", self._matched_service("/b/c"))
 
-    def test_removing_one_of_two_equal_routes_uncovers_the_other(self):
+    def test_removing_one_of_two_equal_routes_keeps_the_other(self):
         self.table.replace("g", [_route("first")])
         self.table.replace("h", [_route("second")])
-        self.assertEqual("first", self._service())
+        self.assertEqual("first", self._matched_service())
 
         self.table.replace("g", [])
 
-        self.assertEqual("second", self._service())
+        self.assertEqual("second", self._matched_service())
 
-    def test_the_order_in_which_groups_come_does_not_matter(self):
+    def test_order_of_groups_does_not_matter(self):
         other = routing.RoutingTable()
         groups = {"g": [_route("first")], "h": [_route("second")]}
         for name in groups:
@@ -48,7 +48,7 @@
             self.table.match("x", "/", "").service,
         )
 
-    def test_host_goes_before_workspace_and_workspace_before_prefix(self):
+    def test_precedence_is_host_then_workspace_then_prefix(self):
         self.table.replace(
             "g",
             [
@@ -58,6 +58,6 @@
             ],
         )
 
-        self.assertEqual("host", self._service("/a/b"))
-        self.assertEqual("mine", self._service("/a/b", workspace="w"))
-        self.assertEqual("any", self._service("/a/b", host="b.example"))
+        self.assertEqual("host", self._matched_service("/a/b"))
+        self.assertEqual("mine", self._matched_service("/a/b", workspace="w"))
+        self.assertEqual("any", self._matched_service("/a/b", host="b.example"))
--- a/endivewind/tests/callers/starting_tests.py
+++ b/endivewind/tests/callers/starting_tests.py
@@ -1,7 +1,7 @@
-"""What callers of a node that has just started get, in virtual time.
+"""Tests of requests to a node that has just started, in virtual time.
 
-The pattern: all nodes start at once, after a loss of power, and callers are
-back before any node has its configuration.
+Guards against needless refusals after a power failure: all nodes start at once,
+and callers come back before any node has its configuration.
 """
 
 import asyncio
@@ -19,15 +19,15 @@
 from endivewind.standins import virtual
 
 PATH = "/orders/"
-MISSING = "no configuration yet"
+MISSING_CONFIGURATION = "no configuration yet"
 
 
-class StartingTest(unittest.TestCase):
+class StartupTest(unittest.TestCase):
     def setUp(self):
         self.loop = virtual.VirtualLoop()
         self.addCleanup(self.loop.close)
         self.route = None
-        self.missing = MISSING
+        self.missing = MISSING_CONFIGURATION
         gateway = mock.Mock()
         gateway.route = lambda host, path, workspace: self.route
         gateway.workspaces = workspaces.Workspaces(store.ConfigurationStore())
@@ -41,12 +41,12 @@
             authorization.Doubts(lambda: self.missing),
         )
 
-    def ask(self, at):
-        """Sends a request at a time; how long it waits, and its refusal."""
-        return self.loop.run_until_complete(self._ask(at))
+    def send_request_at(self, time):
+        """Sends a request at a time; returns its wait and its refusal."""
+        return self.loop.run_until_complete(self._send_request_at(time))
 
-    async def _ask(self, at):
-        await asyncio.sleep(at - asyncio.get_running_loop().time())
+    async def _send_request_at(self, time):
+        await asyncio.sleep(time - asyncio.get_running_loop().time())
         headers = {"Host": "h"}
         request = types.SimpleNamespace(
             headers=headers, raw_headers=(), method="GET", rel_url=PATH
@@ -54,40 +54,40 @@
         request.raw_path = request.path = request.path_qs = PATH
         call = calls.Call(request, calls.Dialect())
         await self.listener._settle(call)
-        waited = asyncio.get_running_loop().time() - at
+        waited = asyncio.get_running_loop().time() - time
         refusal = None
         if self.route is None:
             refusal = self.listener._admit(call)
         return waited, refusal
 
-    def test_a_caller_waits_for_the_first_configuration(self):
-        """It comes half a second after the first caller, who is not refused.
+    def test_request_waits_for_first_configuration(self):
+        """The configuration arrives half a second after the first request.
 
-        Refused, he would be told to come back in a second, and all of those
-        who came with him.
+        If that request were refused, its caller and all others would come back
+        only a second later.
         """
         self.loop.call_later(0.6, setattr, self, "route", mock.Mock())
 
-        waited, refusal = self.ask(0.1)
+        waited, refusal = self.send_request_at(0.1)
 
         self.assertIsNone(refusal)
         self.assertAlmostEqual(0.5, waited, delta=0.05)
 
-    def test_a_route_that_does_not_exist_is_told_as_soon_as_that_is_known(self):
+    def test_unknown_route_is_refused_once_configuration_is_known(self):
         self.loop.call_later(0.4, setattr, self, "missing", None)
 
-        waited, refusal = self.ask(0.1)
+        waited, refusal = self.send_request_at(0.1)
 
         self.assertIs(exchange.Reason.NO_ROUTE, refusal.reason)
         self.assertLess(waited, 0.35)
 
-    def test_where_the_platform_is_away_callers_hear_so_at_once(self):
-        """The first second is waited for, and no caller after it."""
-        waited, refusal = self.ask(0.1)
+    def test_requests_are_refused_at_once_if_platform_is_unavailable(self):
+        """Requests wait only within the first second after the start."""
+        waited, refusal = self.send_request_at(0.1)
         self.assertIs(exchange.Reason.NOT_READY, refusal.reason)
         self.assertLess(waited, 1.0)
 
-        waited, refusal = self.ask(5)
+        waited, refusal = self.send_request_at(5)
 
         self.assertEqual(0, waited)
         self.assertIs(exchange.Reason.NOT_READY, refusal.reason)
