--- a/endivewind/callers/gateway.py
+++ b/endivewind/callers/gateway.py
@@ -48,11 +48,11 @@
     [records.TargetRecord, str, AnswerResult, datetime.timedelta], None
 ]
 
-# Attempts of one request, each at a home. Most attempts beyond the first few are
-# refused before the target receives anything, and each costs a hop. A full
-# target has a cooldown of a quarter of its usual latency, so the attempts last
-# for several latencies, and an order with a deadline of many latencies is not
-# refused within the first one.
+# Attempts of one request, each at a home. Most homes that refuse do so before
+# the target receives anything, and each attempt costs a hop. A full target has
+# a cooldown of a quarter of the usual latency, so the attempts last for several
+# latencies, and an order with a deadline of many latencies is not refused
+# within the first one.
 MAX_PLACINGS = 16
 # Delay of a hedged request, as a share of the latency objective. About 95 % of
 # requests have a response by then, and the second target still has time for
