--- a/endivewind/callers/listener.py
+++ b/endivewind/callers/listener.py
@@ -97,7 +97,7 @@
         await self._idle.wait()
 
     def server(self) -> web.Server:
-        """Returns the HTTP server; a caller's disconnect cancels its requests."""
+        """Returns the HTTP server; disconnecting cancels a request."""
         return connections.Server(
             self.handle,
             self.begin,
@@ -356,7 +356,7 @@
         return limits.body_bytes if limits else self._limits.body_bytes
 
     async def _read_body(self, call: calls.Call) -> exchange.Refusal | None:
-        """Buffers the body if it is small or needs a ticket, else streams it."""
+        """Buffers the body if it is small or has a ticket, else streams it."""
         request = call.request
         if not request.body_exists:
             return None
--- a/endivewind/callers/placement.py
+++ b/endivewind/callers/placement.py
@@ -176,7 +176,7 @@
         return max(0.0, self.others - done)
 
     def recent_latency(self, now: datetime.timedelta) -> float:
-        """Returns the average latency in seconds; 0 if there is no recent one."""
+        """Returns the average latency in seconds; 0 if none is recent."""
         max_age = datetime.timedelta(
             seconds=_MAX_AGE_IN_LATENCIES * self.latency
         )
@@ -364,7 +364,7 @@
         Args:
           locality: Where this entry is.
           fleet: The known nodes and targets.
-          floor_slots_of: Returns a service's capacity floor in slots per region.
+          floor_slots_of: Returns a service's capacity floor, slots per region.
           clock: For circuit breakers, cooldowns and budgets.
           rng: For random choices.
           cross_region_bytes_per_second: Traffic budget for each other region.
@@ -449,7 +449,7 @@
     def has_candidate(
         self, service: str, demand: load_balancing.Demand
     ) -> bool:
-        """Returns whether any target could take the request with a free slot."""
+        """Returns whether any target could take the request, given a slot."""
         return any(
             item.id not in demand.excluded
             for tier in self._pool(service).tiers
--- a/endivewind/callers/waiting.py
+++ b/endivewind/callers/waiting.py
@@ -90,7 +90,7 @@
         return len(self._queue(service))
 
     async def place(self, request: Claim) -> PlacedResult:
-        """Returns a target with a slot reserved for the request, or a refusal."""
+        """Returns a target with a slot reserved, or a refusal."""
         queue = self._queue(request.service)
         if not len(queue):
             record = self._choose_target(request)
--- a/endivewind/tests/callers/gateway_retries_tests.py
+++ b/endivewind/tests/callers/gateway_retries_tests.py
@@ -64,7 +64,7 @@
         )
 
     async def send_request(self, results, method="GET", ticket="", stream=None):
-        """Sends a request; returns its result and the targets it was sent to."""
+        """Sends a request; returns its result and the targets called."""
         self.dispatcher.run.reset_mock()
         self.dispatcher.run.side_effect = results
         head = exchange.RequestHead(
--- a/endivewind/tests/callers/pipelining_tests.py
+++ b/endivewind/tests/callers/pipelining_tests.py
@@ -243,7 +243,7 @@
         )
 
     async def test_number_of_early_requests_is_limited(self):
-        """A connection with hundreds of pipelined requests can't fill a node."""
+        """Hundreds of pipelined requests on a connection can't fill a node."""
         paths = [f"/{number}" for number in range(30)]
         self.caller.send(*paths)
         max_started = 1 + connections.MAX_AHEAD
--- a/endivewind/tests/callers/placement_tests.py
+++ b/endivewind/tests/callers/placement_tests.py
@@ -73,7 +73,7 @@
         self.assertEqual({"riders-0": 2}, later)
 
     def test_target_refused_by_stale_home_cools_down(self):
-        """A home restarts, and the entry doesn't know yet that it lost a target.
+        """A home restarts and loses a target; the entry doesn't know yet.
 
         The home refuses at once, so the target looks idle. Without a cooldown
         a request would use up its attempts there although another target is
@@ -95,7 +95,7 @@
                 self.assertEqual({"riders-0", "riders-1"}, later)
 
     def test_moved_target_does_not_cool_down(self):
-        """The old home names the new one, so a cooldown would only add delay."""
+        """The old home names the new one; a cooldown would only add delay."""
         targets = [_record(number) for number in range(2)]
         self.put_targets(targets)
         moved = exchange.Refusal(
