--- a/endivewind/callers/listener.py
+++ b/endivewind/callers/listener.py
@@ -401,7 +401,7 @@
             async for data in request.content.iter_chunked(_READ_CHUNK_BYTES):
                 total += len(data)
                 if total > self._configured_body_limit():
-                    limit = f"over {self._body_bytes()} bytes"
+                    limit = f"over {self._configured_body_limit()} bytes"
                     raise exchange.TruncatedBodyError(limit)
                 yield data
         except (OSError, web.RequestPayloadError) as error:
--- a/endivewind/tests/callers/placement_tests.py
+++ b/endivewind/tests/callers/placement_tests.py
@@ -87,9 +87,9 @@
                 self.placement.started(targets[0])
                 self.placement.ended(targets[0], refused, datetime.timedelta())
 
-                chosen = {self.choose() for _ in range(20)}
+                chosen = {self.choose_target() for _ in range(20)}
                 self.clock.advance(placement.SHED_REST)
-                later = {self.choose() for _ in range(20)}
+                later = {self.choose_target() for _ in range(20)}
 
                 self.assertEqual({"riders-1"}, chosen)
                 self.assertEqual({"riders-0", "riders-1"}, later)
@@ -108,7 +108,7 @@
             targets[0], expression.Error(moved), datetime.timedelta()
         )
 
-        chosen = {self.choose() for _ in range(20)}
+        chosen = {self.choose_target() for _ in range(20)}
 
         self.assertIn("riders-0", chosen)
 
@@ -152,10 +152,10 @@
         self.complete_request(targets[1], 0.5)
 
         self.complete_request(targets[0], 3.0)
-        after_one = {self.choose() for _ in range(20)}
+        after_one = {self.choose_target() for _ in range(20)}
         for _ in range(6):
             self.complete_request(targets[0], 3.0)
-        after_many = {self.choose() for _ in range(20)}
+        after_many = {self.choose_target() for _ in range(20)}
 
         self.assertEqual({"riders-0", "riders-1"}, after_one)
         self.assertEqual({"riders-1"}, after_many)
