--- a/endivewind/clock.py
+++ b/endivewind/clock.py
@@ -12,13 +12,16 @@
     """Source of wall-clock and monotonic time."""
 
     def now(self) -> datetime.datetime:
-        """Returns the UTC wall-clock time, for records and displayed expiry."""
+        """Returns the UTC wall-clock time, for time stamps of events."""
 
     def monotonic(self) -> datetime.timedelta:
         """Returns the time since an arbitrary start; never decreases."""
 
     def boot_time(self) -> datetime.timedelta:
-        """Like monotonic(), but includes time while the VM was suspended."""
+        """Like monotonic(), but includes time while the VM was suspended.
+
+        CLOCK_BOOTTIME on Linux.
+        """
 
 
 class SystemClock:
@@ -35,7 +38,7 @@
         return datetime.timedelta(0, time.monotonic())
 
     def boot_time(self) -> datetime.timedelta:
-        """Returns the time since an arbitrary start, with suspended time."""
+        """Returns the time since the machine booted, with suspended time."""
         return datetime.timedelta(0, time.clock_gettime(time.CLOCK_BOOTTIME))
 
 
--- a/endivewind/decisions/admission.py
+++ b/endivewind/decisions/admission.py
@@ -1,8 +1,8 @@
-"""Admission queue for requests that wait for a slot of a service.
+"""Admission queue for requests that wait for a slot.
 
-A bounded priority queue with weighted fair queueing between workspaces. Used
-by the nodes that callers reach (`callers/waiting.py`) and in front of targets
-(`targets/slots.py`).
+A bounded priority queue with weighted fair queueing between workspaces. Entry
+nodes have one for each service (`callers/request_queues.py`), home nodes one for
+each target (`targets/slots.py`).
 """
 
 import dataclasses
@@ -52,7 +52,7 @@
 class ServiceQueue:
     """A bounded queue, by priority, then fair between workspaces.
 
-    Load: more requests than slots, most of them from a few workspaces. Harm:
+    Scenario: more requests than slots, most of them from a few workspaces. Risk:
     first come, first served gives the slots to whoever sends most, and a long
     queue makes every response too late for its caller. Each workspace has its
     own flow, and the flows are served in proportion to their weights
--- a/endivewind/decisions/baseline.py
+++ b/endivewind/decisions/baseline.py
@@ -1,10 +1,11 @@
 """Baseline of a service: the signals and latencies that its targets show now.
 
-Load: all targets of a service are slow, overloaded or failing at once. Harm: a
-fixed limit would find every target unhealthy and eject all capacity just when
-it is short. A target is therefore compared with a quantile of its peers over
-the same seconds: what most of them show is not the fault of one target. The
-quantile is that of a healthy peer while fewer than four in ten are unhealthy.
+Scenario: all targets of a service are slow, overloaded or failing at once.
+Risk: a fixed limit would find every target unhealthy and eject all capacity
+just when it is short. A target is therefore compared with a quantile of its
+peers over the same seconds (`TYPICAL_PEER_QUANTILE`): what most of them show is
+not the fault of one target. As long as fewer than four in ten peers are
+unhealthy, the peer at this quantile is a healthy one.
 Used by `outlier_detection`.
 """
 
@@ -31,7 +32,8 @@
 # serve as a baseline.
 FAST_WEIGHT = 1 / 8
 RECENT_WEIGHT = 1 / 64
-# Factor for the error of a share that is measured over few requests.
+# The expected share is multiplied by this, because a share that is measured over
+# few requests has an error.
 EXPECTED_SHARE_MARGIN = 1.25
 # Above one half, so that noise does not decide, and low enough that the loss of
 # one availability zone out of three does not change the typical peer.
@@ -44,8 +46,8 @@
 # If the typical peer has accumulated this share of the ejection threshold, the
 # fault is common to the service.
 SHARED_FAULT_EVIDENCE = 0.1
-# A signal that fewer of the service's requests show is significant even if it
-# occurs once.
+# A signal is unusual if less than this share of the service's requests is
+# expected to show it. An unusual signal fails a request in trial.
 MAX_UNUSUAL_SHARE = 0.1
 
 _SIGNAL_COUNT = len(sequential_test.FaultSignal)
@@ -63,7 +65,8 @@
       signal_shares: recent share of requests with each signal; the higher of
         the last few requests and the last hundred.
       evidence: evidence of each test, as a share of the ejection threshold.
-      median_latency: median latency of the target.
+      home_median_latency: median latency over all targets of the service at
+        this target's home node; zero if unknown.
     """
 
     target: str
@@ -102,7 +105,7 @@
 
     @property
     def steps(self) -> list[sequential_test.EvidenceStep]:
-        """Evidence that a request adds to each test now."""
+        """Evidence that one request adds to each test, in the order of tests."""
         return self._steps
 
     @property
@@ -117,8 +120,9 @@
         self._history.add(request_latency)
         self._update_mean_share(sequential_test.FaultSignal.FAILED, signals)
         if self._slow_latency == _UNKNOWN_LATENCY:
-            # No request can be called slow yet. Errors need no latency limit;
-            # otherwise a node that has just started would miss them until then.
+            # No request can be called slow before the latency limits are known.
+            # Errors are counted above even then: a node that has just started
+            # must not miss them.
             return
         self._update_mean_share(sequential_test.FaultSignal.SLOW, signals)
         self._update_mean_share(sequential_test.FaultSignal.STALLED, signals)
@@ -152,13 +156,15 @@
 
     def refresh(
         self,
-        peers: collections.abc.Sequence[TargetSummary],
+        summaries: collections.abc.Sequence[TargetSummary],
         now: datetime.timedelta,
     ) -> None:
-        """Computes the baseline from the summaries of the service's targets."""
+        """Computes the baseline from summaries of all the service's targets."""
         self._refreshed_at = now
         fresh_peers = [
-            peer for peer in peers if now - peer.updated_at <= MAX_SUMMARY_AGE
+            peer
+            for peer in summaries
+            if now - peer.updated_at <= MAX_SUMMARY_AGE
         ]
         self._update_latency_limits(fresh_peers)
         # A signal that none of n requests showed may still have a share of 1/n.
--- a/endivewind/decisions/capacity_floor.py
+++ b/endivewind/decisions/capacity_floor.py
@@ -1,7 +1,7 @@
 """Capacity floor: the share of slots that ejection must leave in use.
 
 Corresponds to the maximum ejection percentage or panic threshold of other
-proxies. Each ingress node applies it to its own view of a service's targets.
+proxies. Each entry node applies it to its own view of a service's targets.
 """
 
 import collections
@@ -52,11 +52,11 @@
 ) -> list[Candidate]:
     """Returns the targets that may get normal requests, region by region.
 
-    Load: many targets are ejected at once, rightly or wrongly. Harm: the rest
-    gets the requests of all and fails under them. Each ingress node applies the
-    floor to its own view. The floor therefore needs no messages and holds even
-    if status changes are late, lost or wrong. All ingress nodes with the same
-    view keep the same targets, because the sort order has no ties.
+    Scenario: many targets are ejected at once, rightly or wrongly. Risk: the
+    rest gets the requests of all and fails under them. Each entry node applies
+    the floor to its own view. The floor therefore needs no messages and holds
+    even if status changes are late, lost or wrong. All entry nodes with the
+    same view keep the same targets, because the sort order has no ties.
 
     Args:
       candidates: targets of the service.
@@ -64,8 +64,9 @@
       share: minimum share of a region's slots, if `floor_slots` is 0.
 
     Returns:
-      Targets that have at least the minimum number of slots in each region, or
-      all targets of a region that has fewer.
+      All normal targets, and as many others as are needed so that the returned
+      targets of each region together have the minimum number of slots. If the
+      region has too few, all its targets.
     """
     regions: dict[str, list[Candidate]] = collections.defaultdict(list)
     for item in candidates:
--- a/endivewind/decisions/circuit_breakers.py
+++ b/endivewind/decisions/circuit_breakers.py
@@ -1,7 +1,7 @@
 """Circuit breakers for the connections from an entry node to home nodes.
 
 Placement consults them; their state is local to the entry node. An open
-circuit is tried again with a single request (half-open).
+circuit is probed with a single request after some time (half-open).
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 # second failure in a row was on a new connection and concerns the network path.
 FAILURES_TO_OPEN = 2
 INITIAL_OPEN_TIME = datetime.timedelta(seconds=1)
-# A partition may last an hour. A trial every 30 s costs one request in
+# A partition may last an hour. A probe every 30 s costs one request in
 # thousands and detects recovery soon.
 MAX_OPEN_TIME = datetime.timedelta(seconds=30)
 
@@ -27,10 +27,11 @@
 class CircuitBreakers:
     """A circuit breaker for each home node.
 
-    Load: a one-way partition or a stale connection between one entry node and
-    one home, which other entries still reach. Harm: each request placed there
-    waits for its time-out, and ejecting the target would take healthy capacity
-    from all entries. So only this entry stops using the home.
+    Scenario: a one-way partition or a stale connection between one entry node
+    and one home node, which other entry nodes still reach. Risk: each request
+    sent there waits for its time-out, and ejecting the target would take
+    healthy capacity from all entry nodes. So only this one stops using the
+    home node.
     """
 
     def __init__(self) -> None:
@@ -46,10 +47,12 @@
         )
 
     def record_start(self, home: str, now: datetime.timedelta) -> None:
-        """Records that a request was sent; a trial reopens the circuit.
+        """Records that a request was sent.
 
-        Otherwise all waiting requests would try the home at the same time as
-        soon as its open time ends.
+        If the request probes an open circuit, the circuit stays open for
+        another open time, until the probe succeeds. Otherwise all waiting
+        requests would try the home at the same time as soon as its open time
+        ends.
         """
         circuit = self._circuits.get(home)
         if circuit and circuit.open_until is not None:
--- a/endivewind/decisions/cross_region.py
+++ b/endivewind/decisions/cross_region.py
@@ -6,8 +6,9 @@
 import dataclasses
 import datetime
 
-# Capacity of a bucket, as the time to fill it: enough for the requests of a
-# zone while its targets restart, and small compared with a day's traffic costs.
+# Time in which an empty bucket fills up; sets its capacity. A full bucket lasts
+# for the requests of a zone while its targets restart, and costs little compared
+# with a day's traffic.
 BURST_DURATION = datetime.timedelta(seconds=30)
 
 
@@ -20,8 +21,8 @@
 class CrossRegionBudget:
     """A token bucket of bytes for each other region.
 
-    Load: nearby targets are full or gone, so all requests would go to other
-    regions. Harm: links between regions are slow, shared and billed by volume;
+    Scenario: nearby targets are full or gone, so all requests would go to other
+    regions. Risk: links between regions are slow, shared and billed by volume;
     one service in trouble would saturate them for all. No request is sent to a
     region while its bucket is empty. Sizes are known only afterwards, so a
     bucket may become negative, and must then fill up above zero first.
--- a/endivewind/decisions/ejection.py
+++ b/endivewind/decisions/ejection.py
@@ -32,7 +32,7 @@
 class EjectionState:
     """Ejection state of one target.
 
-    Load: a target that flaps every few seconds. Harm: after each return
+    Scenario: a target that flaps every few seconds. Risk: after each return
     requests fail until the target is detected again. The ejection time
     therefore doubles with each ejection of a target that had returned, so that
     a flapping target gets requests for a shrinking share of the time. Past
@@ -72,7 +72,7 @@
         self._settings = settings
 
     def ejection_time(self) -> datetime.timedelta:
-        """Returns the time from the current ejection to its trial."""
+        """Returns how long the current ejection lasts until its trial."""
         ejection_time = self._settings.base_ejection_time * 2 ** min(
             self._recent_ejections - 1, 16
         )
--- a/endivewind/decisions/ejection_settings.py
+++ b/endivewind/decisions/ejection_settings.py
@@ -14,8 +14,9 @@
     """When a service's targets are ejected and when they return.
 
     Attributes:
-      false_alarm_probability: probability that one test ejects a healthy
-        target.
+      false_alarm_probability: upper bound of the probability that one test
+        ejects a healthy target, for each time that its evidence rises from
+        zero; each request of the target can be such a time.
       base_ejection_time: time from the first ejection to the trial.
       max_ejection_time: upper limit of the ejection time, which doubles for a
         target that flaps.
@@ -36,10 +37,10 @@
         return -math.log(self.false_alarm_probability)
 
 
-# For services whose users notice every slow second (Camerino). Four consecutive
-# failures eject a target, and one that was ejected by mistake is back within
-# seconds. Three failures would occur by chance whenever one workspace begins
-# to send requests that fail at every target.
+# Prefers fast detection, for services whose users notice every slow second.
+# Four consecutive failures eject a target, and one that was ejected by mistake
+# is back within seconds. Three would not be enough: when a workspace begins to
+# send requests that fail at every target, three in a row at one are common.
 DETECTION = EjectionSettings(
     false_alarm_probability=1e-6,
     base_ejection_time=datetime.timedelta(seconds=3),
@@ -47,10 +48,11 @@
     trial_successes=8,
     trial_failures=2,
 )
-# For services where capacity that is lost at night stays lost until morning
-# (Saltline). At ten requests per second a target has about a million chances
-# of a false alarm per day; this bound keeps each test below one false alarm in
-# a thousand days.
+# Prefers keeping capacity, for services where targets that are lost at night
+# are not replaced until morning, so that a false alarm costs capacity that may
+# already be short. At ten requests per second a target has nearly a million
+# chances of a false alarm per day; with this bound each test has less than one
+# false alarm in ten thousand days.
 CAPACITY = EjectionSettings(
     false_alarm_probability=1e-10,
     base_ejection_time=datetime.timedelta(seconds=3),
--- a/endivewind/decisions/latency_histogram.py
+++ b/endivewind/decisions/latency_histogram.py
@@ -27,37 +27,37 @@
     when their sum reaches a limit, so that old requests lose weight.
     """
 
-    __slots__ = ("_counts", "_max_count", "_request_count")
+    __slots__ = ("_counts", "_max_count", "_weighted_count")
 
     def __init__(self, max_count: int = 20_000) -> None:
         self._counts = array.array("f", itertools.repeat(0.0, _BUCKET_COUNT))
-        self._request_count = 0.0
+        self._weighted_count = 0.0
         self._max_count = max_count
 
     @property
     def request_count(self) -> float:
-        """Weighted number of requests; less than all after a halving."""
-        return self._request_count
+        """Sum of all counts; halved with them when it reaches the limit."""
+        return self._weighted_count
 
     def add(self, latency: datetime.timedelta) -> None:
         """Adds the latency of one request."""
         self._counts[_bucket_index(latency)] += 1
-        self._request_count += 1
-        if self._request_count >= self._max_count:
+        self._weighted_count += 1
+        if self._weighted_count >= self._max_count:
             self._halve_counts()
 
     def median(self) -> datetime.timedelta:
         """Returns the median latency; zero if there are no requests."""
-        if not self._request_count:
+        if not self._weighted_count:
             return datetime.timedelta()
         cumulative_counts = list(itertools.accumulate(self._counts))
-        index = bisect.bisect_left(cumulative_counts, self._request_count / 2)
+        index = bisect.bisect_left(cumulative_counts, self._weighted_count / 2)
         return _UPPER_BOUNDS_MS[min(index, _BUCKET_COUNT - 1)] * _MILLISECOND
 
     def _halve_counts(self) -> None:
         for index, count in enumerate(self._counts):
             self._counts[index] = count / 2
-        self._request_count /= 2
+        self._weighted_count /= 2
 
 
 def _bucket_index(latency: datetime.timedelta) -> int:
--- a/endivewind/decisions/load_balancing.py
+++ b/endivewind/decisions/load_balancing.py
@@ -3,7 +3,7 @@
 Targets are grouped into tiers by locality: the node's own availability zone,
 its region, other regions. Each node uses a subset of every tier, chosen by
 rendezvous hashing, and takes the better of two random targets (power of two
-choices). `callers/placement.py` supplies the load and calls `choose`.
+choices). `callers/placement.py` implements `TargetInfo` and calls `choose`.
 """
 
 import collections.abc
@@ -21,7 +21,8 @@
 # Targets of a service that a node uses in each tier. Bounds the work per
 # request and the number of connections for services of any size.
 SUBSET_SIZE = 24
-# One in this many idempotent requests goes to a target in trial, if any.
+# One in this many idempotent requests goes to a target in trial, if there is
+# one.
 REQUESTS_PER_TRIAL = 20
 _CROSS_REGION_TIER = 2
 # A target counts as slower if its latency is at least this many times the
@@ -29,26 +30,30 @@
 SLOW_LATENCY_RATIO = 2
 _CHOICE_COUNT = 2
 # Suspicion above which a target is passed over for the next tier. A request
-# that is not idempotent is lost if it fails, which costs more than the bytes
-# to the next zone from a probability of about one in seven. An idempotent one
-# costs a retry, which is worth it up to about even odds.
+# that is not idempotent is lost if it fails: if the target is unhealthy with a
+# probability above about one in seven, this costs more than the traffic to the
+# next zone. An idempotent request that fails costs only a retry, which is worth
+# the risk up to about even odds.
 MAX_SUSPICION_NON_IDEMPOTENT = 0.15
 MAX_SUSPICION_IDEMPOTENT = 0.5
 # A request that is not idempotent leaves its region only where it would more
 # likely than not be lost: traffic between regions is billed by volume, and such
 # a request carries a body in addition to its response.
 MAX_SUSPICION_CROSS_REGION = 0.6
-# Cost of a suspicion of 1 when two targets of the same rank are compared, as
-# a multiple of the load of a full target.
+# Weight of the suspicion when two targets of the same rank are compared. The
+# cost of a target is its share of used slots plus this weight times its
+# suspicion.
 SUSPICION_COST_NON_IDEMPOTENT = 3.0
 SUSPICION_COST_IDEMPOTENT = 0.5
-# Share of its zone's idempotent requests that may probe a suspect target, one
-# at a time, until its state is clear.
+# Share of this node's idempotent requests that may probe a suspect target of
+# its zone. A node sends a suspect target one probe at a time, until its state
+# is clear.
 PROBE_SHARE = 0.5
 # Minimum time since the last report on a target before a node probes it:
-# otherwise all nodes of a zone that suspect it would probe it at once. Above
-# PROBE_BACKOFF_THRESHOLD the interval grows with the suspicion to about one
-# second, a fifth of the mean time that a target stays unhealthy.
+# otherwise all nodes of a zone that suspect it would probe it at once. For each
+# unit of suspicion above PROBE_BACKOFF_THRESHOLD the interval grows by
+# PROBE_BACKOFF_SECONDS_PER_SUSPICION, to about one second at most, a fifth of
+# the mean time that a target stays unhealthy.
 PROBE_INTERVAL_SECONDS = 0.15
 PROBE_BACKOFF_THRESHOLD = 0.4
 PROBE_BACKOFF_SECONDS = 1.5
@@ -73,8 +78,8 @@
       tiers: targets in the node's zone, in the rest of its region, and in
         other regions.
       trials: targets in trial, which get a few idempotent requests.
-      slots: the sum over all admitted targets, including those outside this
-        node's subset.
+      admitted_slots: slots of all targets that the capacity floor admits,
+        including those outside this node's subset.
     """
 
     tiers: tuple[tuple[capacity_floor.Candidate, ...], ...]
@@ -87,10 +92,20 @@
         candidates: collections.abc.Sequence[capacity_floor.Candidate],
         floor_slots: int,
         locality: Locality,
-        share: float = capacity_floor.DEFAULT_FLOOR_SHARE,
+        floor_share: float = capacity_floor.DEFAULT_FLOOR_SHARE,
     ) -> "Pool":
-        """Applies the capacity floor and takes this node's subset."""
-        admitted = capacity_floor.select_targets(candidates, floor_slots, share)
+        """Applies the capacity floor and takes this node's subset.
+
+        Args:
+          candidates: the targets of the service.
+          floor_slots: minimum number of slots per region; 0 to use
+            `floor_share`.
+          locality: the location of this node.
+          floor_share: minimum share of a region's slots, if `floor_slots` is 0.
+        """
+        admitted = capacity_floor.select_targets(
+            candidates, floor_slots, floor_share
+        )
         admitted_ids = {item.id for item in admitted}
         trials = [
             item
@@ -108,11 +123,11 @@
         )
 
     def targets(self) -> set[str]:
-        """Returns the ids of all targets that get this node's normal work."""
+        """Returns the ids of all targets in the tiers, whatever their status."""
         return {item.id for tier in self.tiers for item in tier}
 
     def normal_targets(self) -> set[str]:
-        """Returns the same without targets admitted only by the floor."""
+        """Returns the ids of the targets in the tiers with status NORMAL."""
         return {
             item.id
             for tier in self.tiers
@@ -123,7 +138,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """What a request demands of the target it is sent to.
+    """What limits the choice of a target for one request.
 
     Attributes:
       is_idempotent: whether it may run more than once, so that a failure at
@@ -133,7 +148,7 @@
         region rather than go to the next tier.
       may_probe: whether enough of the retry budget is left to send it to a
         target that is likely to fail.
-      is_last: whether no other target may be tried after this one,
+      is_last_attempt: whether no other target may be tried after this one,
         because of its route or because the retry budget is spent.
     """
 
@@ -159,7 +174,7 @@
 
     @property
     def cross_region_suspicion(self) -> float:
-        """Suspicion of targets in the region above which it leaves it."""
+        """Suspicion above which a target ranks after other regions' targets."""
         return (
             self.max_suspicion
             if self.is_idempotent
@@ -168,7 +183,7 @@
 
 
 class Load(Protocol):
-    """What the node knows of the load and health of its targets."""
+    """What this node knows of its targets, such as load and health."""
 
     def in_use(self, item: capacity_floor.Candidate) -> float:
         """Estimates the number of requests running at a target."""
@@ -180,7 +195,11 @@
         """Returns the usual latency in seconds; 0 if it is unknown."""
 
     def wait(self, item: capacity_floor.Candidate) -> float:
-        """Estimates the seconds that a request would wait for a slot."""
+        """Estimates the seconds until a slot of a target is free.
+
+        Returns 0 if a slot is free, or if the usual latency is unknown and the
+        time can't be estimated.
+        """
 
     def suspicion(self, target: str) -> float:
         """Returns the probability that a target is unhealthy."""
@@ -192,7 +211,7 @@
         """Whether the circuit breaker lets this node send to a home."""
 
     def slots(self, item: capacity_floor.Candidate) -> int:
-        """Returns how many of a target's slots this node may use now."""
+        """Returns how many slots this node may use now (slow start)."""
 
     def has_traffic_budget(self, region: str) -> bool:
         """Whether the cross-region traffic budget allows another request."""
@@ -206,8 +225,9 @@
 
     A free slot in the own zone costs nothing. A short wait there costs less
     than the bytes to another zone, and much less than those to another region.
-    Only a target that is likely to fail is worse than a remote region. The
-    last ranks serve requests that would otherwise be refused.
+    A target of the own region ranks after remote ones only if its suspicion is
+    above `RequestConstraints.cross_region_threshold`. The last ranks serve
+    requests that would otherwise be refused.
     """
 
     ZONE_FREE = 0
@@ -230,8 +250,9 @@
     _Rank.REGION_UNHEALTHY,
     _Rank.REMOTE_UNHEALTHY,
 )
-# The worst rank in each tier that no later tier can improve on.
-_WORST_RANK_IN_TIER = (
+# The search stops at a tier where a target of this rank or a better one was
+# found, since no later tier can improve on it.
+_SEARCH_STOP_RANKS = (
     _Rank.ZONE_QUEUED,
     _Rank.REGION_QUEUED,
     _Rank.UNREACHABLE,
@@ -239,50 +260,50 @@
 
 
 def choose(
-    pool: Pool, demand: Demand, load: Load, rng: random.Random
+    pool: Pool, constraints: Demand, info: Load, rng: random.Random
 ) -> capacity_floor.Candidate | None:
     """Chooses the better of two random targets of the best rank.
 
-    Load: many nodes choose among the same targets at the same time. Harm: if
-    each took the least loaded one, all would take the same, above all a target
-    that has just joined and is empty. The power of two choices spreads the
-    requests and still avoids loaded, slow or suspect targets. If a tier has no
-    capacity the next one is used: a remote response is better than none.
+    Scenario: many nodes choose among the same targets at the same time. Risk:
+    if each took the least loaded one, all would take the same, above all a
+    target that has just joined and is empty. The power of two choices spreads
+    the requests and still avoids loaded, slow or suspect targets. If a tier has
+    no capacity the next one is used: a remote response is better than none.
 
     Args:
       pool: the targets that this node uses.
-      demand: what the request demands.
-      load: the load and health of the targets.
+      constraints: what limits the choice for this request.
+      info: the load and health of the targets.
       rng: source of the random choices.
 
     Returns:
       The target, or None if no target can take the request now.
     """
     if (
-        demand.is_idempotent
+        constraints.is_idempotent
         and pool.trials
         and not rng.randrange(REQUESTS_PER_TRIAL)
     ):
-        tried = _choose_trial(pool.trials, demand, load, rng)
+        tried = _choose_trial(pool.trials, constraints, info, rng)
         if tried:
             return tried
-    if demand.may_probe and rng.random() < PROBE_SHARE:
-        probed = _choose_probe(pool.tiers[0], demand, load, rng)
+    if constraints.may_probe and rng.random() < PROBE_SHARE:
+        probed = _choose_probe(pool.tiers[0], constraints, info, rng)
         if probed:
             return probed
-    best = _best_rank(pool.tiers, demand, load, rng)
+    best = _best_rank(pool.tiers, constraints, info, rng)
     if best is None:
         return None
     rank, candidates = best
     if rank in _UNHEALTHY or rank in _SUSPECT:
-        return min(candidates, key=lambda item: load.suspicion(item.id))
-    return _least_cost(candidates[:_CHOICE_COUNT], demand, load)
+        return min(candidates, key=lambda item: info.suspicion(item.id))
+    return _least_cost(candidates[:_CHOICE_COUNT], constraints, info)
 
 
 def _best_rank(
     tiers: tuple[tuple[capacity_floor.Candidate, ...], ...],
-    demand: Demand,
-    load: Load,
+    constraints: Demand,
+    info: Load,
     rng: random.Random,
 ) -> tuple[_Rank, list[capacity_floor.Candidate]] | None:
     """Finds the lowest rank of any target, and targets that have it.
@@ -293,12 +314,12 @@
     by_rank: dict[_Rank, list[capacity_floor.Candidate]] = {}
     for number, tier in enumerate(tiers):
         for item in _shuffled(tier, rng):
-            rank = _target_rank(item, number, demand, load)
+            rank = _target_rank(item, number, constraints, info)
             if rank is not None:
                 by_rank.setdefault(rank, []).append(item)
             if len(by_rank.get(_FREE[number], ())) == _CHOICE_COUNT:
                 break
-        if by_rank and min(by_rank) <= _WORST_RANK_IN_TIER[number]:
+        if by_rank and min(by_rank) <= _SEARCH_STOP_RANKS[number]:
             break
     if not by_rank:
         return None
@@ -307,54 +328,54 @@
 
 
 def _target_rank(
-    item: capacity_floor.Candidate, tier: int, demand: Demand, load: Load
+    item: capacity_floor.Candidate, tier: int, constraints: Demand, info: Load
 ) -> _Rank | None:
     """Ranks a target for a request; None if it can't take the request."""
-    if item.id in demand.excluded or load.is_cooling_down(item.id):
+    if item.id in constraints.excluded or info.is_cooling_down(item.id):
         return None
-    free = load.in_use(item) < load.slots(item)
-    can_start = free or 0 < load.wait(item) <= demand.max_wait
-    affordable = tier != _CROSS_REGION_TIER or load.has_traffic_budget(
+    free = info.in_use(item) < info.slots(item)
+    can_start = free or 0 < info.wait(item) <= constraints.max_wait
+    affordable = tier != _CROSS_REGION_TIER or info.has_traffic_budget(
         item.region
     )
     if not (can_start and affordable):
         return None
-    if not load.is_reachable(item.home):
+    if not info.is_reachable(item.home):
         # If the paths to all homes have failed, trying one is better than
         # refusing the request.
         return _Rank.UNREACHABLE if free else None
-    risk = load.suspicion(item.id)
-    if risk > demand.cross_region_suspicion:
+    risk = info.suspicion(item.id)
+    if risk > constraints.cross_region_suspicion:
         return _UNHEALTHY[tier]
-    if risk > demand.max_suspicion:
+    if risk > constraints.max_suspicion:
         return _SUSPECT[tier]
     return _FREE[tier] if free else _QUEUED[tier]
 
 
 def _choose_probe(
     tier: tuple[capacity_floor.Candidate, ...],
-    demand: Demand,
-    load: Load,
+    constraints: Demand,
+    info: Load,
     rng: random.Random,
 ) -> capacity_floor.Candidate | None:
     """Finds a suspect target of the zone to probe with this request.
 
-    Load: requests that are not idempotent avoid a target after one failure.
-    Harm: without requests nobody learns that it has recovered or was never
+    Scenario: requests that are not idempotent avoid a target after one failure.
+    Risk: without requests nobody learns that it has recovered or was never
     unhealthy, and its capacity stays unused. Idempotent requests probe it, one
     at a time, and are retried elsewhere if they fail. The higher the suspicion
     the longer the interval between probes, since a probe of a target that is
     almost certainly unhealthy costs a retry and yields little information.
     """
     for item in _shuffled(tier, rng):
-        risk = load.suspicion(item.id)
+        risk = info.suspicion(item.id)
         excess = max(0.0, risk - PROBE_BACKOFF_THRESHOLD)
         interval = PROBE_INTERVAL_SECONDS + PROBE_BACKOFF_SECONDS * excess
-        if risk < suspicion.SUSPECT_THRESHOLD or load.own_in_use(item.id):
+        if risk < suspicion.SUSPECT_THRESHOLD or info.own_in_use(item.id):
             continue
-        if load.seconds_since_report(item.id) < interval:
+        if info.seconds_since_report(item.id) < interval:
             continue
-        rank = _target_rank(item, 0, demand, load)
+        rank = _target_rank(item, 0, constraints, info)
         if rank in (
             _Rank.ZONE_FREE,
             _Rank.REGION_SUSPECT,
@@ -366,14 +387,14 @@
 
 def _choose_trial(
     trials: tuple[capacity_floor.Candidate, ...],
-    demand: Demand,
-    load: Load,
+    constraints: Demand,
+    info: Load,
     rng: random.Random,
 ) -> capacity_floor.Candidate | None:
     """Picks a random target in trial, if it is idle as far as is known."""
     item = rng.choice(trials)
-    busy = load.in_use(item) or load.is_cooling_down(item.id)
-    return None if busy or item.id in demand.excluded else item
+    busy = info.in_use(item) or info.is_cooling_down(item.id)
+    return None if busy or item.id in constraints.excluded else item
 
 
 def _shuffled(
@@ -400,7 +421,7 @@
 
 
 def _least_cost(
-    items: list[capacity_floor.Candidate], demand: Demand, load: Load
+    items: list[capacity_floor.Candidate], constraints: Demand, info: Load
 ) -> capacity_floor.Candidate:
     """Returns the target with the lower cost: load plus suspicion.
 
@@ -410,15 +431,15 @@
     """
     weight = (
         SUSPICION_COST_IDEMPOTENT
-        if demand.can_retry
+        if constraints.can_retry
         else SUSPICION_COST_NON_IDEMPOTENT
     )
     costs = [
-        (load.in_use(item) + 1) / item.slots
-        + weight * _excess_suspicion(item, load)
+        (info.in_use(item) + 1) / item.slots
+        + weight * _excess_suspicion(item, info)
         for item in items
     ]
-    latencies = [load.latency(item.id) for item in items]
+    latencies = [info.latency(item.id) for item in items]
     if min(latencies) > 0 and max(latencies) >= SLOW_LATENCY_RATIO * min(
         latencies
     ):
@@ -429,15 +450,15 @@
     return items[costs.index(min(costs))]
 
 
-def _excess_suspicion(item: capacity_floor.Candidate, load: Load) -> float:
+def _excess_suspicion(item: capacity_floor.Candidate, info: Load) -> float:
     """Returns the suspicion above that of a target without any reports.
 
-    Load: few requests, and most targets idle; some of them have recent
-    successes. Harm: if a suspicion below the prior counted in favour of a
+    Scenario: few requests, and most targets idle; some of them have recent
+    successes. Risk: if a suspicion below the prior counted in favour of a
     target, those with successes would always win over one that has just joined
     or has long been idle, which would never get a request to succeed with.
     """
-    return max(0.0, load.suspicion(item.id) - suspicion.PRIOR_SUSPICION)
+    return max(0.0, info.suspicion(item.id) - suspicion.PRIOR_SUSPICION)
 
 
 def _tier_number(locality: Locality, item: capacity_floor.Candidate) -> int:
--- a/endivewind/decisions/outlier_detection.py
+++ b/endivewind/decisions/outlier_detection.py
@@ -17,17 +17,23 @@
 from endivewind.decisions import ejection_settings
 from endivewind.decisions import sequential_test
 
-# Evidence added each time the age of a stalled request has doubled. It is
-# limited because the request has already been counted once as stalled.
+# Evidence added each time the age of a stalled request has doubled. The value is
+# small because the request has already been counted once as stalled.
 _REPEATED_OVERDUE_STEP = sequential_test.EvidenceStep(
     with_signal=2.2, without_signal=0.0
 )
+# A pending request is counted at most this often: as slow, as stalled, and at
+# twice and four times the latency limit for stalled requests.
 _MAX_OVERDUE_STEPS = 4
-# Time for which a target whose evidence was dismissed still counts as unhealthy
-# in the comparison with its peers.
+# Evidence against a target is discarded if it has another cause, such as a fault
+# of the whole service. For this time after that the target still counts as
+# unhealthy in the comparison with its peers.
 _DISMISSAL_DURATION = datetime.timedelta(seconds=3)
-_MAX_CHANCE_PROBABILITY = 0.02
-_MAX_HEALTHY_FAILURE_SHARE = 0.05
+# Failures are attributed to one workspace if the probability that so many of
+# them are its own by chance is below this (p-value of a binomial test), and if
+# at most this share of the other workspaces' requests at the target fail.
+_MAX_P_VALUE = 0.02
+_MAX_OTHERS_FAILURE_SHARE = 0.05
 _MAX_TRACKED_WORKSPACES = 16
 
 _TEST_COUNT = len(sequential_test.ALTERNATIVES)
@@ -78,7 +84,10 @@
 
 
 class _WorkspaceFailures:
-    """Failures and requests by workspace, from the start of the evidence."""
+    """A target's requests and failures by workspace.
+
+    Counted since the evidence of failures was last zero.
+    """
 
     __slots__ = (
         "_failure_count",
@@ -130,13 +139,10 @@
             self._request_count - self._requests_by_workspace[suspect]
         )
         other_failures = self._failure_count - count
-        if other_failures > _MAX_HEALTHY_FAILURE_SHARE * other_requests:
+        if other_failures > _MAX_OTHERS_FAILURE_SHARE * other_requests:
             return False
         share = self._requests_by_workspace[suspect] / self._request_count
-        return (
-            _binomial_tail(count, self._failure_count, share)
-            < _MAX_CHANCE_PROBABILITY
-        )
+        return _binomial_tail(count, self._failure_count, share) < _MAX_P_VALUE
 
 
 def _binomial_tail(count: int, total: int, share: float) -> float:
@@ -156,27 +162,27 @@
         "dismissed_at",
         "ejection",
         "evidence",
-        "fast_shares",
+        "short_term_shares",
         "last_seen",
-        "median_latency",
+        "home_median_latency",
         "pending",
-        "recent_shares",
+        "long_term_shares",
         "workspace_failures",
     )
 
     def __init__(self, settings: ejection_settings.EjectionSettings) -> None:
         self.ejection = ejection.EjectionState(settings)
         self.evidence = [0.0] * _TEST_COUNT
-        self.recent_shares = [0.0] * _SIGNAL_COUNT
-        self.fast_shares = [0.0] * _SIGNAL_COUNT
+        self.long_term_shares = [0.0] * _SIGNAL_COUNT
+        self.short_term_shares = [0.0] * _SIGNAL_COUNT
         self.pending: dict[int, _PendingRequest] = {}
         self.last_seen = datetime.timedelta()
         self.dismissed_at = -_DISMISSAL_DURATION
-        self.median_latency = datetime.timedelta()
+        self.home_median_latency = datetime.timedelta()
         self.workspace_failures = _WorkspaceFailures()
 
     def badness(self) -> int:
-        return round(100 * max(self.fast_shares))
+        return round(100 * max(self.short_term_shares))
 
     def clear(self) -> None:
         """Discards evidence and pending requests after a change of status.
@@ -190,8 +196,8 @@
         self.pending.clear()
 
     def update_shares(self, signal: int, is_shown: bool) -> None:
-        fast = self.fast_shares
-        recent = self.recent_shares
+        fast = self.short_term_shares
+        recent = self.long_term_shares
         fast[signal] += baseline.FAST_WEIGHT * (is_shown - fast[signal])
         recent[signal] += baseline.RECENT_WEIGHT * (is_shown - recent[signal])
 
@@ -212,7 +218,7 @@
             pending.overdue_steps = 0
 
     def summarize(
-        self, name: str, threshold: float, now: datetime.timedelta
+        self, target: str, threshold: float, now: datetime.timedelta
     ) -> baseline.TargetSummary:
         evidence = tuple(value / threshold for value in self.evidence)
         if now - self.dismissed_at < _DISMISSAL_DURATION:
@@ -220,11 +226,11 @@
             # like an outlier, because the others' evidence was dismissed.
             evidence = (1.0,) * _TEST_COUNT
         return baseline.TargetSummary(
-            name,
+            target,
             self.last_seen,
-            tuple(map(max, self.recent_shares, self.fast_shares)),
+            tuple(map(max, self.long_term_shares, self.short_term_shares)),
             evidence,
-            self.median_latency,
+            self.home_median_latency,
         )
 
 
@@ -257,8 +263,8 @@
         """Replaces the settings; keeps evidence and ejections."""
         self._settings = settings
         self._threshold = settings.threshold
-        for target in self._targets.values():
-            target.ejection.configure(settings)
+        for state in self._targets.values():
+            state.ejection.configure(settings)
 
     def status(self, target: str) -> ejection.Status:
         """Returns the ejection status of a target."""
@@ -270,16 +276,16 @@
     ) -> list[baseline.TargetSummary]:
         """Returns summaries of this node's normal targets for other nodes."""
         median = self._baseline.median_latency
-        for target in self._targets.values():
-            target.median_latency = median
+        for state in self._targets.values():
+            state.home_median_latency = median
         return [
-            target.summarize(name, self._threshold, now)
-            for name, target in self._targets.items()
-            if target.ejection.status is ejection.Status.NORMAL
+            state.summarize(target, self._threshold, now)
+            for target, state in self._targets.items()
+            if state.ejection.status is ejection.Status.NORMAL
         ]
 
     def update_peer(self, summary: baseline.TargetSummary) -> None:
-        """Records the summary of a target of another home node."""
+        """Stores another home node's summary of one of its targets."""
         if summary.target not in self._targets:
             self._peer_summaries[summary.target] = summary
 
@@ -358,11 +364,13 @@
         workspace: str,
         now: datetime.timedelta,
     ) -> None:
-        """Records a request that this ingress node sent to another home node.
+        """Records a request that this node sent to another home node.
 
-        The result only contributes to the baseline of the service; the target
-        is not evaluated here. Without it a home node with a single target of
-        the service would have no peers to compare the target with.
+        As an entry node it also gets the results of other homes' targets. They
+        only contribute to the baseline of the service; those targets are
+        evaluated at their own homes. Without these results a node that is home
+        of a single target of the service would have no peers to compare it
+        with.
         """
         if target in self._targets:
             return
@@ -378,7 +386,8 @@
         self._decay_evidence(state, now)
         state.last_seen = now
         self._add_evidence(state, signals, 0, workspace)
-        # Evidence above the threshold adds nothing and would decay more slowly.
+        # Evidence above the threshold makes no difference to the comparison, but
+        # would take longer to decay below it.
         state.evidence = [
             min(value, self._threshold) for value in state.evidence
         ]
@@ -386,9 +395,10 @@
     def advance(self, now: datetime.timedelta) -> list[StatusChange]:
         """Checks for overdue requests and for ejections that have ended.
 
-        A target that hangs finishes no request: without this check its slots
-        would be full while it looks idle. A pending request is counted once
-        for each latency limit that it exceeds.
+        A target that hangs finishes no requests, so without this check no
+        evidence would be recorded against it although all its slots are taken.
+        A pending request is counted once for each latency limit that it
+        exceeds.
 
         Returns:
           The changes of status.
@@ -396,26 +406,26 @@
         self._refresh_if_due(now)
         changes = []
         overdue_targets = []
-        for name, state in self._targets.items():
+        for target, state in self._targets.items():
             if state.ejection.advance(now):
                 state.clear()
-                changes.append(self._status_change(name, state, ""))
+                changes.append(self._status_change(target, state, ""))
             elif self._check_overdue(state, now):
-                overdue_targets.append(name)
+                overdue_targets.append(target)
         # Overdue requests of all targets are counted before any target is
         # evaluated: if all hang, the first must not look like an outlier.
-        for name in overdue_targets:
-            change = self._evaluate(name, self._targets[name], now)
+        for target in overdue_targets:
+            change = self._evaluate(target, self._targets[target], now)
             if change:
                 changes.append(change)
         return changes
 
-    def _get_or_add_target(self, name: str) -> _TargetState:
-        state = self._targets.get(name)
+    def _get_or_add_target(self, target: str) -> _TargetState:
+        state = self._targets.get(target)
         if state is None:
-            state = self._targets[name] = _TargetState(self._settings)
-            self._peer_summaries.pop(name, None)
-            self._remote_targets.pop(name, None)
+            state = self._targets[target] = _TargetState(self._settings)
+            self._peer_summaries.pop(target, None)
+            self._remote_targets.pop(target, None)
         return state
 
     def _refresh_if_due(self, now: datetime.timedelta) -> None:
@@ -424,13 +434,13 @@
 
     def _refresh_baseline(self, now: datetime.timedelta) -> None:
         own = [
-            state.summarize(name, self._threshold, now)
-            for name, state in self._targets.items()
+            state.summarize(target, self._threshold, now)
+            for target, state in self._targets.items()
             if state.ejection.status is ejection.Status.NORMAL
         ]
         remote = [
-            state.summarize(name, self._threshold, now)
-            for name, state in self._remote_targets.items()
+            state.summarize(target, self._threshold, now)
+            for target, state in self._remote_targets.items()
         ]
         peers = [*own, *remote, *self._peer_summaries.values()]
         self._baseline.refresh(peers, now)
@@ -459,8 +469,8 @@
                 signal == sequential_test.FaultSignal.FAILED
                 or overdue_steps < signal
             ):
-                # A request with N overdue steps has added the signals from
-                # 1 (SLOW) to N while it was pending; each counts only once.
+                # While a request is pending, its first overdue step adds SLOW
+                # and its second adds STALLED; each counts only once.
                 evidence[index] += step.with_signal
         if not evidence[0]:
             state.workspace_failures.clear()
@@ -528,7 +538,7 @@
                 state.evidence[index] += self._baseline.steps[index].with_signal
 
     def _evaluate(
-        self, name: str, state: _TargetState, now: datetime.timedelta
+        self, target: str, state: _TargetState, now: datetime.timedelta
     ) -> StatusChange | None:
         if state.ejection.status is not ejection.Status.NORMAL:
             return None
@@ -540,7 +550,7 @@
                 continue
             state.ejection.eject(now)
             state.clear()
-            return self._status_change(name, state, alternative.name)
+            return self._status_change(target, state, alternative.name)
         return None
 
     def _has_external_cause(
@@ -548,8 +558,8 @@
     ) -> bool:
         """Returns whether something other than the target is the cause.
 
-        Load: a fault of the whole service, or one workspace whose requests
-        fail at every target. Harm: healthy targets would be ejected one by
+        Scenario: a fault of the whole service, or one workspace whose requests
+        fail at every target. Risk: healthy targets would be ejected one by
         one, each leaving more of the load to the rest.
         """
         self._refresh_baseline(now)
@@ -562,7 +572,7 @@
 
     def _record_trial(
         self,
-        name: str,
+        target: str,
         state: _TargetState,
         signals: list[bool],
         now: datetime.timedelta,
@@ -580,10 +590,12 @@
         state.clear()
         has_failed = state.ejection.status is ejection.Status.EJECTED
         return self._status_change(
-            name, state, "trial failed" if has_failed else ""
+            target, state, "trial failed" if has_failed else ""
         )
 
     def _status_change(
-        self, name: str, state: _TargetState, cause: str
+        self, target: str, state: _TargetState, cause: str
     ) -> StatusChange:
-        return StatusChange(name, state.ejection.status, cause, state.badness())
+        return StatusChange(
+            target, state.ejection.status, cause, state.badness()
+        )
--- a/endivewind/decisions/peer_updates.py
+++ b/endivewind/decisions/peer_updates.py
@@ -1,8 +1,10 @@
 """Status updates that nodes of a zone or region push to each other.
 
 Gossip datagrams carry them. Home nodes push the status of suspect targets,
-and entry nodes push their use of retry budgets and their ingress routes.
-Pure: no I/O, and the caller passes the time.
+and entry nodes push their use of retry budgets and their entry routes. A
+target's home node is the node that forwards requests to it; the entry node of a
+request is the node that the caller sent it to. Pure: no I/O, and the caller
+passes the time.
 """
 
 import collections.abc
@@ -17,25 +19,26 @@
 # second, of about 90 bytes each, to MAX_PEERS nodes stay below 9 KB/s, even if
 # a target is unhealthy for hours.
 MIN_UPDATE_INTERVAL = datetime.timedelta(milliseconds=250)
-# Maximum number of nodes that an update is sent to. In larger zones the entry
-# nodes see enough responses of their own to do without updates.
+# Maximum number of nodes that an update is sent to. In larger zones it goes to a
+# random selection; the other entry nodes learn the target's status from the
+# responses to their own requests.
 MAX_PEERS = 24
 
 
-def shares_retries_in_region(others: int) -> bool:
+def shares_retries_in_region(other_nodes: int) -> bool:
     """Whether entry nodes share retry budgets with their whole region.
 
-    Load: few requests per entry node, of which one in ten fails, in bursts.
-    Harm: a zone of six nodes with a limit of nine retries in ten seconds uses
+    Scenario: few requests per entry node, of which one in ten fails, in bursts.
+    Risk: a zone of six nodes with a limit of nine retries in ten seconds uses
     up its budget while the neighboring zone has used none. Sharing among twice
     as many nodes doubles the budget and evens out the bursts. Since each
     node's usage is sent to every other node that shares the budget, this is
     limited to small regions.
 
     Args:
-      others: number of other nodes in the region.
+      other_nodes: number of other nodes in the region.
     """
-    return others <= MAX_PEERS
+    return other_nodes <= MAX_PEERS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -44,7 +47,7 @@
 
     Attributes:
       target: the target's id.
-      status: the same status as attached to each of its responses.
+      report: the same as its home attaches to each of its responses.
     """
 
     target: str
@@ -74,12 +77,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerUpdate:
-    """An update pushed to nearby nodes; false in a boolean context if empty.
+    """What a node pushes to nearby nodes about itself and its targets.
+
+    False in a boolean context if empty.
 
     Attributes:
       target_updates: status of the sender's targets.
       retry_usages: the sender's use of retry budgets.
-      ingress_routes: routes by which the sender receives callers' requests.
+      entry_routes: routes by which the sender receives callers' requests.
     """
 
     target_updates: tuple[TargetUpdate, ...] = ()
@@ -118,13 +123,14 @@
 class TargetUpdatePublisher:
     """Chooses the target updates that a home node pushes.
 
-    Load: many entry nodes in front of a few targets, each entry with one or
-    two requests per second. Harm: an entry learns of a target's health only
+    Scenario: many entry nodes in front of a few targets, each with one or two
+    requests per second. Risk: an entry node learns of a target's health only
     from its own requests, so a target that becomes unhealthy fails a request
-    of every entry in turn, and each non-idempotent one is lost. The home node
-    sees all requests, so one update to the entries of its zone, which send
-    nearly all of them, prevents the other failures. While all targets are
-    healthy, no updates are sent.
+    of every entry node in turn, and each non-idempotent one is lost. The home
+    node sees all requests to the target. As soon as one fails, it sends an
+    update to the entry nodes of its zone, from which nearly all requests come,
+    so that they avoid the target. While all targets are healthy, no updates are
+    sent.
     """
 
     def __init__(self) -> None:
@@ -136,7 +142,9 @@
         snapshots: collections.abc.Iterable[TargetSnapshot],
         now: datetime.timedelta,
     ) -> tuple[TargetUpdate, ...]:
-        """Returns the updates to push now; none if the last are too recent.
+        """Returns the updates to push now and records them as sent.
+
+        Returns none if the last updates were sent too recently.
 
         A suspect target's update is repeated after each new signal, and once
         more when the target is no longer suspect.
--- a/endivewind/decisions/poison_requests.py
+++ b/endivewind/decisions/poison_requests.py
@@ -1,6 +1,6 @@
 """Detection of poison requests: requests that crash the targets they run on.
 
-Used by ingress nodes to refuse such requests instead of retrying them.
+Used by entry nodes to refuse such requests instead of retrying them.
 """
 
 import collections
@@ -31,10 +31,11 @@
 
     Requests are identified by a fingerprint.
 
-    Load: a request that crashes each target that runs it, from a caller that
-    resends it. Harm: with retries it crashes a service's targets one after
-    another, and each looks unhealthy by itself. A frequent request is running
-    at many targets when one crashes; a response from any target clears it.
+    Scenario: a request that crashes each target that runs it, from a caller
+    that resends it. Risk: with retries it crashes a service's targets one after
+    another, and outlier detection takes each of them for unhealthy. An innocent
+    request that is sent often may be running at several targets when they
+    crash, too; a response to it from any target clears it.
     """
 
     def __init__(self) -> None:
--- a/endivewind/decisions/quotas.py
+++ b/endivewind/decisions/quotas.py
@@ -10,8 +10,10 @@
 import dataclasses
 import datetime
 
-# Shares of the quota's tolerance in a window that are added to the burst and to
-# the rate. The rest covers buckets that start anew after an owner has ended.
+# A quota may be exceeded by some requests per window (see `Tolerance`). These
+# shares of them are added in advance to the burst and to the rate that the zones
+# divide between them (see `BucketLimits.for_zone`). The rest covers buckets that
+# are created anew after the node that owned them has stopped.
 BURST_TOLERANCE_SHARE = 0.5
 RATE_TOLERANCE_SHARE = 0.35
 # Tokens that a new owner starts with, as a share of the capacity: how many its
@@ -70,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limit:
-    """A zone's share of a quota: the parameters of its token bucket.
+    """Rate and capacity of a token bucket: a zone's share of a quota.
 
     Attributes:
       rate: tokens added per second; each admits one request.
@@ -84,15 +86,15 @@
     def for_zone(
         cls, rate: float, burst: float, zones: int, tolerance: Tolerance
     ) -> "Limit":
-        """Returns the limit of each zone for a workspace's quota.
+        """Returns the limits of each zone's bucket for a workspace's quota.
 
-        Load: 84 workspaces over a hundred nodes, most of which send less than
-        one request per second. Harm: with a share for each node, that share is
-        a fraction of a request, and traffic far below the quota is refused.
-        With a share for each of a few zones, every zone has whole requests,
-        because part of the tolerance is distributed as well. No caller is
-        refused for an excess that the operator tolerates, as long as no window
-        can exceed the tolerance.
+        Scenario: many workspaces (such as 84) over a hundred nodes, most of
+        which send less than one request per second. Risk: if each node had a
+        share, it would be a fraction of a request, and traffic far below the
+        quota would be refused. Instead each of a few zones has a share. It
+        holds at least one whole request, and part of the tolerance is added to
+        it, so that callers may use the excess that the operator tolerates.
+        Only part, so that no window exceeds the tolerance.
 
         Args:
           rate: the quota's requests per second.
@@ -107,7 +109,7 @@
         return cls(tolerated_rate / zones, max(1.0, capacity / zones))
 
     def for_standby(self) -> "Limit":
-        """Returns the limit of a node that stands in for the owner."""
+        """Returns the limits of a node that stands in for the owner."""
         return Limit(self.rate * STANDBY_SHARE, self.capacity)
 
 
@@ -115,10 +117,10 @@
     """A token bucket that lends tokens to other zones and borrows theirs."""
 
     def __init__(
-        self, limit: Limit, held: float, now: datetime.timedelta
+        self, limits: Limit, held: float, now: datetime.timedelta
     ) -> None:
-        self._limit = limit
-        self._tokens = min(held, limit.capacity)
+        self._limits = limits
+        self._tokens = min(held, limits.capacity)
         self._refilled_at = now
         self._last_used = now
 
@@ -127,13 +129,13 @@
         """When tokens were last requested from it."""
         return self._last_used
 
-    def configure(self, limit: Limit, now: datetime.timedelta) -> None:
-        """Changes the limit from now on."""
-        if limit == self._limit:
+    def configure(self, limits: Limit, now: datetime.timedelta) -> None:
+        """Changes the limits from now on."""
+        if limits == self._limits:
             return
         self._refill(now)
-        self._limit = limit
-        self._tokens = min(self._tokens, limit.capacity)
+        self._limits = limits
+        self._tokens = min(self._tokens, limits.capacity)
 
     def take(self, count: int, now: datetime.timedelta) -> int:
         """Takes up to `count` tokens and returns how many it took."""
@@ -146,7 +148,7 @@
     def lend(self, count: int, now: datetime.timedelta) -> int:
         """Takes up to `count` tokens for another zone; returns how many."""
         self._refill(now)
-        spare = self._tokens - KEPT_SHARE * self._limit.capacity
+        spare = self._tokens - KEPT_SHARE * self._limits.capacity
         lent = max(0, min(count, int(spare)))
         self._tokens -= lent
         return lent
@@ -159,9 +161,9 @@
     def wanted(self, now: datetime.timedelta) -> int:
         """Returns how many tokens to borrow; 0 above the low watermark."""
         self._refill(now)
-        if self._tokens >= LOW_WATERMARK * self._limit.capacity:
+        if self._tokens >= LOW_WATERMARK * self._limits.capacity:
             return 0
-        return max(1, int(self._limit.capacity - self._tokens))
+        return max(1, int(self._limits.capacity - self._tokens))
 
     def wait(self, now: datetime.timedelta) -> datetime.timedelta:
         """Returns the time until it holds a whole token, a minute at most."""
@@ -169,14 +171,14 @@
         missing = 1 - self._tokens
         if missing <= 0:
             return datetime.timedelta()
-        if not self._limit.rate:
+        if not self._limits.rate:
             return _MAX_WAIT
-        seconds = missing / self._limit.rate
+        seconds = missing / self._limits.rate
         return min(datetime.timedelta(seconds=seconds), _MAX_WAIT)
 
     def _refill(self, now: datetime.timedelta) -> None:
-        gained = self._limit.rate * (now - self._refilled_at).total_seconds()
+        gained = self._limits.rate * (now - self._refilled_at).total_seconds()
         self._tokens = min(
-            self._tokens + max(0.0, gained), self._limit.capacity
+            self._tokens + max(0.0, gained), self._limits.capacity
         )
         self._refilled_at = now
--- a/endivewind/decisions/response_times.py
+++ b/endivewind/decisions/response_times.py
@@ -53,11 +53,12 @@
         The ratio says how many times likelier that is at an unhealthy target
         than at a healthy one.
 
-        Load: targets that accept requests and respond to none of them for some
-        seconds. Harm: no request completes, so there is no evidence against
-        the target until the first one is overdue; meanwhile one target was
-        sent six requests. So a pending request counts as evidence from the age
-        at which most responses of its kind have arrived.
+        Scenario: targets that accept requests and respond to none of them for
+        some seconds. Risk: no request completes, so without this there is no
+        evidence against such a target until its first request is overdue, and
+        it may be sent another six requests by then. So a pending request counts
+        as evidence from the age at which most responses of its kind have
+        arrived.
 
         Args:
           latency_objective: that of the request's route; zero if unknown.
--- a/endivewind/decisions/retries.py
+++ b/endivewind/decisions/retries.py
@@ -1,7 +1,7 @@
 """Retry budget: bounds retries to a share of a service's recent requests.
 
-Counts requests and retries in a sliding window. The nodes near each other
-share what is left of their budgets. `callers/budgets.py` keeps one budget for
+Counts requests and retries in a sliding window. Nodes near each other share what
+is left of their budgets. `callers/budgets.py` keeps one budget for
 each service and exchanges the counts with other nodes.
 """
 
@@ -17,14 +17,14 @@
 # exceed the bound by more than a twentieth.
 _BUCKETS_PER_WINDOW = 20
 
-# A node that may make this many retries or more does not need to share them:
-# at this size random variation is about a fifth. Nodes with fewer exchange
-# their counts.
+# A node whose limit is this many retries or more does not need its neighbours'
+# retries: at this size random variation is about a fifth. Nodes with a lower
+# limit exchange their counts.
 SMALL_SHARE_RETRIES = 25.0
 # Share of its own limit that a node keeps for itself. The rest is shared.
 KEPT_SHARE = 0.2
 # Time until the other nodes know what a node has used: the interval between
-# two messages, and a delay of one of them.
+# two messages with its counts, plus the time that a message takes to arrive.
 PROPAGATION_DELAY = datetime.timedelta(milliseconds=500)
 
 
@@ -64,7 +64,7 @@
 class RetryBudget:
     """Bounds the retries in every window to a share of the requests.
 
-    Load: every target of a service fails, or most are full. Harm: with three
+    Scenario: every target of a service fails, or most are full. Risk: with three
     attempts per request the service gets three times the load when it can
     handle the least, and stays down. The budget bounds the additional load to
     a share of the requests whatever fails; hedged requests take from it too.
@@ -76,13 +76,14 @@
     and failures come in bursts: one node would give up while its neighbours
     have used none. So each node keeps a fifth of its limit for itself and
     shares the rest: what any node uses beyond its own fifth is taken from the
-    shared retries. Until its count has reached the others, a node uses at most
-    an equal part of what is left, so that nodes that act at the same time do
-    not spend the same retries twice. The sum of the limits remains the bound.
+    shared retries. What a node has used reaches the others with a delay
+    (`PROPAGATION_DELAY`). Within that time it uses at most an equal part of
+    what is left, so that nodes that act at the same time do not spend the same
+    retries twice. The sum of the limits remains the bound.
 
     A target that runs a retried request may call other services, and these
-    calls count as retries there. They can't be refused for that reason, so
-    they are charged to the budget and later retries have to wait.
+    calls count as retries there. They are not refused when the budget is spent,
+    only charged to it (`charge`), so that later retries have to wait.
     """
 
     def __init__(self, limits: RetryLimits) -> None:
@@ -125,7 +126,7 @@
         return RequestCounts(self._requests, self._retries)
 
     def is_small_share(self, now: datetime.timedelta) -> bool:
-        """Whether random variation alone may use up this node's limit."""
+        """Whether this node's limit is so low that it needs shared retries."""
         self._current_bucket(now)
         return 0 < self._own_limit() < SMALL_SHARE_RETRIES
 
@@ -163,7 +164,7 @@
 
     @property
     def has_any(self) -> bool:
-        """Whether the budget allows any retries, spent or not."""
+        """Whether the limit is at least one retry, even if all are spent."""
         return self._total_limit() >= 1
 
     def _has_retry(self, now: datetime.timedelta) -> bool:
--- a/endivewind/decisions/sequential_test.py
+++ b/endivewind/decisions/sequential_test.py
@@ -20,7 +20,11 @@
 
 
 class FaultSignal(enum.IntEnum):
-    """An indication of a fault that a single request can give."""
+    """What a single request can show that indicates an outlier.
+
+    Input of the sequential tests; `suspicion.SuspicionSignal` is that of the
+    suspicion.
+    """
 
     FAILED = 0
     SLOW = 1
@@ -29,13 +33,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Alternative:
-    """The alternative hypothesis of one test: a kind of fault.
+    """A kind of fault: the alternative hypothesis of one sequential test.
 
     Attributes:
       name: cause of an ejection, as shown to operators.
       signal: signal that the test counts.
-      unhealthy_share: share of the otherwise good requests that show the signal
-        at an unhealthy target.
+      unhealthy_share: of the requests that would not show the signal at a
+        healthy target, the share that shows it at an unhealthy one.
       min_expected_share: lower bound of the share that is expected of a
         healthy target.
     """
@@ -46,8 +50,9 @@
     min_expected_share: float
 
 
-# Errors are tested at three shares, because a test for a share of 0.1 needs a
-# hundred requests to detect what a test for a share of 0.8 detects in three.
+# One test is run for each. Errors are tested at three shares, because a test for
+# a share of 0.1 needs a hundred requests to detect what a test for a share of
+# 0.8 detects in three.
 ALTERNATIVES = (
     Alternative("some requests fail", FaultSignal.FAILED, 0.1, 0.01),
     Alternative("many requests fail", FaultSignal.FAILED, 0.3, 0.01),
@@ -74,12 +79,12 @@
 
 
 def evidence_step(
-    alternative: Alternative, expected_share: float
+    hypothesis: Alternative, expected_share: float
 ) -> EvidenceStep:
     """Returns the log-likelihood ratios of one request's two outcomes.
 
     Args:
-      alternative: the fault to test for.
+      hypothesis: the fault to test for.
       expected_share: share of requests that show the signal at a healthy
         target.
 
@@ -87,11 +92,11 @@
       Evidence for each outcome; zero for both if the expected share is too
       high for any target to be an outlier.
     """
-    healthy_share = max(expected_share, alternative.min_expected_share)
+    healthy_share = max(expected_share, hypothesis.min_expected_share)
     if healthy_share >= MAX_EXPECTED_SHARE:
         return NO_STEP
     unhealthy_share = (
-        healthy_share + (1 - healthy_share) * alternative.unhealthy_share
+        healthy_share + (1 - healthy_share) * hypothesis.unhealthy_share
     )
     return EvidenceStep(
         math.log(unhealthy_share / healthy_share),
--- a/endivewind/decisions/slow_start.py
+++ b/endivewind/decisions/slow_start.py
@@ -1,6 +1,6 @@
 """Slow start: targets that have just joined or returned get few requests.
 
-Used by each ingress node when it selects a target.
+Used by each entry node when it selects a target.
 """
 
 import collections.abc
@@ -14,10 +14,10 @@
 class SlowStart:
     """Raises the usable slots of targets linearly from one to all.
 
-    Load: many ingress nodes learn of a new target within the same second, and
-    each has requests for all its slots. Harm: a cold target gets its full
+    Scenario: many entry nodes learn of a new target within the same second, and
+    each has requests for all its slots. Risk: a cold target gets its full
     share at once, responds slowly to all of it, and is ejected or sheds load.
-    Each ingress node starts with one slot and adds the others evenly.
+    Each entry node starts with one slot and adds the others evenly.
     """
 
     def __init__(self) -> None:
--- a/endivewind/decisions/traffic_splitting.py
+++ b/endivewind/decisions/traffic_splitting.py
@@ -1,6 +1,7 @@
 """Weighted traffic splitting of a route's requests between services.
 
-Uses smooth weighted round robin. Called by the gateway of each ingress node.
+Uses smooth weighted round robin. Called on each entry node, the node that a
+caller's request came to, by `callers/gateway.py`.
 """
 
 import collections.abc
@@ -19,13 +20,13 @@
 class TrafficSplitter:
     """Gives each service its exact share, even over few requests.
 
-    Load: a route that moves a tenth of its traffic to a new service, over
-    hundreds of ingress nodes with a few requests per second each. Harm: if the
+    Scenario: a route that moves a tenth of its traffic to a new service, over
+    hundreds of entry nodes with a few requests per second each. Risk: if the
     service were chosen at random, one with a tenth of the weight might get
     nothing for seconds and then twice its share, and operators could not tell
     how much it can take. Smooth weighted round robin is never off by more than
-    one request at an ingress node. Each ingress node starts at a random
-    position; otherwise all would send their first request to the same service.
+    one request at an entry node. Each entry node starts at a random position;
+    otherwise all would send their first request to the same service.
     """
 
     def __init__(
--- a/endivewind/exceptions.py
+++ b/endivewind/exceptions.py
@@ -12,7 +12,7 @@
 
     @property
     def findings(self) -> tuple[finding_types.Finding, ...]:
-        """Findings of the file that caused the error; empty if none did."""
+        """Findings in an invalid input file; empty for all other errors."""
         return ()
 
 
--- a/endivewind/exchange.py
+++ b/endivewind/exchange.py
@@ -1,5 +1,8 @@
 """Data classes of one HTTP exchange: request, response and refusal.
 
+The node that a caller's request comes to is its entry node. It forwards the
+request to the home node of the chosen target, which sends it to the target.
+
 All packages pass these between the listener, placement, the links between
 nodes and the dispatch to targets.
 """
@@ -55,14 +58,15 @@
 
 
 # A home refuses non-idempotent requests when its target's suspicion is above
-# this, unless the entry node has no better target. At 0.2 the expected loss is
-# a sixth of the request's value, more than the cost of a hop to another zone.
+# this, unless the entry node has no better target. At 0.2 about one request in
+# six is lost (seven in ten fail at an unhealthy target), which costs more than a
+# hop to another zone.
 DEFAULT_MAX_SUSPICION = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetStatus:
-    """A target's status, which its home node attaches to each response.
+    """Load and suspicion of a target, attached to responses by its home node.
 
     Attributes:
       load: requests that are running at the target or queued for it.
@@ -87,8 +91,9 @@
       headers: end-to-end headers, in order.
       service: the service that the route names.
       workspace: the caller's workspace; empty if none was given.
-      remaining: time left until the deadline.
-      ticket: the ticket of a non-idempotent request; otherwise empty.
+      remaining_time: time left until the deadline.
+      ticket: token with which a non-idempotent request is executed at most once,
+        even if it is sent again; empty for idempotent requests.
       attempt: number of the attempt under the ticket, from 1.
       latency_objective: time within which a response is most useful; zero if
         unknown.
@@ -164,7 +169,8 @@
         pointless.
       moved_to: the target's new home node, if its former home knows it;
         otherwise empty.
-      target_status: the target's status, if the refusal comes from its home.
+      target_report: the target's load and suspicion, if the refusal comes from
+        its home.
     """
 
     outcome: Outcome
@@ -211,7 +217,7 @@
       body: the whole body, or its first bytes if stream is set.
       stream: the remaining bytes; raises TruncatedResponseError if the target
         stops early, so that a partial body is never taken for a whole one.
-      target_status: the target's status, as its home node reports it.
+      target_report: the target's load and suspicion, as its home reports them.
     """
 
     status: int
@@ -226,7 +232,7 @@
 
 
 class TruncatedBodyError(Exception):
-    """A request body ended before its announced end, or is too large."""
+    """A request body can't be read: it ended early or is too large."""
 
 
 def not_run(
@@ -246,7 +252,10 @@
 
 
 def truncated_body(error: TruncatedBodyError) -> Refusal:
-    """Returns a refusal where a target may have received part of the body."""
+    """Returns a refusal for a request body that can't be read to its end.
+
+    A target may have received part of the body.
+    """
     return outcome_unknown(
         Reason.BAD_REQUEST, f"request body truncated: {error}"
     )
--- a/endivewind/headers.py
+++ b/endivewind/headers.py
@@ -13,13 +13,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeaderNames:
-    """Headers whose names depend on the platform.
+    """Headers that the platform under the fleet may name differently.
 
     Attributes:
       request_id: the request's id; callers may choose it.
       timeout_ms: the sender's time-out in milliseconds.
-      caller_service: service of the VM where the request entered the fleet;
-        only the fleet may set it. Empty if targets don't receive it.
+      caller_service: the service that runs on the entry node's VM; only the
+        fleet may set it. Empty if targets don't receive it.
       expected_target: id of the target that a request is meant for; any other
         target rejects it unexecuted. Empty if targets don't support it.
       not_run: in a response, states that the target did not execute the
--- a/endivewind/nodes/codec.py
+++ b/endivewind/nodes/codec.py
@@ -66,19 +66,19 @@
     return decode_frame(await reader.readexactly(length))
 
 
-def encode_target_status(status: exchange.TargetStatus | None) -> Any:
-    """Converts a target status to a thrift struct."""
-    if status is None:
+def encode_target_status(report: exchange.TargetStatus | None) -> Any:
+    """Converts a target report to a thrift struct."""
+    if report is None:
         return None
-    return messages.TargetStatus(status.load, round(100 * status.suspicion))
+    return messages.TargetStatus(report.load, round(100 * report.suspicion))
 
 
-def decode_target_status(status: Any) -> exchange.TargetStatus | None:
-    """Converts a thrift struct to a target status."""
-    if status is None:
+def decode_target_status(report: Any) -> exchange.TargetStatus | None:
+    """Converts a thrift struct to a target report."""
+    if report is None:
         return None
     return exchange.TargetStatus(
-        status.load or 0, (status.suspicion or 0) / 100
+        report.load or 0, (report.suspicion or 0) / 100
     )
 
 
--- a/endivewind/nodes/messages.thrift
+++ b/endivewind/nodes/messages.thrift
@@ -35,7 +35,7 @@
   20: bool repeat
 }
 
-// The status of a target that its home node attaches to each response.
+// Load and suspicion of a target, attached by its home node to each response.
 // suspicion: probability that the target is unhealthy, in percent.
 struct TargetStatus {
   1: i32 load
@@ -116,8 +116,8 @@
   6: i64 sequence
 }
 
-// The status of a target that its home node pushes to the entry nodes of its
-// zone. suspicion: probability that the target is unhealthy, in thousandths.
+// Load and suspicion of a target, pushed by its home node to the entry nodes of
+// its zone. suspicion: probability that the target is unhealthy, in thousandths.
 struct TargetUpdate {
   1: string target
   2: i32 load
@@ -131,7 +131,8 @@
   3: i32 retries
 }
 
-// A route by which callers' requests enter the fleet, not only targets' calls.
+// A route by which the sender gets requests of callers outside the fleet, and not
+// only calls that targets make.
 struct IngressRoute {
   1: string service_name
   2: string prefix
--- a/endivewind/nodes/view.py
+++ b/endivewind/nodes/view.py
@@ -40,7 +40,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HomeVersion:
-    """The last change of a home up to which all its changes are known."""
+    """Number of a home's change; it and all earlier ones are known.
+
+    Later changes may be known, too, with gaps between them.
+    """
 
     incarnation: int = 0
     sequence: int = 0
@@ -97,7 +100,7 @@
     def __init__(self) -> None:
         self._nodes: dict[str, NodeRecord] = {}
         self._homes: dict[str, _HomeTargets] = {}
-        self._announcements: dict[str, records.TargetRecord] = {}
+        self._usable_records: dict[str, records.TargetRecord] = {}
         self._by_service: dict[str, dict[str, records.TargetRecord]] = {}
         self._revisions: collections.Counter[str] = collections.Counter()
         self._departed: dict[str, dict[str, int]] = {}
@@ -105,11 +108,11 @@
     def departed_targets(self, home: str) -> collections.abc.Mapping[str, int]:
         """Returns the incarnations of a home's departed targets by id.
 
-        Failure: a home is killed after it has acknowledged that its target
-        leaves, and a heartbeat sent before that is delayed. Symptom: after
-        its restart the home takes the target for ready and sends it requests
-        past its drain time. Its peers know of the departure and remember it
-        across restarts of the home.
+        Scenario: a target tells its home that it leaves, the home acknowledges
+        this and is killed. A heartbeat that the target had sent before arrives
+        after the home's restart. Risk: the home takes the target for ready and
+        sends it requests past its drain time. The other nodes know of the
+        departure and remember it across restarts of the home.
         """
         return self._departed.get(home, {})
 
@@ -136,23 +139,26 @@
         return self._revisions[service]
 
     def all_targets(self) -> list[records.TargetRecord]:
-        """Returns all known targets."""
-        return list(self._announcements.values())
+        """Returns the usable record of each target; none of dead nodes."""
+        return list(self._usable_records.values())
 
     @property
     def target_count(self) -> int:
-        """Number of known targets."""
-        return len(self._announcements)
+        """Number of targets that `all_targets` returns."""
+        return len(self._usable_records)
 
     def find_target(self, target: str) -> records.TargetRecord | None:
         """Returns a target's latest announcement by a live home, if any."""
-        return self._announcements.get(target)
+        return self._usable_records.get(target)
 
     def copy(self) -> "FleetView":
-        """Returns an independent copy that shares the immutable records."""
+        """Returns an independent copy that shares the immutable records.
+
+        Revisions and departed targets are not copied.
+        """
         other = FleetView()
         other._nodes = dict(self._nodes)
-        other._announcements = dict(self._announcements)
+        other._usable_records = dict(self._usable_records)
         other._by_service = {
             name: dict(group) for name, group in self._by_service.items()
         }
@@ -214,13 +220,13 @@
             return
         home = self._homes.get(name)
         if home is not None:
-            self._unindex_home(home)
+            self._withdraw_home(home)
 
     def remove_home(self, name: str) -> None:
-        """Deletes all records of a home's targets."""
+        """Deletes all records of a home's targets, but not the node itself."""
         home = self._homes.pop(name, None)
         if home is not None:
-            self._unindex_home(home)
+            self._withdraw_home(home)
 
     def put_home_state(
         self,
@@ -245,7 +251,7 @@
         updated = _HomeTargets(incarnation)
         updated.sequence = sequence
         if known is not None:
-            self._unindex_home(known)
+            self._withdraw_home(known)
             if known.incarnation == incarnation:
                 updated.pending = {
                     number: name
@@ -268,10 +274,10 @@
     def put_change(self, change: records.TargetChange) -> bool:
         """Applies one change of a home.
 
-        Changes may arrive twice and out of order. A change is outdated if its
-        number is not above that of the last change without a gap before it,
-        or if it is already pending. Without this rule a delayed copy would
-        bring back a target that has been removed.
+        Changes may arrive twice and out of order. A change is outdated if the
+        view includes it already: it is pending, or its number is not above that
+        of the home's version. Without this rule a delayed copy would bring back
+        a target that has been removed.
 
         Returns:
           False if the change is outdated, or if too many changes are pending.
@@ -298,7 +304,7 @@
             return True
         known = home.records.pop(record.id, None)
         if known is not None:
-            self._unindex_record(known)
+            self._withdraw_record(known)
         if change.is_removal:
             self._remember_departure(record)
         else:
@@ -316,21 +322,28 @@
         node = self._nodes.get(record.home)
         if node is None or node.incarnation != record.home_incarnation:
             return
-        record = self._with_location(record, node)
-        other = self._announcements.get(record.id)
+        record = self._set_location(record, node)
+        other = self._usable_records.get(record.id)
         if other is not None and other.home != record.home:
             if records.precedence(other) > records.precedence(record):
                 return
-            self._remove_usable(other)
-        self._announcements[record.id] = record
+            self._remove_from_indexes(other)
+        self._usable_records[record.id] = record
         group = self._by_service.setdefault(record.service, {})
         group[record.id] = record
         self._revisions[record.service] += 1
 
-    def _with_location(
+    def _set_location(
         self, record: records.TargetRecord, node: NodeRecord
     ) -> records.TargetRecord:
-        """Returns the record with its home's location and interned strings."""
+        """Sets a record's region and zone to those of its home node.
+
+        Also stores the new record, with interned strings, in the home's
+        records.
+
+        Returns:
+          The record with its home's location.
+        """
         if record.region == node.region and record.zone == node.zone:
             return record
         located = dataclasses.replace(
@@ -344,23 +357,24 @@
         home.records[record.id] = located
         return located
 
-    def _remove_usable(self, record: records.TargetRecord) -> None:
-        del self._announcements[record.id]
+    def _remove_from_indexes(self, record: records.TargetRecord) -> None:
+        del self._usable_records[record.id]
         group = self._by_service[record.service]
         del group[record.id]
         self._revisions[record.service] += 1
         if not group:
             del self._by_service[record.service]
 
-    def _unindex_home(self, home: _HomeTargets) -> None:
+    def _withdraw_home(self, home: _HomeTargets) -> None:
         for record in list(home.records.values()):
-            self._unindex_record(record)
+            self._withdraw_record(record)
 
-    def _unindex_record(self, record: records.TargetRecord) -> None:
-        known = self._announcements.get(record.id)
+    def _withdraw_record(self, record: records.TargetRecord) -> None:
+        """Takes a home's record out of use, and uses another home's instead."""
+        known = self._usable_records.get(record.id)
         if known is None or known.home != record.home:
             return
-        self._remove_usable(known)
+        self._remove_from_indexes(known)
         for name, other in self._homes.items():
             if name != record.home and record.id in other.records:
                 self._index_record(other.records[record.id])
--- a/endivewind/targets/records.py
+++ b/endivewind/targets/records.py
@@ -13,7 +13,10 @@
 
 
 class Health(enum.StrEnum):
-    """A target's health, as its home node determines it."""
+    """A target's ejection status, as its home node announces it.
+
+    Has the same members as `decisions.ejection.Status`.
+    """
 
     NORMAL = "normal"
     EJECTED = "ejected"
@@ -22,20 +25,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetRecord:
-    """An announced target; field names match the thrift struct TargetChange.
+    """An announced target.
+
+    The fields are named like those of the struct `TargetChange` in
+    `nodes/messages.thrift`.
 
     Attributes:
       id: unique in the fleet.
       service: the service it belongs to.
       home: name of its home node, which announces it to the fleet.
       home_incarnation: incarnation of the home node.
-      sequence: the home's change number at the record's last change.
+      sequence: number of the change that produced this record; a home numbers
+        its changes.
       region: region of the home.
       zone: availability zone of the home.
       slots: maximum number of concurrent requests.
       weight: load-balancing weight relative to other targets.
       state: as the target reports it.
-      health: as the home determines it.
+      health: the ejection status, as the home determines it.
       target_incarnation: the target's incarnation, as it announced it.
       moves: number of home changes within this incarnation of the target.
     """
@@ -74,9 +81,10 @@
 def precedence(record: TargetRecord) -> Precedence:
     """Returns the sort key of announcements of a target at several homes.
 
-    The announcement with the highest key is valid. Only the target itself
-    writes the first two numbers, its incarnation and its moves. The others
-    make the order total for targets that do not count their moves.
+    The announcement with the highest key is valid. The target itself counts its
+    incarnations and moves. Some targets don't count their moves; the home's
+    incarnation and name decide between two announcements that are otherwise
+    equal.
     """
     return (
         record.target_incarnation,
--- a/endivewind/tests/decisions/load_balancing_tests.py
+++ b/endivewind/tests/decisions/load_balancing_tests.py
@@ -11,7 +11,7 @@
 LOCALITY = load_balancing.Locality("node-a", "andina", "andina-a")
 
 
-class _Load(load_balancing.Load):
+class _TargetInfo(load_balancing.Load):
     """Load set by a test; all other targets are idle and reachable."""
 
     def __init__(self):
@@ -62,21 +62,26 @@
 
 class PlacingTest(unittest.TestCase):
     def setUp(self):
-        self.load = _Load()
+        self.info = _TargetInfo()
         self.rng = random.Random(1)
 
     def count_choices(
-        self, candidates, number=1, is_idempotent=True, excluded=(), **demand
+        self,
+        candidates,
+        number=1,
+        is_idempotent=True,
+        excluded=(),
+        **constraints,
     ):
         """Counts how often each target is chosen."""
         pool = load_balancing.Pool.from_candidates(candidates, 0, LOCALITY)
-        demand = load_balancing.Demand(
-            is_idempotent, frozenset(excluded), **demand
+        constraints = load_balancing.Demand(
+            is_idempotent, frozenset(excluded), **constraints
         )
         return collections.Counter(
             found.id if found else None
             for found in (
-                load_balancing.choose(pool, demand, self.load, self.rng)
+                load_balancing.choose(pool, constraints, self.info, self.rng)
                 for _ in range(number)
             )
         )
@@ -91,7 +96,7 @@
         self.assertEqual({"zone": 50}, self.count_choices(candidates, 50))
 
     def test_next_zone_if_the_own_one_is_full(self):
-        self.load.in_use_by_target["zone"] = 3
+        self.info.in_use_by_target["zone"] = 3
 
         found = self.count_choices(
             [_target("region", "andina-b"), _target("zone")]
@@ -100,7 +105,7 @@
         self.assertEqual({"region": 1}, found)
 
     def test_no_other_region_without_traffic_budget(self):
-        self.load.over_budget.add("caribe")
+        self.info.over_budget.add("caribe")
 
         found = self.count_choices([_target("far", "caribe-a")])
 
@@ -114,7 +119,7 @@
         """
         names = [f"t{number}" for number in range(10)]
         for name in names[1:]:
-            self.load.in_use_by_target[name] = 1
+            self.info.in_use_by_target[name] = 1
 
         found = self.count_choices([_target(name) for name in names], 1_000)
 
@@ -122,7 +127,7 @@
 
     def test_slow_target_gets_fewer_requests(self):
         names = [f"t{number}" for number in range(4)]
-        self.load.latencies = dict.fromkeys(names, 0.1) | {"t0": 0.5}
+        self.info.latencies = dict.fromkeys(names, 0.1) | {"t0": 0.5}
 
         found = self.count_choices([_target(name) for name in names], 1_000)
 
@@ -130,21 +135,21 @@
 
     def test_small_latency_difference_starves_no_target(self):
         names = [f"t{number}" for number in range(3)]
-        self.load.latencies = dict.fromkeys(names, 0.1) | {"t0": 0.15}
+        self.info.latencies = dict.fromkeys(names, 0.1) | {"t0": 0.15}
 
         found = self.count_choices([_target(name) for name in names], 300)
 
         self.assertGreater(found["t0"], 60)
 
     def test_cooling_down_and_excluded_targets_get_nothing(self):
-        self.load.cooling_down.add("a")
+        self.info.cooling_down.add("a")
 
         found = self.count_choices([_target("a"), _target("b")], excluded=["b"])
 
         self.assertEqual({None: 1}, found)
 
     def test_unreachable_homes_are_used_only_as_a_last_resort(self):
-        self.load.unreachable.add("lost")
+        self.info.unreachable.add("lost")
         both = [_target("a", home="lost"), _target("b", "caribe-a")]
 
         self.assertEqual({"b": 20}, self.count_choices(both, 20))
@@ -164,8 +169,8 @@
         self.assertEqual(0, none["sick"])
 
     def test_short_wait_in_the_zone_beats_another_zone(self):
-        self.load.in_use_by_target["zone"] = 3
-        self.load.waits["zone"] = 0.2
+        self.info.in_use_by_target["zone"] = 3
+        self.info.waits["zone"] = 0.2
         both = [_target("region", "andina-b"), _target("zone")]
 
         self.assertEqual({"zone": 9}, self.count_choices(both, 9, max_wait=0.3))
@@ -175,7 +180,7 @@
 
     def test_non_idempotent_requests_avoid_a_suspect_target(self):
         """The target failed a moment ago; one in the next zone did not."""
-        self.load.suspicions["zone"] = 0.4
+        self.info.suspicions["zone"] = 0.4
         both = [_target("region", "andina-b"), _target("zone")]
 
         self.assertEqual(
@@ -191,14 +196,14 @@
         both = [_target("far", "caribe-a"), _target("zone")]
         for risk, chosen in ((0.4, "zone"), (0.65, "far"), (0.9, "far")):
             with self.subTest(risk):
-                self.load.suspicions["zone"] = risk
+                self.info.suspicions["zone"] = risk
 
                 found = self.count_choices(both, 9, is_idempotent=False)
 
                 self.assertEqual({chosen: 9}, found)
 
     def test_takes_the_least_suspect_target_of_the_region(self):
-        self.load.suspicions = {"zone": 0.5, "region": 0.3}
+        self.info.suspicions = {"zone": 0.5, "region": 0.3}
         candidates = [
             _target("far", "caribe-a"),
             _target("zone"),
@@ -210,7 +215,7 @@
         self.assertEqual({"region": 9}, found)
 
     def test_takes_the_least_suspect_target_if_all_are_suspect(self):
-        self.load.suspicions = {"a": 0.9, "b": 0.4, "c": 0.95}
+        self.info.suspicions = {"a": 0.9, "b": 0.4, "c": 0.95}
         candidates = [_target(name) for name in "abc"]
 
         found = self.count_choices(candidates, 9, is_idempotent=False)
@@ -219,12 +224,12 @@
 
     def test_idempotent_requests_probe_a_suspect_target(self):
         """Without probes nobody would learn that it has recovered."""
-        self.load.suspicions["sick"] = 0.9
+        self.info.suspicions["sick"] = 0.9
         candidates = [_target("sick"), _target("well")]
 
         found = self.count_choices(candidates, 1_000, may_probe=True)
         self.assertTrue(400 < found["sick"] < 600, found)
-        self.load.report_age_seconds["sick"] = 0.05
+        self.info.report_age_seconds["sick"] = 0.05
         self.assertEqual(
             0, self.count_choices(candidates, 100, may_probe=True)["sick"]
         )
@@ -232,19 +237,19 @@
     def test_target_that_is_almost_certainly_unhealthy_is_probed_rarely(self):
         """Each such probe costs a retry from the budget of the whole fleet."""
         candidates = [_target("sick"), _target("well")]
-        self.load.report_age_seconds["sick"] = 0.8
+        self.info.report_age_seconds["sick"] = 0.8
 
-        self.load.suspicions["sick"] = 0.95
+        self.info.suspicions["sick"] = 0.95
         certain = self.count_choices(candidates, 100, may_probe=True)["sick"]
-        self.load.suspicions["sick"] = 0.3
+        self.info.suspicions["sick"] = 0.3
         uncertain = self.count_choices(candidates, 100, may_probe=True)["sick"]
 
         self.assertEqual(0, certain)
         self.assertGreater(uncertain, 30)
 
     def test_one_probe_at_a_time(self):
-        self.load.suspicions["sick"] = 0.9
-        self.load.in_use_by_target["sick"] = 1
+        self.info.suspicions["sick"] = 0.9
+        self.info.in_use_by_target["sick"] = 1
         candidates = [_target("sick"), _target("well")]
 
         found = self.count_choices(candidates, 100, may_probe=True)
@@ -283,13 +288,13 @@
         candidates = [_target(f"t{number}") for number in range(2_000)]
         examined = 0
 
-        class Full(_Load):
+        class Full(_TargetInfo):
             def in_use(self, target):
                 nonlocal examined
                 examined += 1
                 return 3
 
-        self.load = Full()
+        self.info = Full()
         found = self.count_choices(candidates)
 
         self.assertEqual({None: 1}, found)
--- a/endivewind/tests/decisions/outlier_detection_tests.py
+++ b/endivewind/tests/decisions/outlier_detection_tests.py
@@ -214,7 +214,7 @@
 class SingleTargetTest(_DetectorTest):
     """A node has one target of the service; other nodes have the rest.
 
-    The node gets the responses of the other targets as an ingress node.
+    The node gets the responses of the other targets as their entry node.
     Without them it could not tell an unhealthy target from an unhealthy
     service, and each node would eject its target when the service fails.
     """
--- a/endivewind/tests/decisions/slow_start_tests.py
+++ b/endivewind/tests/decisions/slow_start_tests.py
@@ -7,7 +7,7 @@
 
 
 class SlowStartTest(unittest.TestCase):
-    """A target returns, and every ingress node has requests for it.
+    """A target returns, and every entry node has requests for it.
 
     With all slots at once the target would get full load while it is cold, and
     its callers would wait for the slowest responses of the service.
--- a/endivewind/tests/decisions/traffic_splitting_tests.py
+++ b/endivewind/tests/decisions/traffic_splitting_tests.py
@@ -54,7 +54,7 @@
 
         self.assertEqual({"old"}, selected)
 
-    def test_ingress_nodes_start_with_different_services(self):
+    def test_entry_nodes_start_with_different_services(self):
         services = [
             traffic_splitting.WeightedService("old", 1),
             traffic_splitting.WeightedService("new", 1),
--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -80,7 +80,7 @@
         "a zone holds more than its share by borrowing",
         "decisions/quotas.py",
         "        self._tokens = min(\n"
-        "            self._tokens + max(0.0, gained), self._limit.capacity\n"
+        "            self._tokens + max(0.0, gained), self._limits.capacity\n"
         "        )\n",
         "        self._tokens += gained\n",
         "decisions.quotas_tests",
