--- a/endivewind/decisions/admission.py
+++ b/endivewind/decisions/admission.py
@@ -1,8 +1,8 @@
 """Admission queue for requests that wait for a slot.
 
 A bounded priority queue with weighted fair queueing between workspaces. Entry
-nodes have one for each service (`callers/request_queues.py`), home nodes one for
-each target (`targets/slots.py`).
+nodes have one for each service (`callers/request_queues.py`), home nodes one
+for each target (`targets/slots.py`).
 """
 
 import dataclasses
@@ -52,10 +52,10 @@
 class ServiceQueue:
     """A bounded queue, by priority, then fair between workspaces.
 
-    Scenario: more requests than slots, most of them from a few workspaces. Risk:
-    first come, first served gives the slots to whoever sends most, and a long
-    queue makes every response too late for its caller. Each workspace has its
-    own flow, and the flows are served in proportion to their weights
+    Scenario: more requests than slots, most of them from a few workspaces.
+    Risk: first come, first served gives the slots to whoever sends most, and a
+    long queue makes every response too late for its caller. Each workspace has
+    its own flow, and the flows are served in proportion to their weights
     (start-time fair queueing). A request that can't be served before its
     deadline is rejected on arrival instead of after waiting in vain.
     """
--- a/endivewind/decisions/baseline.py
+++ b/endivewind/decisions/baseline.py
@@ -32,8 +32,8 @@
 # serve as a baseline.
 FAST_WEIGHT = 1 / 8
 RECENT_WEIGHT = 1 / 64
-# The expected share is multiplied by this, because a share that is measured over
-# few requests has an error.
+# The expected share is multiplied by this, because a share that is measured
+# over few requests has an error.
 EXPECTED_SHARE_MARGIN = 1.25
 # Above one half, so that noise does not decide, and low enough that the loss of
 # one availability zone out of three does not change the typical peer.
@@ -105,7 +105,7 @@
 
     @property
     def steps(self) -> list[sequential_test.EvidenceStep]:
-        """Evidence that one request adds to each test, in the order of tests."""
+        """Evidence that one request adds to each test."""
         return self._steps
 
     @property
--- a/endivewind/decisions/cross_region.py
+++ b/endivewind/decisions/cross_region.py
@@ -7,8 +7,8 @@
 import datetime
 
 # Time in which an empty bucket fills up; sets its capacity. A full bucket lasts
-# for the requests of a zone while its targets restart, and costs little compared
-# with a day's traffic.
+# for the requests of a zone while its targets restart, and costs little
+# compared with a day's traffic.
 BURST_DURATION = datetime.timedelta(seconds=30)
 
 
--- a/endivewind/decisions/load_balancing.py
+++ b/endivewind/decisions/load_balancing.py
@@ -123,7 +123,7 @@
         )
 
     def targets(self) -> set[str]:
-        """Returns the ids of all targets in the tiers, whatever their status."""
+        """Returns the ids of all targets in the tiers, of any status."""
         return {item.id for tier in self.tiers for item in tier}
 
     def normal_targets(self) -> set[str]:
--- a/endivewind/decisions/outlier_detection.py
+++ b/endivewind/decisions/outlier_detection.py
@@ -17,17 +17,17 @@
 from endivewind.decisions import ejection_settings
 from endivewind.decisions import sequential_test
 
-# Evidence added each time the age of a stalled request has doubled. The value is
-# small because the request has already been counted once as stalled.
+# Evidence added each time the age of a stalled request has doubled. The value
+# is small because the request has already been counted once as stalled.
 _REPEATED_OVERDUE_STEP = sequential_test.EvidenceStep(
     with_signal=2.2, without_signal=0.0
 )
 # A pending request is counted at most this often: as slow, as stalled, and at
 # twice and four times the latency limit for stalled requests.
 _MAX_OVERDUE_STEPS = 4
-# Evidence against a target is discarded if it has another cause, such as a fault
-# of the whole service. For this time after that the target still counts as
-# unhealthy in the comparison with its peers.
+# Evidence against a target is discarded if it has another cause, such as a
+# fault of the whole service. For this time after that the target still counts
+# as unhealthy in the comparison with its peers.
 _DISMISSAL_DURATION = datetime.timedelta(seconds=3)
 # Failures are attributed to one workspace if the probability that so many of
 # them are its own by chance is below this (p-value of a binomial test), and if
@@ -209,8 +209,8 @@
         Requests that are still overdue are counted again: if they stay overdue
         after the peers have recovered, this target is the one that hangs.
         """
-        for index, alternative in enumerate(sequential_test.ALTERNATIVES):
-            if alternative.signal is signal:
+        for index, hypothesis in enumerate(sequential_test.ALTERNATIVES):
+            if hypothesis.signal is signal:
                 self.evidence[index] = 0.0
         self.dismissed_at = now
         self.workspace_failures.clear()
@@ -386,8 +386,8 @@
         self._decay_evidence(state, now)
         state.last_seen = now
         self._add_evidence(state, signals, 0, workspace)
-        # Evidence above the threshold makes no difference to the comparison, but
-        # would take longer to decay below it.
+        # Evidence above the threshold makes no difference to the comparison,
+        # but would take longer to decay below it.
         state.evidence = [
             min(value, self._threshold) for value in state.evidence
         ]
@@ -458,8 +458,8 @@
             workspace, signals[sequential_test.FaultSignal.FAILED]
         )
         evidence = state.evidence
-        for index, alternative in enumerate(sequential_test.ALTERNATIVES):
-            signal = alternative.signal
+        for index, hypothesis in enumerate(sequential_test.ALTERNATIVES):
+            signal = hypothesis.signal
             step = self._baseline.steps[index]
             if not signals[signal]:
                 evidence[index] = max(
@@ -533,8 +533,8 @@
             return
         signal = sequential_test.FaultSignal(step + 1)
         state.update_shares(signal, True)
-        for index, alternative in enumerate(sequential_test.ALTERNATIVES):
-            if alternative.signal is signal:
+        for index, hypothesis in enumerate(sequential_test.ALTERNATIVES):
+            if hypothesis.signal is signal:
                 state.evidence[index] += self._baseline.steps[index].with_signal
 
     def _evaluate(
@@ -542,15 +542,15 @@
     ) -> StatusChange | None:
         if state.ejection.status is not ejection.Status.NORMAL:
             return None
-        for index, alternative in enumerate(sequential_test.ALTERNATIVES):
+        for index, hypothesis in enumerate(sequential_test.ALTERNATIVES):
             if state.evidence[index] < self._threshold:
                 continue
             if self._has_external_cause(state, index, now):
-                state.dismiss_evidence(alternative.signal, now)
+                state.dismiss_evidence(hypothesis.signal, now)
                 continue
             state.ejection.eject(now)
             state.clear()
-            return self._status_change(target, state, alternative.name)
+            return self._status_change(target, state, hypothesis.name)
         return None
 
     def _has_external_cause(
@@ -565,8 +565,8 @@
         self._refresh_baseline(now)
         if self._baseline.is_shared_fault:
             return True
-        alternative = sequential_test.ALTERNATIVES[index]
-        if alternative.signal is not sequential_test.FaultSignal.FAILED:
+        hypothesis = sequential_test.ALTERNATIVES[index]
+        if hypothesis.signal is not sequential_test.FaultSignal.FAILED:
             return False
         return state.workspace_failures.is_single_workspace_fault()
 
--- a/endivewind/decisions/peer_updates.py
+++ b/endivewind/decisions/peer_updates.py
@@ -19,8 +19,8 @@
 # second, of about 90 bytes each, to MAX_PEERS nodes stay below 9 KB/s, even if
 # a target is unhealthy for hours.
 MIN_UPDATE_INTERVAL = datetime.timedelta(milliseconds=250)
-# Maximum number of nodes that an update is sent to. In larger zones it goes to a
-# random selection; the other entry nodes learn the target's status from the
+# Maximum number of nodes that an update is sent to. In larger zones it goes to
+# a random selection; the other entry nodes learn the target's status from the
 # responses to their own requests.
 MAX_PEERS = 24
 
--- a/endivewind/decisions/quotas.py
+++ b/endivewind/decisions/quotas.py
@@ -11,9 +11,9 @@
 import datetime
 
 # A quota may be exceeded by some requests per window (see `Tolerance`). These
-# shares of them are added in advance to the burst and to the rate that the zones
-# divide between them (see `BucketLimits.for_zone`). The rest covers buckets that
-# are created anew after the node that owned them has stopped.
+# shares of them are added in advance to the burst and to the rate that the
+# zones divide between them (see `BucketLimits.for_zone`). The rest covers
+# buckets that are created anew after the node that owned them has stopped.
 BURST_TOLERANCE_SHARE = 0.5
 RATE_TOLERANCE_SHARE = 0.35
 # Tokens that a new owner starts with, as a share of the capacity: how many its
--- a/endivewind/decisions/retries.py
+++ b/endivewind/decisions/retries.py
@@ -1,8 +1,8 @@
 """Retry budget: bounds retries to a share of a service's recent requests.
 
-Counts requests and retries in a sliding window. Nodes near each other share what
-is left of their budgets. `callers/budgets.py` keeps one budget for
-each service and exchanges the counts with other nodes.
+Counts requests and retries in a sliding window. Nodes near each other share
+what is left of their budgets. `callers/budgets.py` keeps one budget for each
+service and exchanges the counts with other nodes.
 """
 
 import collections
@@ -64,13 +64,13 @@
 class RetryBudget:
     """Bounds the retries in every window to a share of the requests.
 
-    Scenario: every target of a service fails, or most are full. Risk: with three
-    attempts per request the service gets three times the load when it can
-    handle the least, and stays down. The budget bounds the additional load to
-    a share of the requests whatever fails; hedged requests take from it too.
+    Scenario: every target of a service fails, or most are full. Risk: with
+    three attempts per request the service gets three times the load when it can
+    handle the least, and stays down. The budget bounds the additional load to a
+    share of the requests whatever fails; hedged requests take from it too.
     Every node keeps to its own limit, so the sum over all nodes is bounded as
-    well. Unused retries expire with the window: retries saved up in quiet
-    times would break the bound in the first window of an outage.
+    well. Unused retries expire with the window: retries saved up in quiet times
+    would break the bound in the first window of an outage.
 
     A node with a few requests per second has a limit of two or three retries,
     and failures come in bursts: one node would give up while its neighbours
--- a/endivewind/decisions/sequential_test.py
+++ b/endivewind/decisions/sequential_test.py
@@ -50,9 +50,9 @@
     min_expected_share: float
 
 
-# One test is run for each. Errors are tested at three shares, because a test for
-# a share of 0.1 needs a hundred requests to detect what a test for a share of
-# 0.8 detects in three.
+# One test is run for each. Errors are tested at three shares, because a test
+# for a share of 0.1 needs a hundred requests to detect what a test for a share
+# of 0.8 detects in three.
 ALTERNATIVES = (
     Alternative("some requests fail", FaultSignal.FAILED, 0.1, 0.01),
     Alternative("many requests fail", FaultSignal.FAILED, 0.3, 0.01),
--- a/endivewind/decisions/suspicion.py
+++ b/endivewind/decisions/suspicion.py
@@ -11,9 +11,9 @@
 import enum
 import math
 
-# Mean times until a healthy target becomes unhealthy, and until it recovers. They
-# model recorded traffic, in which each target fails for some seconds more often
-# than once a minute, and determine how fast evidence becomes outdated.
+# Mean times until a healthy target becomes unhealthy, and until it recovers.
+# They model recorded traffic, in which each target fails for some seconds more
+# often than once a minute, and determine how fast evidence becomes outdated.
 MEAN_HEALTHY_TIME = datetime.timedelta(seconds=40)
 MEAN_UNHEALTHY_TIME = datetime.timedelta(seconds=5)
 # Limits of the estimate. However many requests have failed, a few successful
@@ -74,10 +74,11 @@
 
     Scenario: targets that pass their health checks and fail most requests for
     some seconds. Risk: fast failures make a target look idle, so that it
-    attracts more load, and each non-idempotent request that fails there is lost. At a
-    few requests per second and target, a detector that waits for several
-    failures loses several requests in each such period. Here one failure after
-    many successes gives a suspicion of about 0.3, and two in a row nearly 1.
+    attracts more load, and each non-idempotent request that fails there is
+    lost. At a few requests per second and target, a detector that waits for
+    several failures loses several requests in each such period. Here one
+    failure after many successes gives a suspicion of about 0.3, and two in a
+    row nearly 1.
     """
 
     __slots__ = ("_probability", "_signal_count", "_updated_at")
--- a/endivewind/exchange.py
+++ b/endivewind/exchange.py
@@ -59,8 +59,8 @@
 
 # A home refuses non-idempotent requests when its target's suspicion is above
 # this, unless the entry node has no better target. At 0.2 about one request in
-# six is lost (seven in ten fail at an unhealthy target), which costs more than a
-# hop to another zone.
+# six is lost (seven in ten fail at an unhealthy target), which costs more than
+# a hop to another zone.
 DEFAULT_MAX_SUSPICION = 0.2
 
 
@@ -92,8 +92,8 @@
       service: the service that the route names.
       workspace: the caller's workspace; empty if none was given.
       remaining_time: time left until the deadline.
-      ticket: token with which a non-idempotent request is executed at most once,
-        even if it is sent again; empty for idempotent requests.
+      ticket: token with which a non-idempotent request is executed at most
+        once, even if it is sent again; empty for idempotent requests.
       attempt: number of the attempt under the ticket, from 1.
       latency_objective: time within which a response is most useful; zero if
         unknown.
--- a/endivewind/headers.py
+++ b/endivewind/headers.py
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeaderNames:
-    """Headers that the platform under the fleet may name differently.
+    """Headers whose names depend on the platform that the fleet runs on.
 
     Attributes:
       request_id: the request's id; callers may choose it.
--- a/endivewind/nodes/messages.thrift
+++ b/endivewind/nodes/messages.thrift
@@ -117,7 +117,8 @@
 }
 
 // Load and suspicion of a target, pushed by its home node to the entry nodes of
-// its zone. suspicion: probability that the target is unhealthy, in thousandths.
+// its zone. suspicion: probability that the target is unhealthy, in
+// thousandths.
 struct TargetUpdate {
   1: string target
   2: i32 load
@@ -131,8 +132,8 @@
   3: i32 retries
 }
 
-// A route by which the sender gets requests of callers outside the fleet, and not
-// only calls that targets make.
+// A route by which the sender gets requests of callers outside the fleet, and
+// not only calls that targets make.
 struct IngressRoute {
   1: string service_name
   2: string prefix
