--- a/endivewind/targets/__init__.py
+++ b/endivewind/targets/__init__.py
@@ -1,1 +1,1 @@
-"""The side towards targets: announcements, leases, dispatch."""
+"""A home node's side towards its targets: announcements and dispatch."""
--- a/endivewind/targets/answers.py
+++ b/endivewind/targets/answers.py
@@ -1,4 +1,8 @@
-"""Reads the answers of targets."""
+"""Reads the responses of targets.
+
+Called by the dispatcher. Short responses are buffered whole, longer ones are
+streamed to the caller.
+"""
 
 import asyncio
 import datetime
@@ -14,25 +18,25 @@
 
 log = logging.getLogger(__name__)
 
-# An answer that has begun and then moves no byte for this long is cut.
+# A response that has begun is aborted after this long without a byte.
 PROGRESS_LIMIT = datetime.timedelta(seconds=30)
-# Answers up to here are held whole, so that one that breaks off can still be
-# replaced by an error or by another target's answer.
+# Responses up to this size are buffered whole, so that a truncated one can still
+# be replaced by an error or by another target's response.
 WHOLE_ANSWER_BYTES = 65_536
 _HOP_BY_HOP = frozenset(name.encode() for name in headers.HOP_BY_HOP)
-_READ_BYTES = 65_536
-_MISDIRECTED = 421
+_READ_SIZE = 65_536
+_MISDIRECTED_REQUEST = 421
 
 AnswerResult = expression.Result[exchange.Response, exchange.Refusal]
 
 
 class TargetStream:
-    """The rest of a target's answer; holds the slot until it ends."""
+    """The unread remainder of a response; holds the slot until it ends."""
 
     def __init__(
-        self, hand_over: working.HandOver, response: aiohttp.ClientResponse
+        self, request: working.HandOver, response: aiohttp.ClientResponse
     ) -> None:
-        self._hand_over = hand_over
+        self._request = request
         self._response = response
 
     def __aiter__(self) -> "TargetStream":
@@ -41,10 +45,10 @@
     async def __anext__(self) -> bytes:
         try:
             async with asyncio.timeout(PROGRESS_LIMIT.total_seconds()):
-                data = await self._response.content.read(_READ_BYTES)
+                data = await self._response.content.read(_READ_SIZE)
         except (aiohttp.ClientError, OSError) as error:
             self._close(evidence.Kind.LOST)
-            detail = str(error) or "the answer stood still"
+            detail = str(error) or "response stalled"
             raise exchange.TruncatedResponseError(detail) from error
         if data:
             return data
@@ -52,85 +56,94 @@
         raise StopAsyncIteration
 
     async def aclose(self) -> None:
-        """Gives the answer up: the target sees its connection closed."""
+        """Discards the unread bytes by closing the connection to the target."""
         self._close(evidence.Kind.CANCELLED)
 
     def _close(self, kind: evidence.Kind | None) -> None:
-        # A connection left in the middle of an answer is never used again.
+        # A connection with unread bytes of a response must not be reused.
         self._response.close()
-        self._hand_over.end(kind)
+        self._request.end(kind)
 
 
 async def read(
-    hand_over: working.HandOver, response: aiohttp.ClientResponse
+    request: working.HandOver, response: aiohttp.ClientResponse
 ) -> AnswerResult:
-    """The answer whose head has come: whole, or as a stream if it is long."""
-    pairs = _headers_in(response.raw_headers)
+    """Reads the body of a response whose head has arrived.
+
+    Returns:
+      The whole response, or a streamed one if its body is long or chunked.
+    """
+    pairs = _end_to_end_headers(response.raw_headers)
     try:
-        held, ended = await _first_bytes(response)
+        body, is_complete = await _read_short_body(response)
     except BaseException:
         response.close()
         raise
-    if ended:
-        return expression.Ok(exchange.Response(response.status, pairs, held))
-    rest = TargetStream(hand_over, response)
-    return expression.Ok(exchange.Response(response.status, pairs, held, rest))
+    if is_complete:
+        return expression.Ok(exchange.Response(response.status, pairs, body))
+    rest = TargetStream(request, response)
+    return expression.Ok(exchange.Response(response.status, pairs, body, rest))
 
 
-async def _first_bytes(
+async def _read_short_body(
     response: aiohttp.ClientResponse,
 ) -> tuple[bytes, bool]:
-    """The whole of a small answer, or nothing of one that is known to be long.
+    """Reads a short body whole, and nothing of one known to be long.
 
-    An answer that is held whole can still be replaced if it breaks off; of
-    one that has begun to go to the caller only the connection can be cut.
+    A buffered response can still be replaced if the target truncates it; once
+    a response is being sent to the caller, only the connection can be closed.
 
     Returns:
-      The bytes read, and whether they are all.
+      The bytes read, and whether they are the whole body.
     """
     length = response.content_length
     if length is not None and length <= WHOLE_ANSWER_BYTES:
         return await response.read(), True
-    if length is not None or "chunked" in _coding(response):
-        # What comes in parts may be meant to be seen as it comes.
+    if length is not None or "chunked" in _transfer_encoding(response):
+        # The caller may need the chunks of a response as they arrive.
         return b"", False
-    held = bytearray()
-    while len(held) <= WHOLE_ANSWER_BYTES:
+    buffered = bytearray()
+    while len(buffered) <= WHOLE_ANSWER_BYTES:
         async with asyncio.timeout(PROGRESS_LIMIT.total_seconds()):
-            data = await response.content.read(_READ_BYTES)
+            data = await response.content.read(_READ_SIZE)
         if not data:
-            return bytes(held), True
-        held += data
-    return bytes(held), False
+            return bytes(buffered), True
+        buffered += data
+    return bytes(buffered), False
 
 
-def _coding(response: aiohttp.ClientResponse) -> str:
+def _transfer_encoding(response: aiohttp.ClientResponse) -> str:
     return response.headers.get("Transfer-Encoding", "").lower()
 
 
 async def read_away(response: aiohttp.ClientResponse) -> None:
-    """Reads the rest of an answer whose connection is worth keeping."""
+    """Reads the rest of a response, so that its connection can be reused."""
     try:
         await response.read()
     except (aiohttp.ClientError, OSError) as error:
-        log.debug("a refusal broke off: %s", error)
+        log.debug("target's refusal truncated: %s", error)
         response.close()
 
 
 def not_run_by_target(
     response: aiohttp.ClientResponse, names: headers.HeaderNames
 ) -> exchange.Refusal | None:
-    """The refusal of a target that says it has not run the request."""
-    if names.expected_target and response.status == _MISDIRECTED:
+    """Returns a refusal if the target declares that it did not execute it.
+
+    Returns:
+      None if the target may have executed the request.
+    """
+    if names.expected_target and response.status == _MISDIRECTED_REQUEST:
         return exchange.not_run(
-            exchange.Reason.WRONG_TARGET, "another target has the address"
+            exchange.Reason.WRONG_TARGET, "address belongs to another target"
         )
     if names.not_run and names.not_run in response.headers:
         return exchange.not_run(
-            exchange.Reason.TARGET_FULL, f"the target says {response.status}"
+            exchange.Reason.TARGET_FULL,
+            f"target rejected the request with status {response.status}",
         )
     return None
 
 
-def _headers_in(pairs: exchange.HeaderList) -> exchange.HeaderList:
+def _end_to_end_headers(pairs: exchange.HeaderList) -> exchange.HeaderList:
     return tuple([item for item in pairs if item[0].lower() not in _HOP_BY_HOP])
--- a/endivewind/targets/api.py
+++ b/endivewind/targets/api.py
@@ -1,4 +1,4 @@
-"""The HTTP API where targets announce themselves."""
+"""HTTP API with which targets announce and withdraw themselves."""
 
 import json
 
@@ -10,13 +10,13 @@
 
 
 class TargetApi:
-    """`PUT` and `DELETE /v1/targets/ID`."""
+    """Serves `PUT` and `DELETE /v1/targets/ID`."""
 
     def __init__(self, targets: registration.Registration) -> None:
         self._targets = targets
 
     def application(self) -> web.Application:
-        """The routes of the API."""
+        """Returns a web application with the routes of the API."""
         app = web.Application()
         app.router.add_put("/v1/targets/{id}", self._put)
         app.router.add_delete("/v1/targets/{id}", self._delete)
@@ -28,16 +28,16 @@
                 await request.read()
             )
         except pydantic.ValidationError as error:
-            found = error.errors(include_url=False, include_context=False)
+            findings = error.errors(include_url=False, include_context=False)
             return web.json_response(
-                {"title": "bad announcement", "findings": found},
+                {"title": "bad announcement", "findings": findings},
                 status=400,
                 dumps=lambda value: json.dumps(value, default=str),
             )
         target = request.match_info["id"]
-        refused = self._targets.announce(target, announcement)
-        if refused is not None:
-            return web.json_response({"title": refused}, status=409)
+        refusal = self._targets.announce(target, announcement)
+        if refusal is not None:
+            return web.json_response({"title": refusal}, status=409)
         return web.json_response({"renew_ms": announcement.lease_ms // 3})
 
     async def _delete(self, request: web.Request) -> web.Response:
--- a/endivewind/targets/connections.py
+++ b/endivewind/targets/connections.py
@@ -1,4 +1,8 @@
-"""HTTP connections to targets."""
+"""HTTP connections to targets, with aiohttp.
+
+Adapts aiohttp in two points: it must not resend requests by itself, and must
+not take a connection reset for the end of a response.
+"""
 
 import dataclasses
 import datetime
@@ -10,28 +14,29 @@
 
 from endivewind import exchange
 
-# Targets close idle connections after ten seconds or more, some without a
-# word; one that has been idle for less than half of that is rarely closed in
-# the moment in which it is used again.
+# Targets close idle connections after ten seconds or more, some without notice.
+# A connection idle for less than half of that is rarely closed at the moment
+# when it is reused.
 KEEPALIVE = datetime.timedelta(seconds=4)
 CONNECT_LIMIT = datetime.timedelta(seconds=1)
 
 
-class _Handler(client_proto.ResponseHandler):
-    """One connection; a reset never passes for the end of an answer.
+class _ResponseHandler(client_proto.ResponseHandler):
+    """A connection on which a reset is not taken for the end of a response.
 
-    Failure: an answer without a length ends with its connection, and the
-    connection is reset in the middle. Symptom: aiohttp takes the reset for
-    the end, and the caller gets part of an answer as the whole. Told of the
-    error before the end, the reader of the body sees the error.
+    Failure: the end of a response without a length is marked by the end of
+    its connection, and the connection is reset in the middle. Symptom: aiohttp
+    takes the reset for the end, and the caller gets a truncated response as
+    a whole one. Setting the exception on the payload first makes reading the
+    body fail.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Takes the end of the connection, with an error if it was reset."""
+        """Handles the end of the connection; exc is set if it was reset."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
             payload.set_exception(
-                aiohttp.ClientPayloadError(f"the connection was lost: {exc}")
+                aiohttp.ClientPayloadError(f"connection lost: {exc}")
             )
         super().connection_lost(exc)
 
@@ -40,10 +45,10 @@
     """Opens connections to targets."""
 
     def __init__(self, *, reuse: bool) -> None:
-        """Builds a connector.
+        """Initializes the connector.
 
         Args:
-          reuse: whether a connection serves more than one request.
+          reuse: whether to reuse connections for further requests.
         """
         if reuse:
             super().__init__(
@@ -51,26 +56,26 @@
             )
         else:
             super().__init__(limit=0, force_close=True)
-        # aiohttp has no public way to choose the handler of a connection.
+        # aiohttp has no public API to set the protocol class.
         self._factory = functools.partial(
-            _Handler,
+            _ResponseHandler,
             loop=self._loop,
         )  # type: ignore[assignment]
 
 
 class HandOverLostError(Exception):
-    """The connection failed after bytes of the request may have been sent."""
+    """The connection failed when part of the request may have been sent."""
 
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """How far one hand-over has come.
+    """Progress of sending one request.
 
     Attributes:
-      connected: a connection was obtained, so that from now on bytes may
-        have been sent.
-      reused: the connection had served a request before.
-      broken_body: how the caller's body broke off, if it did.
+      has_connection: whether a connection was obtained, so that bytes of the
+        request may have been sent.
+      is_on_connection_reused: whether the connection has served another request before.
+      body_error: the error in reading the caller's body, if there was one.
     """
 
     connected: bool = False
@@ -79,7 +84,7 @@
 
 
 def session(connector: aiohttp.BaseConnector) -> aiohttp.ClientSession:
-    """Sends requests; each carries its Progress as trace_request_ctx."""
+    """Returns a session; pass it each request's Progress as trace_request_ctx."""
     return aiohttp.ClientSession(
         connector=connector,
         auto_decompress=False,
@@ -88,20 +93,20 @@
             sock_connect=CONNECT_LIMIT.total_seconds()
         ),
         skip_auto_headers=("User-Agent", "Content-Type", "Accept"),
-        middlewares=(_never_resend,),
-        trace_configs=[_progress_traces()],
+        middlewares=(_prevent_resend,),
+        trace_configs=[_progress_trace_config()],
     )
 
 
-async def _never_resend(
+async def _prevent_resend(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Keeps aiohttp from sending a request again by itself.
+    """Keeps aiohttp from resending a request by itself.
 
     Failure: a target crashes on a PUT or DELETE. Symptom: aiohttp, which
-    takes these for repeatable, sends it a second time and the work runs
-    twice. It does so for its own connection errors only, so another type of
-    error ends the request.
+    considers these methods idempotent, resends the request, and it is executed
+    twice. aiohttp does so only for its own connection errors, so raising
+    another type of error prevents it.
     """
     try:
         return await handler(request)
@@ -112,14 +117,14 @@
         raise HandOverLostError(detail) from error
 
 
-def _progress_traces() -> aiohttp.TraceConfig:
+def _progress_trace_config() -> aiohttp.TraceConfig:
     config = aiohttp.TraceConfig()
-    config.on_connection_create_end.append(_created)
-    config.on_connection_reuseconn.append(_reused)
+    config.on_connection_create_end.append(_on_connection_created)
+    config.on_connection_reuseconn.append(_on_connection_reused)
     return config
 
 
-async def _created(
+async def _on_connection_created(
     session: aiohttp.ClientSession,
     context: types.SimpleNamespace,
     params: aiohttp.TraceConnectionCreateEndParams,
@@ -127,7 +132,7 @@
     context.trace_request_ctx.connected = True
 
 
-async def _reused(
+async def _on_connection_reused(
     session: aiohttp.ClientSession,
     context: types.SimpleNamespace,
     params: aiohttp.TraceConnectionReuseconnParams,
--- a/endivewind/targets/doubts.py
+++ b/endivewind/targets/doubts.py
@@ -1,43 +1,47 @@
-"""Connections to a target that may have gone silent while new ones work."""
+"""Detects reused connections that have gone silent while new ones work.
+
+Used by the dispatcher to choose between pooled and new connections.
+"""
 
 import datetime
 
-# Long enough that what is wrong between the two ends shows as well on fresh
-# connections, if it does; short enough to cost few new connections (1 ms).
+# Long enough to show whether the fault occurs on new connections, too; short
+# enough to limit the cost of connecting, about 1 ms per request.
 WINDOW = datetime.timedelta(seconds=60)
 
 
 class ConnectionDoubts:
-    """Tells a silent connection from a target that does not answer.
-
-    Load: steady work over pooled connections. Harm: something between home
-    and target loses track of them, each request on them waits out its
-    deadline, and a healthy target is ejected. After the first that got no
-    answer on a reused connection the target gets fresh connections only, for
-    a window, and is blamed for what happens on those. A target that hangs is
-    so judged one sample later, a silent connection costs it nothing.
+    """Distinguishes silent connections from unresponsive targets.
+
+    Load: steady requests over pooled connections. Harm: a device between home
+    node and target loses their state, each request on them times out, and a
+    healthy target is ejected. After the first time-out on a reused connection
+    the target therefore gets new connections only, for some time, and
+    time-outs on those count against it. An unresponsive target is detected
+    one sample later; a silent connection does not count against its target.
     """
 
     def __init__(self) -> None:
-        self._until: dict[str, datetime.timedelta] = {}
+        self._fresh_until: dict[str, datetime.timedelta] = {}
 
     def fresh_only(self, target: str, now: datetime.timedelta) -> bool:
-        """Whether the target's pooled connections are in doubt."""
-        until = self._until.get(target)
+        """Returns whether the target must not get pooled connections."""
+        until = self._fresh_until.get(target)
         if until is None:
             return False
         if now < until:
             return True
-        del self._until[target]
+        del self._fresh_until[target]
         return False
 
     def stalled(self, target: str, now: datetime.timedelta) -> bool:
-        """Takes note that a reused connection gave no answer.
+        """Records a time-out on a reused connection.
 
         Returns:
-          Whether the connection is to blame: the first time in a window.
+          Whether the time-out counts as the connection's fault and not as the
+          target's: it does if no other one was recorded recently.
         """
         if self.fresh_only(target, now):
             return False
-        self._until[target] = now + WINDOW
+        self._fresh_until[target] = now + WINDOW
         return True
--- a/endivewind/targets/evidence.py
+++ b/endivewind/targets/evidence.py
@@ -1,4 +1,7 @@
-"""What a home learns of a target from each request that it handed over."""
+"""Results of dispatched requests, as evidence of their targets' health.
+
+The dispatcher produces samples; the outlier monitor evaluates them.
+"""
 
 import dataclasses
 import datetime
@@ -7,7 +10,7 @@
 
 
 class Kind(enum.StrEnum):
-    """How a hand-over ended."""
+    """How a request at a target ended."""
 
     SUCCESS = "success"
     ERROR = "error"
@@ -20,15 +23,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """One request at one target.
+    """The result of one request at one target.
 
     Attributes:
       target: the target's id.
-      service: its service.
+      service: the target's service.
       workspace: the caller's workspace.
-      kind: how it ended.
-      latency: from the hand-over to the answer's head, or to the failure.
-      number: what Observer.started returned for it.
+      kind: how the request ended.
+      latency: time from its dispatch to the head of the response, or to the
+        failure.
+      request_number: the number that Observer.record_start returned for it.
     """
 
     target: str
@@ -40,20 +44,20 @@
 
 
 class Observer(Protocol):
-    """Takes samples as they come."""
+    """Observes the starts and results of requests at targets."""
 
     def started(self, target: str, service: str) -> int:
-        """Takes the start of a hand-over; returns its number.
+        """Records the dispatch of a request and returns its number.
 
-        A request that never ends is evidence too, so the start must be told.
+        Starts are recorded because a request that never ends is evidence, too.
         """
 
     def finished(self, sample: Sample) -> None:
-        """Takes one sample; must not block."""
+        """Records the result of a request; must not block."""
 
 
 def kind_of_status(status: int) -> Kind:
-    """How a target's answer counts; 4xx are the caller's doing."""
+    """Classifies a response; 4xx statuses are not the target's failures."""
     if status in (429, 503):
         return Kind.SHED
     return Kind.ERROR if status >= 500 else Kind.SUCCESS
--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -204,7 +204,7 @@
     Mutant(
         "the HTTP client sends PUT and DELETE again by itself",
         "targets/connections.py",
-        "        middlewares=(_never_resend,),\n",
+        "        middlewares=(_prevent_resend,),\n",
         "",
         _ONCE,
     ),
