--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -88,9 +88,8 @@
     Mutant(
         "what is open says nothing of its target",
         "targets/registry.py",
-        "        return math.prod(\n"
-        "            request.silence(now) for request in self.pending\n"
-        "        )\n",
+        "        return math.prod("
+        "request.silence(now) for request in self.pending)\n",
         "        return 1.0\n",
         "loads.silence_tests",
     ),
@@ -263,7 +262,7 @@
     Mutant(
         "a late announcement undoes a draining",
         "targets/registry.py",
-        "        if _is_late(known, announcement):\n",
+        "        if _is_outdated(known, announcement):\n",
         "        if announcement.sequence < 0:\n",
         _BEATS,
     ),
@@ -313,7 +312,8 @@
     Mutant(
         "a leave that names no start binds nobody",
         "targets/registry.py",
-        "        known = item.record.target_incarnation if item else latest\n",
+        "        known = item.record.target_incarnation "
+        "if item else max_incarnation\n",
         "        known = item.record.target_incarnation if item else 0\n",
         "platform.heartbeats_tests",
     ),
