--- a/endivewind/targets/dispatch.py
+++ b/endivewind/targets/dispatch.py
@@ -58,7 +58,7 @@
         fresh: aiohttp.ClientSession,
         clock: clocks.Clock,
         observer: evidence.Observer,
-        attempt_log: handover.HandOverLedger,
+        attempts: handover.HandOverLedger,
         header_names: headers.HeaderNames = headers.DEFAULT_NAMES,
     ) -> None:
         """Initializes the dispatcher.
@@ -69,7 +69,7 @@
           fresh: session that opens a connection for each request.
           clock: measures latencies and the age of attempts.
           observer: is notified of the start and result of each request.
-          attempt_log: the log of attempts, against duplicate execution.
+          attempts: the log of attempts, against duplicate execution.
           header_names: names of the headers that targets know.
         """
         self._header_names = header_names
@@ -78,7 +78,7 @@
         self._fresh = fresh
         self._clock = clock
         self._observer = observer
-        self._attempt_log = attempt_log
+        self._attempt_log = attempts
         self._silent_connections = doubts.ConnectionDoubts()
         self._is_stopping = False
 
--- a/endivewind/targets/working.py
+++ b/endivewind/targets/working.py
@@ -46,7 +46,7 @@
         head: exchange.RequestHead,
         clock: clocks.Clock,
         observer: evidence.Observer,
-        silent_connections: doubts.ConnectionDoubts,
+        connection_detector: doubts.ConnectionDoubts,
     ) -> None:
         self.item = item
         self.progress = connections.Progress()
@@ -54,7 +54,7 @@
         self._head = head
         self._clock = clock
         self._observer = observer
-        self._silent_connections = silent_connections
+        self._silent_connections = connection_detector
         self._started_at = clock.monotonic()
         self._latency: datetime.timedelta | None = None
         self._is_finished = False
--- a/endivewind/tests/targets/attempt_log_tests.py
+++ b/endivewind/tests/targets/attempt_log_tests.py
@@ -84,11 +84,11 @@
         self.assertEqual(1, self.attempt_log.count)
 
     def test_memory_of_an_attempt_is_within_the_limit(self):
-        attempt_log = handover.HandOverLedger()
+        log = handover.HandOverLedger()
         tracemalloc.start()
         before, _ = tracemalloc.get_traced_memory()
         for number in range(2000):
-            attempt_log.begin(f"{'n' * 90}:{number}", 1, NOW)
+            log.begin(f"{'n' * 90}:{number}", 1, NOW)
         after, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
 
