--- a/endivewind/targets/registry.py
+++ b/endivewind/targets/registry.py
@@ -87,7 +87,7 @@
       pending_requests: requests that are running at it.
       last_abandoned_at: when a request last ended without a response, so that
         the target may still be executing it; None if none has.
-      response_times: distribution of its response times.
+      latencies: distribution of its response times.
     """
 
     record: records.TargetRecord
