--- a/endivewind/targets/registry.py
+++ b/endivewind/targets/registry.py
@@ -405,13 +405,13 @@
 
         Announcements that the target is draining are accepted all the same.
         """
-        departed = self._departures.get(target)
-        if departed is None or announcement.state is records.State.DRAINING:
+        departure = self._departures.get(target)
+        if departure is None or announcement.state is records.State.DRAINING:
             return False
-        if self._clock.monotonic() >= departed.expires_at:
+        if self._clock.monotonic() >= departure.expires_at:
             del self._departures[target]
             return False
-        return announcement.incarnation <= departed.incarnation
+        return announcement.incarnation <= departure.incarnation
 
     def _has_successor(self, target: str, announcement: Announcement) -> bool:
         """Returns whether a later incarnation has the same address.
