--- a/endivewind/config/base.py
+++ b/endivewind/config/base.py
@@ -1,4 +1,7 @@
-"""Loads YAML into validated models; gathers every finding of a file."""
+"""Loads YAML files into validated pydantic models.
+
+Reports all findings of a file at once, each with its line and key path.
+"""
 
 import collections.abc
 import dataclasses
@@ -16,12 +19,12 @@
 from endivewind import names
 from endivewind.config import findings
 
-_SEEN_LIMIT = 60
-# Keys whose values are shown nowhere: not in findings, not in logs.
+_MAX_SHOWN_CHARACTERS = 60
+# Keys whose values are redacted in findings and logs.
 SECRETS = frozenset({"gossip_key"})
-_HIDDEN = "(hidden)"
-# Marks an error in a mapping's key in pydantic's locations.
-_KEY_MARK = "[key]"
+_REDACTED = "(hidden)"
+# The last part of the locations that pydantic reports for invalid mapping keys.
+_KEY_MARKER = "[key]"
 
 ModelT = TypeVar("ModelT", bound=pydantic.BaseModel)
 
@@ -30,12 +33,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """What a model finds between the parts of a file.
+    """An inconsistency between several parts of a file.
 
     Attributes:
-      location: keys and indexes from the root to the place.
+      location: keys and indexes from the root to the value.
       message: what is wrong and what is allowed.
-      seen: the value seen.
+      seen: the invalid value.
       severity: error or warning.
     """
 
@@ -46,7 +49,7 @@
 
 
 class Model(pydantic.BaseModel):
-    """Base of every model at the border: unknown keys are findings."""
+    """Base class of models of external input; rejects unknown keys."""
 
     model_config = pydantic.ConfigDict(
         extra="forbid", frozen=True, allow_inf_nan=False
@@ -54,10 +57,10 @@
 
     @classmethod
     def problems(cls, data: object) -> collections.abc.Iterator[Problem]:
-        """Problems between parts of the raw data, which may be malformed.
+        """Yields inconsistencies between parts of the raw data.
 
-        They are looked for in the raw data so that a file with a wrong value
-        in one place still gets its wrong references reported.
+        The data may be malformed. It is checked before validation so that
+        wrong references are reported even if a value elsewhere is invalid.
         """
         del data
         return iter(())
@@ -65,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Loaded(Generic[ModelT]):
-    """A validated model and the warnings found on the way."""
+    """A validated model and the warnings about its file."""
 
     model: ModelT
     warnings: tuple[findings.Finding, ...] = ()
@@ -77,52 +80,52 @@
 def load_file(
     path: str, model: type[ModelT]
 ) -> expression.Result[Loaded[ModelT], Findings]:
-    """Reads a YAML file into a model, or returns all its findings."""
+    """Loads a YAML file into a model, or returns all findings."""
     try:
         raw = pathlib.Path(path).read_bytes()
     except (OSError, ValueError) as error:
         reason = getattr(error, "strerror", None) or str(error)
-        return _unreadable(path, 0, f"can't be read: {reason}")
+        return _unreadable_file(path, 0, f"can't be read: {reason}")
     return load_bytes(raw, path, model)
 
 
 def load_bytes(
     raw: bytes, file: str, model: type[ModelT]
 ) -> expression.Result[Loaded[ModelT], Findings]:
-    """Reads YAML in UTF-8 into a model, or returns all its findings."""
+    """Loads UTF-8 YAML into a model, or returns all findings."""
     try:
         text = raw.decode("utf-8")
     except UnicodeDecodeError as error:
         line = raw.count(b"\n", 0, error.start) + 1
         reason = f"can't be read: not UTF-8 text at byte {error.start}"
-        return _unreadable(file, line, reason)
+        return _unreadable_file(file, line, reason)
     return load_text(text, file, model)
 
 
 def load_text(
     text: str, file: str, model: type[ModelT]
 ) -> expression.Result[Loaded[ModelT], Findings]:
-    """Reads YAML text into a model, or returns all its findings."""
+    """Loads YAML text into a model, or returns all findings."""
     try:
         root, data = _parse(text)
     except yaml.MarkedYAMLError as error:
         mark = error.problem_mark or error.context_mark
         problem = error.problem or error.context or "not valid YAML"
-        return _unreadable(file, mark.line + 1 if mark else 0, problem)
+        return _unreadable_file(file, mark.line + 1 if mark else 0, problem)
     except (yaml.YAMLError, ValueError, OverflowError) as error:
-        # PyYAML lets through what int() and date() raise on impossible values.
+        # PyYAML doesn't catch what int() and date() raise for invalid values.
         problem = str(error).partition("\n")[0]
-        return _unreadable(file, 0, f"not valid YAML: {problem}")
+        return _unreadable_file(file, 0, f"not valid YAML: {problem}")
     except RecursionError:
-        return _unreadable(file, 0, "not valid YAML: nested too deep")
-    return _validated(data, _Document(file, root), model)
+        return _unreadable_file(file, 0, "not valid YAML: nested too deep")
+    return _validate(data, _Document(file, root), model)
 
 
 def _parse(text: str) -> tuple[yaml.Node | None, object]:
-    """The nodes, which know their lines, and the data made from them.
+    """Returns the YAML nodes, which have line numbers, and their data.
 
-    The parser is PyYAML's C one: a file of the full size is 2.7 MB, which the
-    one in Python reads in half a minute.
+    Uses PyYAML's C parser: the pure Python parser takes half a minute for a
+    full-size file of 2.7 MB.
     """
     loader = yaml.CSafeLoader(text)
     try:
@@ -132,17 +135,21 @@
         loader.dispose()
 
 
-def _validated(
+def _validate(
     data: object, document: "_Document", model: type[ModelT]
 ) -> expression.Result[Loaded[ModelT], Findings]:
-    found = document.duplicates()
+    found = document.duplicate_keys()
     if issubclass(model, Model):
-        found += [document.problem(item) for item in model.problems(data)]
+        found += [
+            document.problem_finding(item) for item in model.problems(data)
+        ]
     value = None
     try:
         value = model.model_validate(data if data is not None else {})
     except pydantic.ValidationError as error:
-        found += [document.error(item, model) for item in error.errors()]
+        found += [
+            document.error_finding(item, model) for item in error.errors()
+        ]
     found.sort()
     errors = [
         item for item in found if item.severity is findings.Severity.ERROR
@@ -157,51 +164,51 @@
     source: str,
     model: type[pydantic.BaseModel],
 ) -> Findings:
-    """The findings of values that came from no file."""
+    """Converts a validation error of values that were not read from a file."""
     document = _Document(source, None)
-    return tuple(document.error(item, model) for item in error.errors())
+    return tuple(document.error_finding(item, model) for item in error.errors())
 
 
-def _unreadable(
+def _unreadable_file(
     file: str, line: int, message: str
 ) -> expression.Result[Any, Findings]:
     return expression.Error((findings.Finding(file, line, "", message),))
 
 
 class _Document:
-    """A composed YAML document: gives findings their lines."""
+    """A parsed YAML document; creates findings with line numbers."""
 
     def __init__(self, file: str, root: yaml.Node | None) -> None:
         self._file = file
         self._root = root
 
-    def problem(self, problem: Problem) -> findings.Finding:
-        """The finding for a problem between parts."""
-        return self._finding(
+    def problem_finding(self, problem: Problem) -> findings.Finding:
+        """Creates the finding for an inconsistency between parts."""
+        return self._make_finding(
             problem.location, problem.message, problem.seen, problem.severity
         )
 
-    def error(
+    def error_finding(
         self, item: Any, model: type[pydantic.BaseModel]
     ) -> findings.Finding:
-        """The finding for one of pydantic's errors."""
+        """Creates the finding for a pydantic error."""
         location = item["loc"]
         message = item["msg"]
-        if location and location[-1] == _KEY_MARK:
+        if location and location[-1] == _KEY_MARKER:
             location = location[:-1]
             message = f"bad name: {message}"
         if item["type"] == "extra_forbidden":
-            message = _unknown_key(location, model)
+            message = _unknown_key_message(location, model)
         seen = "" if item["type"] == "missing" else item["input"]
         if set(location) & SECRETS:
-            seen = _HIDDEN
-        return self._finding(location, message, seen)
+            seen = _REDACTED
+        return self._make_finding(location, message, seen)
 
-    def duplicates(self) -> list[findings.Finding]:
-        """Keys given twice: YAML keeps the last and drops the first."""
+    def duplicate_keys(self) -> list[findings.Finding]:
+        """Finds duplicate keys, of which YAML silently keeps only the last."""
         found: list[findings.Finding] = []
         pending: list[tuple[str, yaml.Node | None]] = [("", self._root)]
-        # An alias may lead back to a node above it, or to one seen before.
+        # An alias may refer to an ancestor or to a node visited already.
         visited: set[int] = set()
         while pending:
             path, node = pending.pop()
@@ -214,14 +221,14 @@
                     for index, item in enumerate(node.value)
                 )
             if isinstance(node, yaml.MappingNode):
-                found.extend(self._duplicates_of(path, node))
+                found.extend(self._duplicate_keys(path, node))
                 pending.extend(
-                    (_joined(path, key.value), value)
+                    (_join_path(path, key.value), value)
                     for key, value in node.value
                 )
         return found
 
-    def _duplicates_of(
+    def _duplicate_keys(
         self, path: str, node: yaml.MappingNode
     ) -> collections.abc.Iterator[findings.Finding]:
         seen: set[str] = set()
@@ -229,13 +236,13 @@
             name = str(key.value)
             if name in seen:
                 line = key.start_mark.line + 1
-                where = _joined(path, name)
+                where = _join_path(path, name)
                 yield findings.Finding(
                     self._file, line, where, "key given twice"
                 )
             seen.add(name)
 
-    def _finding(
+    def _make_finding(
         self,
         location: Location,
         message: str,
@@ -244,21 +251,21 @@
     ) -> findings.Finding:
         return findings.Finding(
             self._file,
-            *self._place(location),
+            *self._locate(location),
             message,
-            "" if seen == "" else _shortened(seen),
+            "" if seen == "" else _shorten(seen),
             severity,
         )
 
-    def _place(self, location: Location) -> tuple[int, str]:
-        """Line and dotted path of a key, or the line of its nearest parent."""
+    def _locate(self, location: Location) -> tuple[int, str]:
+        """Returns the line of a key or its nearest parent, and its path."""
         node = self._root
         line = node.start_mark.line + 1 if node else 0
         path = ""
         for part in location:
-            # A number may also be the key of a mapping.
+            # A number may also be a mapping key.
             in_list = isinstance(node, yaml.SequenceNode)
-            path = f"{path}[{part}]" if in_list else _joined(path, part)
+            path = f"{path}[{part}]" if in_list else _join_path(path, part)
             step = _child(node, part)
             line, node = step if step else (line, None)
         return line, path
@@ -281,23 +288,27 @@
     return None
 
 
-def _shortened(value: object) -> str:
-    # Mappings and lists are not written out: aliases can make a small file's
-    # long beyond measure, and one of settings may hold a secret.
+def _shorten(value: object) -> str:
+    # Mappings and lists are not shown: aliases in a small file can expand to
+    # an enormous value, and a mapping in the settings may contain a secret.
     if isinstance(value, dict):
         return "a mapping"
     if isinstance(value, list | tuple):
         return "a list"
     shortener = reprlib.Repr()
-    shortener.maxstring = shortener.maxlong = shortener.maxother = _SEEN_LIMIT
+    shortener.maxstring = shortener.maxlong = shortener.maxother = (
+        _MAX_SHOWN_CHARACTERS
+    )
     return shortener.repr(value)
 
 
-def _joined(path: str, key: object) -> str:
+def _join_path(path: str, key: object) -> str:
     return f"{path}.{key}".lstrip(".")
 
 
-def _unknown_key(location: Location, model: type[pydantic.BaseModel]) -> str:
+def _unknown_key_message(
+    location: Location, model: type[pydantic.BaseModel]
+) -> str:
     known = _field_names(location[:-1], model)
     hint = names.suggest(str(location[-1]), known)
     return f"unknown key{hint} Allowed: {', '.join(sorted(known))}"
@@ -308,23 +319,23 @@
 ) -> list[str]:
     current: Any = model
     for part in location:
-        current = _below(current, part)
+        current = _child_type(current, part)
     if _is_model(current):
         return list(current.model_fields)
     return []
 
 
-def _below(annotation: Any, part: int | str) -> Any:
-    """The type below one key of a model, mapping, sequence or optional."""
+def _child_type(annotation: Any, part: int | str) -> Any:
+    """Returns the type of a child of a model, mapping or sequence."""
     if _is_model(annotation):
         field = annotation.model_fields.get(str(part))
-        return _plain(field.annotation) if field else None
+        return _unwrap_optional(field.annotation) if field else None
     arguments = typing.get_args(annotation)
     if not arguments:
         return None
     if typing.get_origin(annotation) is dict:
-        return _plain(arguments[-1])
-    return _plain(arguments[0])
+        return _unwrap_optional(arguments[-1])
+    return _unwrap_optional(arguments[0])
 
 
 def _is_model(annotation: Any) -> bool:
@@ -333,8 +344,8 @@
     )
 
 
-def _plain(annotation: Any) -> Any:
-    """Takes Optional apart."""
+def _unwrap_optional(annotation: Any) -> Any:
+    """Returns the type inside an Optional."""
     arguments = [
         item for item in typing.get_args(annotation) if item is not type(None)
     ]
--- a/endivewind/config/caller_keys.py
+++ b/endivewind/config/caller_keys.py
@@ -1,7 +1,7 @@
-"""Keys by which callers show which workspace they belong to.
+"""API keys that authenticate callers as members of a workspace.
 
-Only digests are kept, spread and compared: who reads a node's memory, its
-logs or the objects that nodes exchange learns no key.
+Only digests are stored, replicated and compared, so keys can't be learned from
+a node's memory, its logs or the objects that nodes exchange.
 """
 
 import hashlib
@@ -10,7 +10,7 @@
 import expression
 import pydantic
 
-# A digest is not salted, so a key must be too long to be guessed from it.
+# Digests are not salted, so keys must be too long for a brute-force search.
 MIN_KEY_CHARACTERS = 16
 _DIGEST_BYTES = 16
 
@@ -20,13 +20,13 @@
 
 
 def digest(key: str) -> str:
-    """The digest of a key, as configuration holds it."""
+    """Returns the digest of a key, as stored in the configuration."""
     data = key.encode("utf-8", "surrogateescape")
     return hashlib.blake2b(data, digest_size=_DIGEST_BYTES).hexdigest()
 
 
 def checked_digest(key: str) -> expression.Result[str, str]:
-    """The digest of a key that an operator gives, or what is wrong with it."""
+    """Returns the digest of an operator's key, or why the key is invalid."""
     if not key:
         return expression.Error("a key is empty")
     if len(key) < MIN_KEY_CHARACTERS:
--- a/endivewind/config/findings.py
+++ b/endivewind/config/findings.py
@@ -1,11 +1,11 @@
-"""Findings: what is wrong with a file, each with its place."""
+"""Findings: errors and warnings about a file, each with its location."""
 
 import dataclasses
 import enum
 
 
 class Severity(enum.Enum):
-    """Whether a finding stops the work."""
+    """Severity of a finding; only errors make a file invalid."""
 
     ERROR = "error"
     WARNING = "warning"
@@ -13,14 +13,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Finding:
-    """One thing found in a file.
+    """An error or warning about a file.
 
     Attributes:
-      file: the file's name as the user gave it.
-      line: line number from 1; 0 where the file as a whole is meant.
+      file: name of the file as the user gave it.
+      line: line number from 1; 0 if the finding is about the whole file.
       path: dotted path of the key.
       message: what is wrong and what is allowed.
-      seen: the value seen, shortened.
+      seen: the invalid value, shortened.
       severity: error or warning.
     """
 
@@ -34,7 +34,7 @@
     )
 
     def as_json(self) -> dict[str, object]:
-        """The finding as plain JSON values."""
+        """Returns the finding as JSON values."""
         return {
             "file": self.file,
             "line": self.line,
--- a/endivewind/config/following.py
+++ b/endivewind/config/following.py
@@ -1,4 +1,4 @@
-"""Follows the settings file of a running process."""
+"""Reloads the settings file of a running process when it changes."""
 
 import asyncio
 import collections.abc
@@ -12,7 +12,7 @@
 
 log = logging.getLogger(__name__)
 
-# A file may change without a signal; a look at its bytes costs some
+# The file may change without a signal to the process. Reading it takes a few
 # microseconds.
 LOOK_PERIOD = datetime.timedelta(seconds=1)
 
@@ -20,52 +20,52 @@
 
 
 class SettingsFollower:
-    """Hands on new settings; a file with findings changes nothing."""
+    """Passes changed settings to a callback; ignores an invalid file."""
 
-    def __init__(self, path: str, take: Take) -> None:
-        """Starts with what the file holds now.
+    def __init__(self, path: str, on_reload: Take) -> None:
+        """Reads the file's present content as the one in effect.
 
         Args:
           path: the settings file.
-          take: called with valid settings each time the file has changed.
+          on_reload: called with the valid settings after each change.
         """
         self._path = pathlib.Path(path)
-        self._take = take
-        self._seen = self._read()
-        self._look_now = asyncio.Event()
+        self._on_reload = on_reload
+        self._last_content = self._read()
+        self._check_requested = asyncio.Event()
 
     def look_now(self) -> None:
-        """Looks at the file without waiting for the next time."""
-        self._look_now.set()
+        """Makes `run` check the file without waiting for the next poll."""
+        self._check_requested.set()
 
     async def run(self) -> None:
-        """Looks for ever."""
+        """Polls the file until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(LOOK_PERIOD.total_seconds()):
-                    await self._look_now.wait()
+                    await self._check_requested.wait()
             except TimeoutError:
                 pass
-            self._look_now.clear()
+            self._check_requested.clear()
             self.look()
 
     def look(self) -> None:
-        """Takes the file if its bytes have changed."""
+        """Reloads the file if its content has changed."""
         raw = self._read()
-        if raw is None or raw == self._seen:
+        if raw is None or raw == self._last_content:
             return
-        self._seen = raw
+        self._last_content = raw
         loaded = base.load_bytes(raw, str(self._path), settings.NodeSettings)
         if loaded.is_error():
             found = [str(item) for item in loaded.error]
             log.error("settings kept", extra=logs.fields(findings=found))
             return
-        self._take(loaded.ok.model)
+        self._on_reload(loaded.ok.model)
 
     def _read(self) -> bytes | None:
         try:
             return self._path.read_bytes()
         except OSError as error:
-            # It may be replaced in this moment; the next look finds it.
+            # It may just be being replaced; the next poll reads it.
             log.warning("settings file can't be read: %s", error)
             return None
--- a/endivewind/config/freshness.py
+++ b/endivewind/config/freshness.py
@@ -1,27 +1,27 @@
-"""Whether the configuration in force was the newest a short while ago.
+"""Proofs of freshness: bounded staleness of the configuration in force.
 
-A revoked key must stop working within a bound, also at a node that no news
-reaches. So a node serves work that needs a key only while it can prove that
-its configuration was the newest at a moment within the bound. Proofs start at
-the beginning of a reading of the platform and pass from node to node as
-question and answer. No input or output.
+A revoked key must stop working within a time bound, even at a node that
+receives no updates. So a node serves requests that need a key only while it
+can prove that its configuration was the newest at some time within the bound.
+A proof dates from the start of a read of the platform and passes from node to
+node as query and response. Does no I/O.
 """
 
 import collections.abc
 import dataclasses
 import datetime
 
-# Clocks of two machines may run at slightly different rates.
+# The clocks of two machines may run at slightly different rates.
 CLOCK_RATE_MARGIN = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What a node tells of its proof.
+    """A node's response to a query for its proof.
 
     Attributes:
       version: the version that was the newest.
-      age: how long ago it was, when the answer was given.
+      age: how long before the response it was the newest.
     """
 
     version: int
@@ -30,21 +30,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Proof:
-    """A version that was the newest at a moment of this node's clock."""
+    """A version that was the newest at a time of this node's clock."""
 
     version: int
     moment: datetime.timedelta
 
 
 class Freshness:
-    """Keeps the latest moment at which what is in force was the newest.
-
-    Failure: a node is cut off, or hears late, of a configuration that takes a
-    key away. Symptom: the key's requests still run there. A moment is counted
-    from when a question was sent or a reading begun, in the clock of the node
-    that asks, so that whatever delays the answer only makes the proof older.
-    A later version keeps the moment: it was accepted after an earlier one was
-    the newest. The clock counts time asleep.
+    """Tracks the latest time at which this configuration was the newest.
+
+    Guards against a node that is partitioned, or receives late a configuration
+    that revokes a key, and still serves requests with that key. The time of a
+    proof is when the query was sent or the read started, in the clock of the
+    querying node, so a delayed response only makes the proof older. A proof
+    for an earlier version holds for a later one, too, which was accepted after
+    it. The clock includes time that the machine is suspended.
     """
 
     def __init__(
@@ -52,78 +52,85 @@
         in_force: collections.abc.Callable[[], int],
         bound: datetime.timedelta | None,
     ) -> None:
-        """Starts without a proof.
+        """Creates a tracker without a proof.
 
         Args:
-          in_force: the version in force at this node.
-          bound: how old a proof may be; None where none is needed.
+          in_force: returns the version in force at this node.
+          bound: maximum age of a proof; None if none is required.
         """
         self._in_force = in_force
         self._bound = bound
         self._proof: _Proof | None = None
-        # Of a version that this node does not have yet.
-        self._ahead: _Proof | None = None
+        # The latest proof for a version that this node does not have yet.
+        self._pending_proof: _Proof | None = None
 
     @property
     def bound(self) -> datetime.timedelta | None:
-        """How old a proof may be; None where none is needed."""
+        """Maximum age of a proof; None if none is required."""
         return self._bound
 
     def limit(self, bound: datetime.timedelta | None) -> None:
-        """Takes another bound."""
+        """Changes the maximum age of a proof."""
         self._bound = bound
 
     def proved(self, version: int, moment: datetime.timedelta) -> bool:
-        """Takes that a version was the newest at a moment or after it.
+        """Records that a version was the newest at or after a time.
 
         Args:
-          version: as the platform or another node told it.
-          moment: when it was asked for, in this node's clock.
+          version: the version that the platform or another node reported.
+          moment: when it was requested, in this node's clock.
 
         Returns:
-          Whether this node's proof is younger by it.
+          Whether this made the node's proof younger.
         """
-        found = _Proof(version, moment)
+        proof = _Proof(version, moment)
         if version > self._in_force():
-            if self._ahead is None or moment > self._ahead.moment:
-                self._ahead = found
+            if (
+                self._pending_proof is None
+                or moment > self._pending_proof.moment
+            ):
+                self._pending_proof = proof
             return False
         if self._proof is not None and moment <= self._proof.moment:
             return False
-        self._proof = found
+        self._proof = proof
         return True
 
     def answered(self, answer: Answer, asked: datetime.timedelta) -> bool:
-        """Takes the answer to a question that was sent at a moment.
+        """Records another node's response to a query.
+
+        Args:
+          answer: the response.
+          asked: when the query was sent, in this node's clock.
 
         Returns:
-          Whether this node's proof is younger by it.
+          Whether this made the node's proof younger.
         """
         age = max(answer.age, datetime.timedelta())
         return self.proved(answer.version, asked - age)
 
     def answer(self, now: datetime.timedelta) -> Answer | None:
-        """What another node may be told, if there is a proof."""
-        self._catch_up()
+        """Returns the response to a query; None without a proof."""
+        self._apply_pending()
         if self._proof is None:
             return None
         return Answer(self._proof.version, now - self._proof.moment)
 
     def age(self, now: datetime.timedelta) -> datetime.timedelta | None:
-        """How old the proof is; None where there is none."""
-        self._catch_up()
+        """Returns the age of the proof; None if there is none."""
+        self._apply_pending()
         return None if self._proof is None else now - self._proof.moment
 
     def is_proved(self, now: datetime.timedelta) -> bool:
-        """Whether work that needs a key may be served now."""
+        """Returns whether requests that need a key may be served now."""
         if self._bound is None:
             return True
         age = self.age(now)
         return age is not None and age <= self._bound * (1 - CLOCK_RATE_MARGIN)
 
-    def _catch_up(self) -> None:
-        """Uses a proof whose version has come into force since."""
-        ahead = self._ahead
-        if ahead is not None and ahead.version <= self._in_force():
-            self._ahead = None
-            self.proved(ahead.version, ahead.moment)
+    def _apply_pending(self) -> None:
+        """Applies a proof whose version has come into force since."""
+        pending = self._pending_proof
+        if pending is not None and pending.version <= self._in_force():
+            self._pending_proof = None
+            self.proved(pending.version, pending.moment)
--- a/endivewind/config/joining.py
+++ b/endivewind/config/joining.py
@@ -1,22 +1,22 @@
-"""When a starting node's configuration is whole enough to take callers."""
+"""Readiness of a starting node: whether its configuration is complete."""
 
 import collections.abc
 
 from endivewind.config import spreading
 
-# One peer may itself have missed a change; three that agree to the last
-# version rarely all have.
+# A single peer may itself have missed a change. Three peers that hold the same
+# versions as this node have rarely all missed it.
 JOIN_PEERS = 3
 
 
 class Joining:
-    """Decides once when a node is ready; no input or output.
+    """Decides when a starting node is ready; does no I/O.
 
-    Load: a node replaced while the platform is away. Harm: it would refuse
-    callers for routes that are in force everywhere else. What the platform
-    lists is enough, since it loses nothing that it has acknowledged. Without
-    it several peers that agree with this node are, since one change reaches
-    all of them within seconds.
+    Load: a node is replaced while the platform is unavailable. Harm: it would
+    refuse requests for routes that are in force everywhere else. A complete
+    listing from the platform suffices, since the platform loses nothing that
+    it has acknowledged. Without one, several peers with the same configuration
+    suffice, since a change reaches all of them within seconds.
     """
 
     def __init__(
@@ -24,29 +24,29 @@
         spreader: spreading.Spreader,
         kinds: collections.abc.Iterable[str],
     ) -> None:
-        """Starts with nothing.
+        """Creates the check for a node without configuration.
 
         Args:
-          spreader: knows which peers agree.
-          kinds: what has to be listed.
+          spreader: tells which peers have the same configuration.
+          kinds: the kinds of objects that have to be listed.
         """
         self._spreader = spreader
         self._unlisted = set(kinds)
 
     def listed(self, kind: str) -> None:
-        """Takes that a whole listing of one kind has been applied."""
+        """Records that the complete listing of a kind has been applied."""
         self._unlisted.discard(kind)
 
     def missing(self, known_peers: int) -> str | None:
-        """None when ready, else what is still missing."""
+        """Returns why the node is not ready yet; None if it is ready."""
         if self._spreader.ready:
             return None
         agreed = len(self._spreader.agreed)
-        wanted = min(JOIN_PEERS, max(1, known_peers))
-        if not self._unlisted or agreed >= wanted:
+        required = min(JOIN_PEERS, max(1, known_peers))
+        if not self._unlisted or agreed >= required:
             self._spreader.ready = True
             return None
         return (
             "no configuration yet: the platform has not answered, and "
-            f"{agreed} of {wanted} peers agree"
+            f"{agreed} of {required} peers agree"
         )
--- a/endivewind/config/objects.py
+++ b/endivewind/config/objects.py
@@ -1,4 +1,4 @@
-"""The configuration that operators submit: services, routes, workspaces."""
+"""Models of the configuration: services, routes and workspaces."""
 
 import collections.abc
 import enum
@@ -19,14 +19,14 @@
 
 
 class Profile(enum.StrEnum):
-    """Which error a service would rather have its ejections make."""
+    """Whether outlier ejection favours detection or available capacity."""
 
     DETECTION = "detection"
     CAPACITY = "capacity"
 
 
 class Repeat(enum.StrEnum):
-    """Which requests of a route may run more than once."""
+    """Which requests of a route are retried although they may have run."""
 
     SAFE_METHODS = "safe-methods"
     ALWAYS = "always"
@@ -34,7 +34,7 @@
 
 
 class Priority(enum.StrEnum):
-    """What is refused first under saturation: low before high."""
+    """Load-shedding priority: low is refused before high."""
 
     LOW = "low"
     NORMAL = "normal"
@@ -45,21 +45,25 @@
     """A group of interchangeable targets.
 
     Attributes:
-      floor_slots: slots per region that ejection may never go below.
-      profile: error bounds of the gray-failure test.
-      queue_limit: requests that may wait for a slot at one entry.
-      timeout_ms: deadline of a request that brings none.
-      slots: slots of a target that declares none when it announces.
-      expected_targets: targets that a region should have; 0 is unknown. Only
-        `endivewind validate` uses it, to warn of a floor out of reach.
-      floor_percent: share of a region's announced slots that ejection may
-        never go below, where floor_slots is 0; 0 stands for half of them.
-      retry_percent: retries allowed, as a share of recent requests.
-      retry_reserve: retries that the whole fleet may make besides, in each
+      floor_slots: minimum number of slots in each region that ejection must
+        leave in use.
+      profile: error bounds of the statistical test for gray failures.
+      queue_limit: maximum number of requests that wait for a slot at one
+        entry node.
+      timeout_ms: timeout of a request that has no deadline of its own.
+      slots: concurrency of a target that announces no number of slots.
+      expected_targets: expected number of targets in each region; 0 if
+        unknown. Used only by `endivewind validate`, to warn of a floor that is
+        too high to allow any ejection.
+      floor_percent: minimum share of a region's announced slots that ejection
+        must leave in use, if floor_slots is 0; 0 means half of them.
+      retry_percent: allowed retries, as a share of recent requests.
+      retry_reserve: retries that the whole fleet may make in addition, in each
         retry_window_ms.
-      retry_window_ms: span in which retries are counted.
-      health_path: where its targets answer health checks; empty if nowhere.
-      max_connections: connections that one target takes; 0 is unknown.
+      retry_window_ms: length of the window in which retries are counted.
+      health_path: path of the targets' health check; empty if there is none.
+      max_connections: maximum number of connections that a target accepts; 0
+        if unknown.
     """
 
     floor_slots: pydantic.StrictInt = pydantic.Field(default=0, ge=0)
@@ -89,11 +93,11 @@
 
 
 class Share(base.Model):
-    """One service's part of a route's requests.
+    """One service's share of a route's requests.
 
     Attributes:
       service: name of the service.
-      weight: its part, relative to the others.
+      weight: its share, relative to the other weights.
     """
 
     service: Name
@@ -101,25 +105,25 @@
 
 
 class Route(base.Model):
-    """How a request reaches a service: the longest prefix wins.
+    """A rule that maps requests to a service; the longest prefix wins.
 
     Attributes:
-      host: the request's Host without port; "*" matches any.
-      prefix: path prefix, matched at segment borders; one that ends with a
-        slash matches only what is below it.
-      service: name of the service; empty where the route has a split.
-      split: services that share the requests, by weight.
-      workspace: only this workspace; empty matches all.
-      anonymous: whether callers need no key, where workspaces have keys.
-      repeat: which requests may run more than once.
-      priority: refused last (high) or first (low).
+      host: the request's Host header without the port; "*" matches any host.
+      prefix: path prefix, matched at segment boundaries; a prefix that ends
+        with a slash matches only paths below it.
+      service: name of the service; empty if the route has a split.
+      split: services among which the requests are split by weight.
+      workspace: the only workspace that the route matches; empty matches all.
+      anonymous: whether requests need no key although workspaces have keys.
+      repeat: which requests may run more than once, so that they are safe to
+        retry.
+      priority: load-shedding priority; low is refused first, high last.
       rank: order within the priority; 0 is served first and refused last.
-      timeout_ms: longest time that a caller is kept waiting; 0 leaves it to
-        the service.
-      aim_ms: time within which an answer is worth most to its caller; 0 is
-        unknown.
-      attempts: most targets that one request may be sent to; 0 leaves it to
-        the node.
+      timeout_ms: maximum time until the caller gets a response; 0 uses the
+        service's timeout.
+      aim_ms: latency objective of the caller; 0 if unknown.
+      attempts: maximum number of targets that a request is sent to; 0 uses the
+        node's default.
     """
 
     service: OptionalName = ""
@@ -136,7 +140,7 @@
     attempts: pydantic.StrictInt = pydantic.Field(default=0, ge=0, le=100)
 
     @pydantic.model_validator(mode="after")
-    def _leads_somewhere(self) -> "Route":
+    def _validate_destination(self) -> "Route":
         if self.service and self.split:
             raise ValueError("needs either a service or a split, not both")
         if self.split and not any(share.weight for share in self.split):
@@ -145,13 +149,13 @@
 
 
 class CallerLimits(base.Model):
-    """What callers may send, and how long they may take.
+    """Size limits and timeouts for callers.
 
     Attributes:
-      header_bytes: most bytes of a request's headers.
-      body_bytes: most bytes of a request's body.
-      header_timeout_ms: longest time that a request's headers may take.
-      idle_timeout_ms: how long a connection may stay open without a request.
+      header_bytes: maximum size of a request's headers.
+      body_bytes: maximum size of a request's body.
+      header_timeout_ms: timeout for receiving a request's headers.
+      idle_timeout_ms: time after which an idle connection is closed.
     """
 
     header_bytes: pydantic.StrictInt = pydantic.Field(
@@ -167,15 +171,16 @@
 
 
 class Workspace(base.Model):
-    """A customer's share of the fleet.
+    """A tenant of the fleet, with its share of capacity and its rate limit.
 
     Attributes:
       firm: the firm that the workspace belongs to.
-      weight: share under saturation, relative to other workspaces.
-      rate: requests a second over all nodes together; 0 is no limit.
-      burst: requests that may come at once above the rate.
-      rank: goes before the rank of the routes that it uses; absent leaves
-        them as they are.
+      weight: share of the capacity under saturation, relative to other
+        workspaces.
+      rate: rate limit in requests per second over all nodes; 0 means no limit.
+      burst: number of requests by which a burst may exceed the rate.
+      rank: overrides the rank of the routes that the workspace uses; if
+        absent, the routes' ranks apply.
     """
 
     firm: Name
@@ -188,7 +193,7 @@
 
 
 class RouteGroup(base.Model):
-    """Routes that one firm owns; one object in the platform.
+    """The routes of one firm; stored as one object on the platform.
 
     Attributes:
       routes: the routes, in any order.
@@ -198,14 +203,14 @@
 
 
 class Workspaces(base.Model):
-    """Workspaces that are kept together, with the keys that they hold.
+    """A group of workspaces and their API keys.
 
     Attributes:
-      workspaces: the workspaces by name; where none has a key, callers name
-        theirs in Endivewind-Workspace.
-      keys: the workspace that holds each key, by the key's digest.
-      keyed: whether callers need a key, also while none is given out; where
-        any is they need one in any case.
+      workspaces: the workspaces by name; if no workspace has a key, callers
+        pass the name in the Endivewind-Workspace header.
+      keys: the workspace of each key, by the key's digest.
+      keyed: whether requests need a key even while no key exists; once any key
+        exists, they always need one.
     """
 
     workspaces: dict[Name, Workspace] = {}
@@ -214,27 +219,27 @@
 
 
 class WorkspaceShard(Workspaces):
-    """Workspaces that are stored together; one object in the platform.
+    """A group of workspaces that is stored as one object on the platform.
 
     Attributes:
-      workspaces: the workspaces by name; where none has a key, callers name
-        theirs in Endivewind-Workspace.
-      keys: the workspace that holds each key, by the key's digest.
-      keyed: whether callers need a key, also while none is given out; where
-        any is they need one in any case.
+      workspaces: the workspaces by name; if no workspace has a key, callers
+        pass the name in the Endivewind-Workspace header.
+      keys: the workspace of each key, by the key's digest.
+      keyed: whether requests need a key even while no key exists; once any key
+        exists, they always need one.
     """
 
 
 class Document(Workspaces):
-    """A whole configuration that is kept and replaced as one object.
+    """A complete configuration that is stored and replaced as one object.
 
     Attributes:
       workspaces: the workspaces by name.
-      keys: the workspace that holds each key, by the key's digest.
-      keyed: whether callers need a key, also while none is given out.
-      services: the services.
+      keys: the workspace of each key, by the key's digest.
+      keyed: whether requests need a key even while no key exists.
+      services: the services by name.
       routes: the routes, in any order.
-      limits: what callers may send; absent leaves the node's settings.
+      limits: limits for callers; if absent, the node's settings apply.
     """
 
     services: dict[Name, Service] = {}
@@ -243,13 +248,13 @@
 
 
 class Configuration(base.Model):
-    """A whole file of configuration, as `endivewind submit` takes it.
+    """A complete configuration file, as accepted by `endivewind submit`.
 
     Attributes:
-      services: the services.
-      route_groups: groups of routes, one for each firm.
-      workspace_shards: groups of workspaces, each small enough for the
-        platform.
+      services: the services by name.
+      route_groups: groups of routes by name, one for each firm.
+      workspace_shards: groups of workspaces by name, each small enough for one
+        object on the platform.
     """
 
     services: dict[Name, Service] = {}
@@ -258,5 +263,5 @@
 
     @classmethod
     def problems(cls, data: object) -> collections.abc.Iterator[base.Problem]:
-        """Routes to unknown services, routes given twice, floors too high."""
+        """Yields unknown services, duplicate routes, excessive floors, etc."""
         return references.problems(data)
--- a/endivewind/config/planning.py
+++ b/endivewind/config/planning.py
@@ -1,4 +1,8 @@
-"""Plans a submission: what to write, what to leave, what to refuse."""
+"""Plans a submission: three-way merge of configuration objects.
+
+Decides for each object whether to write it, leave it or refuse the change
+because another operator has changed it, too.
+"""
 
 import collections.abc
 import dataclasses
@@ -11,17 +15,18 @@
 
 Spec = dict[str, Any] | None
 
-# Earlier specs of an object that its envelope tells of. A file as old as
-# that is still known for what it is.
+# Number of earlier specs whose fingerprints an envelope contains. A file with
+# one of these specs is recognised as outdated.
 MAX_ANCESTORS = 16
 
 
 class Action(enum.StrEnum):
-    """What becomes of one object.
+    """What a submission does with one object.
 
-    WRITE: it is written. SAME: the platform holds it already. KEPT: the file
-    holds an earlier state of it, so that this submission does not mean to
-    change it. REFUSED: it was changed by another operator as well.
+    WRITE: write it. SAME: nothing, the platform holds it already. KEPT:
+    nothing, since the file contains an earlier state of it, which this
+    submission does not mean to change. REFUSED: nothing, since another
+    operator has changed it, too.
     """
 
     WRITE = "write"
@@ -32,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Difference:
-    """One value that differs between two states of an object."""
+    """A value that differs between two states of an object."""
 
     path: str
     before: Any
@@ -44,11 +49,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Current:
-    """An object as the platform holds it.
+    """An object as stored on the platform.
 
     Attributes:
-      platform_version: for the conditional update; 0 if it is not there.
-      envelope: what it holds; None if it is not there or can't be read.
+      platform_version: version for the conditional update; 0 if the object
+        does not exist.
+      envelope: its content; None if it does not exist or can't be read.
     """
 
     platform_version: int = 0
@@ -56,12 +62,12 @@
 
     @property
     def spec(self) -> Spec:
-        """The object; None where it is not there or removed."""
+        """The object; None if it does not exist or has been removed."""
         return self.envelope.spec if self.envelope else None
 
     @property
     def version(self) -> int:
-        """The object's own version; 0 if it is not there."""
+        """The object's own version; 0 if it does not exist."""
         if self.envelope is None:
             return 0
         return self.envelope.version or self.platform_version
@@ -69,15 +75,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """What becomes of one object, and why.
+    """What a submission does with one object, and why.
 
     Attributes:
       key: the object.
-      action: what becomes of it.
-      spec: what the submission wants; None is a removal.
-      current: what the platform holds.
-      differences: from what the platform holds to what is wanted.
-      theirs: for REFUSED: what the other operator has changed.
+      action: what the submission does with it.
+      spec: its desired state; None removes it.
+      current: its state on the platform.
+      differences: differences from the state on the platform to the desired
+        one.
+      theirs: for REFUSED: the other operator's changes.
     """
 
     key: store.Key
@@ -89,7 +96,7 @@
 
 
 def specs(configuration: objects.Configuration) -> dict[store.Key, Spec]:
-    """Every object of a configuration, services first."""
+    """Returns the objects of a configuration, services first."""
     groups: tuple[tuple[str, collections.abc.Mapping[str, Any]], ...] = (
         (store.SERVICE, configuration.services),
         (store.WORKSPACE_SHARD, configuration.workspace_shards),
@@ -107,23 +114,23 @@
     current: collections.abc.Mapping[store.Key, Current],
     base: collections.abc.Mapping[store.Key, Spec] | None = None,
 ) -> list[Step]:
-    """Merges a submission with what other operators have submitted.
+    """Merges a submission with those of other operators.
 
     Args:
-      wanted: the objects of the file; None is a removal.
-      current: what the platform holds.
-      base: the state that the file was edited from, where it is known: what
-        is equal in both was not changed by this operator, and what is only
-        in the base was removed.
+      wanted: the objects of the file; None removes an object.
+      current: the objects on the platform.
+      base: the state from which the file was edited, if known. Objects that
+        are equal in both were not changed by this operator; objects that are
+        only in the base were removed.
     """
     removed = {} if base is None else dict.fromkeys(base.keys() - wanted.keys())
     return [
-        _step(key, spec, current.get(key, Current()), base)
+        _plan_step(key, spec, current.get(key, Current()), base)
         for key, spec in {**wanted, **removed}.items()
     ]
 
 
-def _step(
+def _plan_step(
     key: store.Key,
     spec: Spec,
     current: Current,
@@ -135,8 +142,11 @@
     if current.envelope is None:
         return Step(key, Action.WRITE, spec, current, changes)
     if base is None:
-        older = spec is not None and _mark(spec) in current.envelope.ancestors
-        action = Action.KEPT if older else Action.WRITE
+        is_outdated = (
+            spec is not None
+            and _spec_fingerprint(spec) in current.envelope.ancestors
+        )
+        action = Action.KEPT if is_outdated else Action.WRITE
         return Step(key, action, spec, current, changes)
     origin = base.get(key)
     if spec == origin:
@@ -148,19 +158,19 @@
 
 
 def replan(step: Step, current: Current) -> Step:
-    """A step whose object has changed between reading and writing."""
+    """Plans a step anew after its object has changed since it was read."""
     base = {step.key: step.current.spec}
-    return _step(step.key, step.spec, current, base)
+    return _plan_step(step.key, step.spec, current, base)
 
 
 def envelope(
     step: Step, operation: str, author: str, now: datetime.datetime
 ) -> store.Envelope:
-    """What to write for a step.
+    """Creates the envelope to write for a step.
 
     The version is the time in microseconds or one above the version read,
-    whichever is higher: so it grows with every write, and after a loss of the
-    platform's store it is still above what nodes hold.
+    whichever is higher. So it grows with every write and, after the platform
+    has lost its store, is still above the versions that nodes hold.
     """
     clock = int(now.timestamp() * 1_000_000)
     read = step.current
@@ -168,9 +178,9 @@
     if read.envelope is not None:
         ancestors = read.envelope.ancestors
         if read.envelope.spec is not None:
-            ancestors = (*ancestors, _mark(read.envelope.spec))
-    wanted = "" if step.spec is None else _mark(step.spec)
-    kept = tuple(item for item in ancestors if item != wanted)
+            ancestors = (*ancestors, _spec_fingerprint(read.envelope.spec))
+    wanted = "" if step.spec is None else _spec_fingerprint(step.spec)
+    kept_ancestors = tuple(item for item in ancestors if item != wanted)
     return store.Envelope(
         spec=step.spec,
         operation=operation,
@@ -179,14 +189,14 @@
         time=now.isoformat(timespec="milliseconds"),
         replaced_version=read.version,
         replaced_operation=read.envelope.operation if read.envelope else "",
-        ancestors=kept[-MAX_ANCESTORS:],
+        ancestors=kept_ancestors[-MAX_ANCESTORS:],
     )
 
 
 def differences(
     before: Any, after: Any, path: str = ""
 ) -> collections.abc.Iterator[Difference]:
-    """Every value that differs, each with its path."""
+    """Yields the values that differ, each with its path."""
     if isinstance(before, dict) and isinstance(after, dict):
         for key in dict.fromkeys((*before, *after)):
             inner = f"{path}.{key}" if path else str(key)
@@ -202,5 +212,5 @@
         yield Difference(path or "(object)", before, after)
 
 
-def _mark(spec: dict[str, Any]) -> str:
+def _spec_fingerprint(spec: dict[str, Any]) -> str:
     return f"{store.fingerprint(spec):x}"
--- a/endivewind/config/proving.py
+++ b/endivewind/config/proving.py
@@ -1,7 +1,8 @@
-"""Who reads the platform for proofs of freshness, and whom the others ask.
+"""Distribution tree for proofs of freshness.
 
-Nodes agree on nothing: each decides by the age of its own proof and by who has
-started before it. No input or output.
+Determines which nodes read the platform for proofs and which node each other
+node queries. There is no leader election: each node decides by the age of its
+own proof and by the order in which nodes have started. Does no I/O.
 """
 
 import collections.abc
@@ -15,37 +16,39 @@
 
 MemberT = TypeVar("MemberT", bound=watchers.Member)
 
-# Parts of the bound. The first reader reads once a fifth; with a question
-# every eighth a proof is at most 0.6 of the bound old three steps from it, and
-# one lost question leaves it within the bound.
+# Shares of the revocation bound. The primary reader reads once in a fifth of
+# it. With a query every eighth, a proof is at most 0.6 of the bound old three
+# hops from the reader, and stays within the bound if one query is lost.
 READ_AGE = 0.2
 ASK_PERIOD = 1 / 8
-# Where proofs grow older than that, others read as well: one after the other,
-# so that the loss of a reader costs the platform a few calls only.
+# Proof age, as a share of the bound, at which other nodes read as well: one
+# after the other, so that the loss of a reader costs only a few extra calls.
 STAND_IN_AGE = 0.5
 STAND_IN_STEP = 0.05
 LAST_AGE = 0.8
-# In bounds: for how long a node that had to stand in reads as often as the
-# first reader would.
+# Time, in multiples of the bound, for which a node that had to stand in for the
+# primary reader keeps reading as often as that would.
 STAND_IN_TIME = 4
-# A proof older than this, after a question, has not come by way of a reader.
+# A proof that is still older than this after a query does not come from a
+# reader that works.
 STALE_AGE = 0.45
-# Nodes that ask one and the same: it answers each a few times a second.
+# Nodes that query the same parent, each a few times per second.
 ASKERS = 16
-# Readers that are asked where a node's parent does not help.
+# Nodes queried in addition if a node's parent has no fresh proof.
 STAND_INS = 3
-# A node without any proof asks so often: its callers wait.
+# Query period of a node without any proof, since its callers are waiting.
 FIRST_PERIOD = datetime.timedelta(milliseconds=50)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rank(Generic[MemberT]):
-    """A node's place among those that run.
+    """A node's position in the distribution tree.
 
     Attributes:
-      number: of nodes that started before it; 0 is the first reader.
-      parent: the node that it asks; None for the first reader.
-      others: nodes that it asks where its parent does not help.
+      start_rank: number of nodes that started before it; 0 is the primary
+        reader.
+      parent: the node that it queries; None for the primary reader.
+      fallbacks: nodes that it queries if its parent has no fresh proof.
     """
 
     number: int
@@ -56,12 +59,12 @@
 def rank(
     me: MemberT, members: collections.abc.Iterable[MemberT]
 ) -> Rank[MemberT]:
-    """A node's place among the members of the fleet.
+    """Returns a node's position in the distribution tree.
 
-    The first reader passes proofs on to the oldest of each region, these to
-    the oldest of each zone, and these to the others, so that proofs cross
-    between places once for each place. The order of starts moves a place only
-    when a node ends.
+    The primary reader passes proofs to the oldest node of each region, these
+    to the oldest node of each zone, and these to the others. So a proof
+    crosses the border of each region and zone once. Because positions follow
+    the order of starts, they change only when a node stops.
     """
     others = [item for item in members if item.name != me.name]
     ordered = sorted([*others, me], key=watchers.start)
@@ -94,18 +97,19 @@
     *,
     stands_in: bool = False,
 ) -> bool:
-    """Whether a node reads the platform now.
+    """Returns whether a node should read the platform now.
 
-    Load: the first reader is killed, or the platform turns it away. Harm:
-    every node's proof runs out, and all keyed work is refused; or, where all
-    read at once, the platform's rates are used up.
+    Load: the primary reader is killed, or the platform refuses its calls.
+    Harm: the proofs of all nodes expire and all requests that need a key are
+    refused; or, if all nodes read at once, the platform's rate limit is
+    exhausted.
 
     Args:
-      number: its place in the order of starts.
-      age: of its proof; without one, since its start.
-      bound: how old a proof may be.
-      rng: chooses among the many that are left.
-      stands_in: whether it had to read a short while ago.
+      start_rank: the node's position in the order of starts.
+      age: age of its proof; without one, time since its start.
+      bound: maximum age of a proof.
+      rng: selects nodes at random once even late standbys should have read.
+      is_standby: whether it had to stand in for the primary reader recently.
     """
     if number == 0 or stands_in:
         return age >= READ_AGE * bound
--- a/endivewind/config/reference.py
+++ b/endivewind/config/reference.py
@@ -1,7 +1,7 @@
-"""Renders the reference of configuration and settings from the models.
+"""Generates the reference of configuration and settings from the models.
 
-`python -m endivewind.config.reference` writes it into the page
-docs/user-guide/configuration.md; a test compares the two.
+`python -m endivewind.config.reference` writes it to the page
+docs/user-guide/configuration.md; a test checks that the page is up to date.
 """
 
 import enum
@@ -37,7 +37,7 @@
     ("`beside` of the settings", settings.Beside),
     ("`callers_tls` and `nodes_tls` of the settings", settings.Tls),
 )
-_BOUNDS = {
+_CONSTRAINT_TEXTS = {
     "ge": "at least {}",
     "gt": "above {}",
     "le": "at most {}",
@@ -51,37 +51,37 @@
 
 
 def render() -> str:
-    """The reference as Markdown, below the mark."""
+    """Renders the reference as Markdown, starting with the marker."""
     parts = [MARK]
     for title, model in _MODELS:
-        parts += [f"### {title}", _about(model), _table(model)]
+        parts += [f"### {title}", _summary(model), _table(model)]
     return "\n\n".join(parts) + "\n"
 
 
 def page(text: str) -> str:
-    """A page with its reference replaced by the present one."""
+    """Returns a page with its reference regenerated."""
     return text.partition(MARK)[0] + render()
 
 
-def _about(model: type[pydantic.BaseModel]) -> str:
+def _summary(model: type[pydantic.BaseModel]) -> str:
     return inspect.getdoc(model).partition("\n\n")[0]  # type: ignore[union-attr]
 
 
 def _table(model: type[pydantic.BaseModel]) -> str:
-    meanings = _meanings(model)
+    meanings = _attribute_meanings(model)
     lines = ["| Key | Value | Default | Meaning |", "| --- | --- | --- | --- |"]
     for name, field in model.model_fields.items():
         cells = (
             f"`{name}`",
-            _value(field),
-            _default(field),
+            _value_text(field),
+            _default_text(field),
             meanings.get(name, ""),
         )
         lines.append("| " + " | ".join(cells) + " |")
     return "\n".join(lines)
 
 
-def _meanings(model: type[pydantic.BaseModel]) -> dict[str, str]:
+def _attribute_meanings(model: type[pydantic.BaseModel]) -> dict[str, str]:
     text = inspect.getdoc(model) or ""
     _, _, attributes = text.partition("Attributes:\n")
     return {
@@ -90,14 +90,14 @@
     }
 
 
-def _value(field: pydantic_fields.FieldInfo) -> str:
-    words = [_type(field.annotation)]
+def _value_text(field: pydantic_fields.FieldInfo) -> str:
+    words = [_type_text(field.annotation)]
     for item in field.metadata:
-        words += _bounds(item)
+        words += _constraint_texts(item)
     return ", ".join(words)
 
 
-def _type(annotation: Any) -> str:
+def _type_text(annotation: Any) -> str:
     if isinstance(annotation, type) and issubclass(annotation, enum.Enum):
         return " or ".join(f"`{item.value}`" for item in annotation)
     if isinstance(annotation, type) and issubclass(
@@ -106,14 +106,16 @@
         return "mapping"
     origin = typing.get_origin(annotation)
     if origin is typing.Annotated:
-        return _value(pydantic_fields.FieldInfo.from_annotation(annotation))
+        return _value_text(
+            pydantic_fields.FieldInfo.from_annotation(annotation)
+        )
     if origin in (dict, tuple):
         return {dict: "mapping by name", tuple: "list"}[origin]
     present = [
         item for item in typing.get_args(annotation) if item is not type(None)
     ]
     if len(present) == 1:
-        return _type(present[0])
+        return _type_text(present[0])
     words = {
         bool: "true or false",
         int: "whole number",
@@ -123,18 +125,18 @@
     return words.get(annotation, str(annotation))
 
 
-def _bounds(item: Any) -> list[str]:
-    """What one detail of a field allows; nothing where it bounds nothing."""
+def _constraint_texts(item: Any) -> list[str]:
+    """Describes the constraints in one metadata item of a field."""
     words = [
         text.format(getattr(item, name))
-        for name, text in _BOUNDS.items()
+        for name, text in _CONSTRAINT_TEXTS.items()
         if getattr(item, name, None) is not None
     ]
-    # A bar would end the table's cell.
+    # An unescaped bar would end the table cell.
     return [word.replace("|", "\\|") for word in words]
 
 
-def _default(field: pydantic_fields.FieldInfo) -> str:
+def _default_text(field: pydantic_fields.FieldInfo) -> str:
     if field.is_required():
         return "required"
     default = field.default
