--- a/endivewind/config/base.py
+++ b/endivewind/config/base.py
@@ -117,7 +117,7 @@
         problem = str(error).partition("\n")[0]
         return _unreadable_file(file, 0, f"not valid YAML: {problem}")
     except RecursionError:
-        return _unreadable_file(file, 0, "not valid YAML: nested too deep")
+        return _unreadable_file(file, 0, "not valid YAML: nested too deeply")
     return _validate(data, _Document(file, root), model)
 
 
@@ -196,7 +196,7 @@
         message = item["msg"]
         if location and location[-1] == _KEY_MARKER:
             location = location[:-1]
-            message = f"bad name: {message}"
+            message = f"invalid key: {message}"
         if item["type"] == "extra_forbidden":
             message = _unknown_key_message(location, model)
         seen = "" if item["type"] == "missing" else item["input"]
@@ -237,9 +237,7 @@
             if name in seen:
                 line = key.start_mark.line + 1
                 where = _join_path(path, name)
-                yield findings.Finding(
-                    self._file, line, where, "key given twice"
-                )
+                yield findings.Finding(self._file, line, where, "duplicate key")
             seen.add(name)
 
     def _make_finding(
--- a/endivewind/config/references.py
+++ b/endivewind/config/references.py
@@ -1,7 +1,7 @@
-"""Checks between the parts of a configuration, on its raw data.
+"""Consistency checks between the parts of a configuration, on raw data.
 
-The data may be malformed in any way: what is not of the expected shape is
-passed over here, since the models report it.
+The data may be malformed in any way. Values of an unexpected type are skipped
+here because the models report them.
 """
 
 import collections.abc
@@ -20,7 +20,7 @@
 
     @property
     def key(self) -> tuple[str, str, str]:
-        """What a request is matched by: host, workspace and prefix."""
+        """What requests are matched against: host, workspace and prefix."""
         return (
             str(self.values.get("host", "*")).lower(),
             str(self.values.get("workspace", "")),
@@ -28,30 +28,30 @@
         )
 
     def services(self) -> collections.abc.Iterator[tuple[base.Location, str]]:
-        """Every service that the route names, with its place."""
+        """Yields each service that the route refers to, with its location."""
         name = self.values.get("service")
         if isinstance(name, str) and name:
             yield (*self.location, "service"), name
         split = self.values.get("split")
         for index, share in enumerate(split if isinstance(split, list) else ()):
-            name = _mapping(share).get("service")
+            name = _as_mapping(share).get("service")
             if isinstance(name, str):
                 yield (*self.location, "split", index, "service"), name
 
 
 def problems(data: object) -> collections.abc.Iterator[base.Problem]:
-    """Every problem between the parts of a configuration."""
-    services = _mapping(_mapping(data).get("services"))
+    """Yields all inconsistencies between the parts of a configuration."""
+    services = _as_mapping(_as_mapping(data).get("services"))
     routes = list(_routes(data))
-    yield from _leading_nowhere(routes)
+    yield from _routes_without_service(routes)
     yield from _unknown_services(services, routes)
     yield from _shadowed_routes(routes)
-    yield from _floors(services)
-    yield from _shared_workspaces(data)
-    yield from _keys(data)
+    yield from _excessive_floors(services)
+    yield from _duplicate_workspaces(data)
+    yield from _invalid_keys(data)
 
 
-def _leading_nowhere(
+def _routes_without_service(
     routes: list[_Route],
 ) -> collections.abc.Iterator[base.Problem]:
     for route in routes:
@@ -95,63 +95,64 @@
             )
 
 
-def _floors(
+def _excessive_floors(
     services: dict[Any, Any],
 ) -> collections.abc.Iterator[base.Problem]:
     for name, value in services.items():
-        service = _mapping(value)
-        floor = _integer(service.get("floor_slots"))
-        targets = _integer(service.get("expected_targets"))
-        slots = _integer(service.get("slots", 3))
+        service = _as_mapping(value)
+        floor = _as_integer(service.get("floor_slots"))
+        targets = _as_integer(service.get("expected_targets"))
+        slots = _as_integer(service.get("slots", 3))
         if targets and floor > targets * slots:
             yield base.Problem(
                 ("services", str(name), "floor_slots"),
                 f"above the {targets * slots} slots that {targets} expected "
-                f"targets of {slots} slots have in a region: nothing of this "
-                "service would ever be ejected",
+                f"targets of {slots} slots have in a region: no target "
+                "of this service would ever be ejected",
                 floor,
                 findings.Severity.WARNING,
             )
 
 
-def _shared_workspaces(
+def _duplicate_workspaces(
     data: object,
 ) -> collections.abc.Iterator[base.Problem]:
     first: dict[str, str] = {}
-    shards = _mapping(_mapping(data).get("workspace_shards"))
+    shards = _as_mapping(_as_mapping(data).get("workspace_shards"))
     for shard, value in shards.items():
-        for name in _mapping(_mapping(value).get("workspaces")):
+        for name in _as_mapping(_as_mapping(value).get("workspaces")):
             known = first.setdefault(str(name), str(shard))
             if known != str(shard):
                 yield base.Problem(
                     ("workspace_shards", str(shard), "workspaces", str(name)),
-                    f"also in shard {known!r}: a workspace has one shard",
+                    f"also in shard {known!r}: a workspace belongs to one shard",
                 )
 
 
-def _keys(data: object) -> collections.abc.Iterator[base.Problem]:
-    """Keys of workspaces that do not exist, and keys in two shards."""
+def _invalid_keys(data: object) -> collections.abc.Iterator[base.Problem]:
+    """Yields keys of unknown workspaces and keys that are in two shards."""
     first: dict[str, str] = {}
-    shards = _mapping(_mapping(data).get("workspace_shards"))
+    shards = _as_mapping(_as_mapping(data).get("workspace_shards"))
     for shard, value in shards.items():
-        workspaces = _mapping(_mapping(value).get("workspaces"))
-        for digest, name in _mapping(_mapping(value).get("keys")).items():
-            place = ("workspace_shards", str(shard), "keys", str(digest))
+        workspaces = _as_mapping(_as_mapping(value).get("workspaces"))
+        for digest, name in _as_mapping(_as_mapping(value).get("keys")).items():
+            location = ("workspace_shards", str(shard), "keys", str(digest))
             if name not in workspaces:
                 yield base.Problem(
-                    place, "its workspace is not in this shard", name
+                    location, "its workspace is not in this shard", name
                 )
             known = first.setdefault(str(digest), str(shard))
             if known != str(shard):
                 yield base.Problem(
-                    place, f"also in shard {known!r}: one workspace holds a key"
+                    location,
+                    f"also in shard {known!r}: a key belongs to one workspace",
                 )
 
 
 def _routes(data: object) -> collections.abc.Iterator[_Route]:
-    groups = _mapping(_mapping(data).get("route_groups"))
+    groups = _as_mapping(_as_mapping(data).get("route_groups"))
     for name, group in groups.items():
-        routes = _mapping(group).get("routes")
+        routes = _as_mapping(group).get("routes")
         if not isinstance(routes, list):
             continue
         for index, route in enumerate(routes):
@@ -160,10 +161,10 @@
                 yield _Route(location, route)
 
 
-def _mapping(value: object) -> dict[Any, Any]:
+def _as_mapping(value: object) -> dict[Any, Any]:
     return value if isinstance(value, dict) else {}
 
 
-def _integer(value: object) -> int:
+def _as_integer(value: object) -> int:
     is_integer = isinstance(value, int) and not isinstance(value, bool)
     return value if is_integer else 0  # type: ignore[return-value]
--- a/endivewind/config/services.py
+++ b/endivewind/config/services.py
@@ -1,4 +1,4 @@
-"""What the configuration says of a service, with what holds where it doesn't."""
+"""Settings of services, with defaults for services not configured."""
 
 from endivewind.config import objects
 from endivewind.config import store
@@ -12,25 +12,25 @@
         self._configuration = configuration
 
     def slots(self, service: str) -> int:
-        """Slots of a target that declares none."""
-        return self._found(service).slots
+        """Returns the slots of a target that announces no number of slots."""
+        return self._service_or_default(service).slots
 
     def floor(self, service: str) -> int:
-        """Slots in each region that stay in use; 0 where a share does."""
-        return self._found(service).floor_slots
+        """Returns the capacity floor in slots per region; 0 if it is a share."""
+        return self._service_or_default(service).floor_slots
 
     def floor_share(self, service: str) -> float:
-        """Share of a region's slots that stays in use."""
-        percent = self._found(service).floor_percent
+        """Returns the capacity floor as a share of a region's slots."""
+        percent = self._service_or_default(service).floor_percent
         return percent / 100 if percent else capacity_floor.DEFAULT_FLOOR_SHARE
 
     def profile(self, service: str) -> objects.Profile:
-        """How its targets are judged."""
-        return self._found(service).profile
+        """Returns the profile of error bounds for ejecting its targets."""
+        return self._service_or_default(service).profile
 
     def is_known(self, service: str) -> bool:
-        """Whether the configuration names it."""
+        """Returns whether the configuration contains the service."""
         return self._configuration.service(service) is not None
 
-    def _found(self, service: str) -> objects.Service:
+    def _service_or_default(self, service: str) -> objects.Service:
         return self._configuration.service(service) or objects.Service()
--- a/endivewind/config/settings.py
+++ b/endivewind/config/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process, read from a YAML file at start."""
+"""Models of the settings of a process, read from a YAML file at start."""
 
 import datetime
 import enum
@@ -20,14 +20,14 @@
 
 
 class Tls(base.Model):
-    """Files of one TLS end; peers between nodes must show a certificate.
+    """Certificate files for TLS; links between nodes use mutual TLS.
 
     Attributes:
-      certificate: PEM file with the certificate and those that signed it.
-      key: PEM file with its private key.
-      authority: PEM file of the authority that signs the other end's
-        certificate; a must between nodes. At the callers' listener it makes
-        callers show a certificate, too.
+      certificate: PEM file with the certificate chain.
+      key: PEM file with the private key.
+      authority: PEM file with the certificate authority that signs the peer's
+        certificate; required between nodes. At the callers' listener it makes
+        client certificates mandatory.
     """
 
     certificate: str
@@ -36,18 +36,18 @@
 
 
 class Interface(enum.StrEnum):
-    """Whose names and formats callers, targets and operators use."""
+    """Whether the external interfaces are this system's or the platform's."""
 
     OWN = "own"
     PLATFORM = "platform"
 
 
 class Once(enum.StrEnum):
-    """What names work that must not repeat.
+    """What identifies a request that must not run more than once.
 
-    TICKET: a key that this system issues; the caller may send it again to
-    any node. REQUEST_ID: the id of each send, which arrives once, at one
-    node; sending again is new work.
+    TICKET: an idempotency key that this system issues; the caller may resend
+    it to any node. REQUEST_ID: the id of each request sent, which arrives
+    once, at one node; a resend is a new request.
     """
 
     TICKET = "ticket"
@@ -55,19 +55,19 @@
 
 
 class Trail(enum.StrEnum):
-    """Where a node records its verdicts, drains and membership."""
+    """Where a node writes its audit records of ejections, drains and joins."""
 
     PLATFORM = "platform"
     LOG = "log"
 
 
 class Beside(base.Model):
-    """The one target on the node's own VM, where every target has a node.
+    """The only target on the node's VM, if each target has its own node.
 
     Attributes:
       service: the service that runs on this VM.
-      address: host and port where the target takes requests.
-      heartbeat_seconds: how often the target announces itself.
+      address: host and port of the target's listener.
+      heartbeat_seconds: interval at which the target announces itself.
     """
 
     service: str = pydantic.Field(min_length=1, max_length=63)
@@ -78,21 +78,21 @@
 
 
 class Limits(base.Model):
-    """Bounds of one process.
+    """Resource limits and shutdown timeouts of a process.
 
     Attributes:
-      header_bytes: most bytes of a request's headers.
-      body_bytes: most bytes of a request's body.
-      kept_answer_bytes: most bytes of an answer kept for resends.
-      buffered_body_bytes: bodies up to here are held so that the request can
-        be placed again.
-      ticketed_body_bytes: most bytes of the body of a request that must not
-        repeat; it is held whole.
-      stop_seconds: how long a planned stop waits for work in flight.
-      grace_seconds: after how long the platform ends a process that was asked
-        to stop; 0 if it does not. A planned stop keeps within it.
-      notice_seconds: how long a stopping node still takes new work of callers
-        who have not heard of it.
+      header_bytes: maximum size of a request's headers.
+      body_bytes: maximum size of a request's body.
+      kept_answer_bytes: maximum size of a response stored for resends.
+      buffered_body_bytes: maximum size of a request body that is buffered so
+        that the request can be retried.
+      ticketed_body_bytes: maximum size of the body of a request that must not
+        run more than once; it is buffered completely.
+      stop_seconds: how long a graceful shutdown waits for requests in flight.
+      grace_seconds: time after which the platform kills a process that was
+        asked to stop; 0 if it never does. A graceful shutdown ends within it.
+      notice_seconds: how long a node that shuts down still accepts requests
+        from callers that have not been notified yet.
     """
 
     header_bytes: pydantic.StrictInt = pydantic.Field(
@@ -119,20 +119,21 @@
     )
 
 
-# The part of the fleet's retries that nodes take by themselves. The rest is for
-# what is spent twice while a count is on its way, for calls of repeats in the
-# moment before they are charged, and for windows that slide in steps.
+# Share of the fleet's retry budget that nodes spend. The rest covers retries
+# spent twice while counts propagate, retries sent just before they are charged,
+# and windows that slide in steps.
 OWN_RETRIES = 0.75
 
 
 class FleetLimits(base.Model):
-    """What all nodes together promise to each service.
+    """Limits that all nodes together guarantee to each service.
 
     Attributes:
-      retry_share: retries in a window, as a share of the requests in it.
-      retry_reserve: retries in each window besides.
-      retry_window_seconds: the window in which both are counted.
-      floor_share: share of a region's slots that stays in use.
+      retry_share: allowed retries in a window, as a share of its requests.
+      retry_reserve: retries allowed in each window in addition.
+      retry_window_seconds: length of the window in which both are counted.
+      floor_share: minimum share of a region's slots that ejection must leave
+        in use.
     """
 
     retry_share: pydantic.StrictFloat = pydantic.Field(ge=0, le=1)
@@ -141,7 +142,7 @@
     floor_share: pydantic.StrictFloat = pydantic.Field(ge=0, le=1)
 
     def applied_to(self, service: objects.Service) -> objects.Service:
-        """The service's defaults within these limits."""
+        """Returns a service's settings with these limits applied."""
         return service.model_copy(
             update={
                 "retry_percent": int(100 * OWN_RETRIES * self.retry_share),
@@ -152,7 +153,7 @@
         )
 
 
-# What a running node takes from a changed file; all else is bound at start.
+# Settings that a running node reloads; all others take effect at start only.
 RELOADED = frozenset(
     {
         "platform",
@@ -167,13 +168,14 @@
 
 
 class Revocation(base.Model):
-    """How surely a key that is taken away stops working.
+    """Guarantees for the time until a revoked key stops working.
 
     Attributes:
-      strict: whether a node refuses work that needs a key while it can't prove
-        that its configuration was the newest within the bound; else a node
-        that no news reaches serves on with what it has.
-      bound_seconds: how long after its removal a key may still work.
+      strict: whether a node refuses requests that need a key while it can't
+        prove that its configuration was the newest within the bound. If false,
+        a node that receives no updates keeps serving with the configuration
+        that it has.
+      bound_seconds: maximum time that a key works after its revocation.
     """
 
     strict: pydantic.StrictBool = False
@@ -183,7 +185,7 @@
 
     @property
     def bound(self) -> datetime.timedelta | None:
-        """How old a proof may be; None where none is needed."""
+        """Maximum age of a proof of freshness; None if none is required."""
         if not self.strict:
             return None
         return datetime.timedelta(seconds=self.bound_seconds)
@@ -193,9 +195,9 @@
     """By how much a workspace's quota may be exceeded in any window.
 
     Attributes:
-      window_seconds: the window in which its requests are counted.
-      overage: as a share of what the quota allows in the window.
-      requests: besides.
+      window_seconds: length of the window in which requests are counted.
+      overage: allowed excess, as a share of the quota in the window.
+      requests: number of requests allowed in addition.
     """
 
     window_seconds: pydantic.StrictFloat = pydantic.Field(
@@ -208,7 +210,7 @@
 
     @property
     def tolerance(self) -> quotas.Tolerance:
-        """The same for decisions."""
+        """The tolerance in the form that the quota decisions use."""
         window = datetime.timedelta(seconds=self.window_seconds)
         return quotas.Tolerance(window, self.overage, self.requests)
 
@@ -217,35 +219,39 @@
     """Settings of `endivewind-node`.
 
     Attributes:
-      name: the node's name; one name, one VM.
+      name: name of the node, unique to its VM.
       region: region of the VM.
       zone: availability zone of the VM.
-      zones: all availability zones of the fleet, each with its region; nodes
-        then register zone by zone, and a start reads its own zone only.
+      zones: all availability zones of the fleet, each with its region. If
+        set, nodes register by zone, and a starting node lists only its own
+        zone.
       callers: address of the listener for callers.
-      targets: address where targets announce themselves.
-      nodes: address for other nodes (TCP, and UDP for gossip).
-      nodes_advertised: address that other nodes are told to use, where it
-        is not the one that is bound.
-      operators: address of health, metrics and status; loopback unless set.
-      readiness: address that answers only whether the node is ready, for the
-        platform's checks; none unless set.
-      interface: whose names and formats callers, targets and operators use.
-      once: what names work that must not repeat.
-      beside: the target on this VM, where each has a node of its own.
-      audit: where the node records what it does; its log has it in any case.
-      service_defaults: what a service gets where the platform's operators
-        have no word for it; only for the platform's interface.
-      fleet_limits: what all nodes together promise; goes before
+      targets: address of the listener where targets announce themselves.
+      nodes: address of the listener for other nodes (TCP, and UDP for gossip).
+      nodes_advertised: address that other nodes connect to, if it is not the
+        one that the node binds.
+      operators: address of the listener for health, metrics and status;
+        loopback unless set.
+      readiness: address of a listener for the platform's readiness checks
+        only; none unless set.
+      interface: whether callers, targets and operators use the names and
+        formats of this system or those of the platform.
+      once: what identifies a request that must not run more than once.
+      beside: the target on this VM, if each target has its own node.
+      audit: where the node writes audit records, besides its log.
+      service_defaults: settings of a service that the platform's own
+        configuration leaves open; only for the platform's interface.
+      fleet_limits: limits that all nodes together guarantee; overrides
         service_defaults.
       quota_tolerance: by how much a workspace's quota may be exceeded.
-      revocation: how surely a key that is taken away stops working.
+      revocation: guarantees for the time until a revoked key stops working.
       platform: URL of the platform's object API.
-      seeds: nodes to join by when the platform can't be asked.
-      gossip_key: signs the datagrams between nodes; the same at every node.
-      callers_tls: makes the listener for callers speak HTTPS.
-      nodes_tls: secures the links to other nodes by mutual TLS.
-      limits: bounds of the process.
+      seeds: addresses of nodes to join through if the platform is unavailable.
+      gossip_key: key that signs the datagrams between nodes; the same at every
+        node.
+      callers_tls: enables HTTPS at the listener for callers.
+      nodes_tls: enables mutual TLS on the links to other nodes.
+      limits: resource limits and shutdown timeouts of the process.
       log_level: debug, info, warning or error.
     """
 
@@ -279,15 +285,15 @@
 
     @property
     def defaults(self) -> objects.Service:
-        """What a service gets that the platform's operators leave open."""
+        """Service settings that the platform's own configuration leaves open."""
         if self.fleet_limits is None:
             return self.service_defaults
         return self.fleet_limits.applied_to(self.service_defaults)
 
     @pydantic.model_validator(mode="after")
-    def _proves_one_document(self) -> "NodeSettings":
-        # A proof names the one version of a whole configuration; elsewhere
-        # each object has a version of its own.
+    def _validate_revocation(self) -> "NodeSettings":
+        # A proof refers to the version of a whole configuration. With this
+        # system's own interface, each object has a version of its own.
         if self.revocation.strict and self.interface is Interface.OWN:
             raise ValueError(
                 "strict revocation needs the interface of the platform"
@@ -296,17 +302,17 @@
 
     @pydantic.field_validator("nodes_tls")
     @classmethod
-    def _names_an_authority(cls, value: Tls | None) -> Tls | None:
-        # Without one, a node would take links from anybody who has a
+    def _validate_authority(cls, value: Tls | None) -> Tls | None:
+        # Without an authority, a node would accept links from peers with any
         # certificate, or none.
         if value is not None and not value.authority:
-            raise ValueError("needs an authority: links are mutual TLS")
+            raise ValueError("needs an authority because links use mutual TLS")
         return value
 
     @pydantic.model_validator(mode="after")
-    def _signs_where_links_are_secured(self) -> "NodeSettings":
-        # TLS guards the links only. Unsigned datagrams beside them would let
-        # anybody declare nodes dead and invent targets.
+    def _validate_gossip_key(self) -> "NodeSettings":
+        # TLS secures only the links. With unsigned datagrams, anybody could
+        # declare nodes dead and forge targets.
         if self.nodes_tls is not None and not self.gossip_key:
             raise ValueError("nodes_tls needs a gossip_key as well")
         if self.gossip_key and len(self.gossip_key) < MIN_GOSSIP_KEY:
--- a/endivewind/config/spreading.py
+++ b/endivewind/config/spreading.py
@@ -1,8 +1,9 @@
-"""How configuration spreads between nodes: message in, messages out.
+"""Replicates configuration between nodes by rumour mongering and anti-entropy.
 
-A node that takes a new version tells a few random peers (a rumour); at
-intervals it compares digests with one random peer, which repairs whatever
-rumours have missed. No clock, task or socket of its own.
+A node that receives a new version sends it to a few random peers (a rumour).
+At intervals it compares digests with one random peer (anti-entropy), which
+repairs what rumours have missed. Called with each received message; returns
+the messages to send. Has no clock, task or socket of its own.
 """
 
 import collections.abc
@@ -16,43 +17,43 @@
 
 from endivewind.config import store
 
-# Peers told at once. With one the rumour spreads too slowly, with more most
-# messages reach nodes that know it already.
+# Peers that receive a rumour at once. With one it spreads too slowly; with more,
+# most messages reach nodes that have the version already.
 FANOUT = 2
-# A node passes a rumour on ln(N) + this many times: with every message the
-# share of nodes that hear nothing falls by e, and one in ten is lost.
+# A node sends a rumour ln(N) + this many times: each message divides the share
+# of nodes that have not received it by e, and one message in ten is lost.
 EXTRA_SENDS = 4
-# Objects up to here travel inside the rumour; longer ones are asked for, so
-# that a node receives each about once.
+# Maximum size of an object sent within a rumour. Larger objects are requested by
+# the receiver, so that a node receives each about once.
 PUSH_BYTES = 512
 TICK = datetime.timedelta(milliseconds=250)
-# A round of repair costs two messages of one number where nothing differs.
+# If nothing differs, a comparison costs two messages with one number each.
 DIGEST_PERIOD = datetime.timedelta(seconds=2)
-# A joining node asks more often, and several at once: it isn't ready before
-# several peers agree.
+# A joining node compares digests more often and with several peers at once,
+# because it isn't ready before several peers agree.
 JOINING_PERIOD = datetime.timedelta(milliseconds=100)
 JOINING_PEERS = 3
-# A question or its answer may be lost: one in five is with one message in
-# ten. The peer that told of the object last is then asked again, since by
-# then rumours have ended and repair takes several periods.
+# If one message in ten is lost, one request in five gets no response. The last
+# peer that advertised the object is then asked again, because rumours have ended
+# by then and anti-entropy takes several periods.
 WANT_TIMEOUT = datetime.timedelta(milliseconds=400)
 MAX_ASKS = 8
-# Bounds of one message. Objects are up to a megabyte, so one always fits.
+# Limits of one message. A single object, up to a megabyte, is always sent.
 MAX_ENTRIES = 256
 MAX_OBJECT_BYTES = 65_536
-# Share of a node's 10 KB/s; the burst lets a large submission through.
+# Part of a node's limit of 10 KB/s; the burst is enough for a large submission.
 BYTES_PER_SECOND = 4_000
 BURST_BYTES = 131_072
-# Bytes of an entry with its key on the wire, for the budget.
+# Estimated bytes of an entry with its key on the wire, for the budget.
 ENTRY_BYTES = 60
 _DIGEST_ENTRY_BYTES = 10
-# How often a peer of the own region is preferred: traffic between regions
-# is slow and paid for, but some of it is what joins the regions.
+# Probability of choosing a peer of the own region. Traffic between regions is
+# slow and billed, but some is needed to replicate between them.
 NEAR_SHARE = 0.75
 
 
 class Peer(Protocol):
-    """What is needed of another node."""
+    """The properties of another node that replication uses."""
 
     @property
     def name(self) -> str:
@@ -65,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Have:
-    """An object and the state at which the sender knows it."""
+    """An object and the state in which the sender has it."""
 
     key: store.Key
     stamp: store.Stamp
@@ -73,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Packed:
-    """An object as it spreads."""
+    """An object in the compressed form in which it is replicated."""
 
     key: store.Key
     version: int
@@ -82,18 +83,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Message:
-    """What one node tells another; every part may be empty.
+    """A replication message; every part may be empty.
 
     Attributes:
-      sender: name of the node.
-      ready: whether its configuration is known to be whole.
-      digest: one hash of all, or a hash for each bucket; asks the receiver to
-        compare.
-      same: the digest that this answers is equal to the sender's.
-      have: states that the sender knows.
+      sender: name of the sending node.
+      ready: whether the sender's configuration is known to be complete.
+      digest: one hash of all objects, or one for each bucket; asks the
+        receiver to compare it with its own.
+      same: whether the digest that this responds to equals the sender's.
+      have: states of objects that the sender has.
       buckets: buckets of which `have` lists every object.
-      want: objects asked for.
-      objects: objects, in answer or as a rumour.
+      want: objects that the sender requests.
+      objects: objects, as a response or as a rumour.
     """
 
     sender: str
@@ -108,7 +109,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outgoing:
-    """A message and the peer it is for."""
+    """A message and its receiver."""
 
     to: str
     message: Message
@@ -116,12 +117,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Received:
-    """What came of a message.
+    """Result of handling a message.
 
     Attributes:
       outgoing: messages to send.
       in_force: objects that have come into force.
-      rejections: objects that were refused.
+      rejections: objects that were rejected.
     """
 
     outgoing: list[Outgoing] = dataclasses.field(default_factory=list)
@@ -130,38 +131,38 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Asked:
-    """An object that a peer was asked for.
+class _PendingRequest:
+    """A request to a peer for an object.
 
     Attributes:
-      stamp: the state that the peer told of.
-      holder: the peer that told of it last.
-      at: when it was asked for.
-      count: how often it was.
+      stamp: the state that the peer advertised.
+      holder: the last peer that advertised it.
+      sent_at: when the object was last requested.
+      attempts: how often it has been requested.
     """
 
     stamp: store.Stamp
     holder: str
-    at: datetime.timedelta
-    count: int = 1
+    sent_at: datetime.timedelta
+    attempts: int = 1
 
 
 @dataclasses.dataclass(slots=True)
 class _Budget:
-    """Token bucket in bytes; spending may overdraw it by one message."""
+    """Token bucket in bytes; may be overdrawn by one message."""
 
-    left: float = BURST_BYTES
-    at: datetime.timedelta = datetime.timedelta()
+    remaining: float = BURST_BYTES
+    refilled_at: datetime.timedelta = datetime.timedelta()
 
-    def open(self, now: datetime.timedelta) -> bool:
-        gained = (now - self.at).total_seconds() * BYTES_PER_SECOND
-        self.left = min(self.left + gained, BURST_BYTES)
-        self.at = now
-        return self.left > 0
+    def refill(self, now: datetime.timedelta) -> bool:
+        gained = (now - self.refilled_at).total_seconds() * BYTES_PER_SECOND
+        self.remaining = min(self.remaining + gained, BURST_BYTES)
+        self.refilled_at = now
+        return self.remaining > 0
 
 
 class Spreader:
-    """Spreads one node's store to its peers and theirs to it."""
+    """Replicates one node's configuration store to and from its peers."""
 
     def __init__(
         self,
@@ -176,30 +177,30 @@
         self._store = configuration
         self._peers = peers
         self._rng = rng
-        self._hot: dict[store.Key, int] = {}
-        self._asked: dict[store.Key, _Asked] = {}
+        self._rumour_sends_left: dict[store.Key, int] = {}
+        self._pending_requests: dict[store.Key, _PendingRequest] = {}
         self._next_digest = datetime.timedelta()
         self._budget = _Budget()
-        self._agreed: set[str] = set()
-        self._agreed_at = datetime.timedelta()
+        self._agreeing_peers: set[str] = set()
+        self._last_agreement_at = datetime.timedelta()
         self._ready = False
 
     @property
     def agreed(self) -> collections.abc.Set[str]:
-        """Ready peers that have said that they know just what this one does.
+        """Ready peers that have reported the same digest as this node's.
 
-        A peer that isn't ready doesn't count: two empty nodes agree as well.
+        Peers that aren't ready don't count, since two empty nodes agree, too.
         """
-        return self._agreed
+        return self._agreeing_peers
 
     @property
     def agreed_at(self) -> datetime.timedelta:
-        """When a ready peer has last said so; zero if none has."""
-        return self._agreed_at
+        """When a ready peer last reported the same digest; zero if none did."""
+        return self._last_agreement_at
 
     @property
     def ready(self) -> bool:
-        """Whether this node's configuration is known to be whole."""
+        """Whether this node's configuration is known to be complete."""
         return self._ready
 
     @ready.setter
@@ -207,43 +208,45 @@
         self._ready = value
 
     def taken(self, key: store.Key) -> None:
-        """Marks an object whose new version is to be told."""
+        """Queues the new version of an object to be sent as a rumour."""
         count = len(self._peers()) + 1
-        self._hot[key] = math.ceil(math.log(count + 1)) + EXTRA_SENDS
+        self._rumour_sends_left[key] = (
+            math.ceil(math.log(count + 1)) + EXTRA_SENDS
+        )
 
     def tick(self, now: datetime.timedelta) -> list[Outgoing]:
-        """What is due: rumours, and now and then a digest."""
-        outgoing = self._rumours(now)
+        """Returns messages that are due: rumours, digests and retries."""
+        outgoing = self._due_rumours(now)
         if now >= self._next_digest:
-            outgoing.extend(self._digests(now))
-        outgoing.extend(self._ask_again(now))
+            outgoing.extend(self._due_digests(now))
+        outgoing.extend(self._retry_requests(now))
         return outgoing
 
     def received(self, message: Message, now: datetime.timedelta) -> Received:
-        """Takes one message of a peer."""
+        """Handles a message from a peer."""
         result = Received()
-        self._take_objects(message, result)
+        self._apply_objects(message, result)
         if message.same and message.ready:
-            self._agreed.add(message.sender)
-            self._agreed_at = now
-        answers = (
-            self._answer_digest(message),
-            self._answer_have(message, now),
-            self._answer_want(message),
+            self._agreeing_peers.add(message.sender)
+            self._last_agreement_at = now
+        responses = (
+            self._respond_to_digest(message),
+            self._respond_to_have(message, now),
+            self._respond_to_want(message),
         )
-        for answer in answers:
-            if answer is not None:
-                self._budget.left -= size(answer)
-                result.outgoing.append(Outgoing(message.sender, answer))
+        for response in responses:
+            if response is not None:
+                self._budget.remaining -= size(response)
+                result.outgoing.append(Outgoing(message.sender, response))
         if message.objects:
-            result.outgoing.extend(self._rumours(now))
+            result.outgoing.extend(self._due_rumours(now))
         return result
 
-    def _take_objects(self, message: Message, result: Received) -> None:
+    def _apply_objects(self, message: Message, result: Received) -> None:
         for item in message.objects:
             before = self._store.stamp(item.key)
             taken = self._store.apply_packed(item.key, item.version, item.value)
-            self._asked.pop(item.key, None)
+            self._pending_requests.pop(item.key, None)
             match taken:
                 case expression.Result(tag="ok", ok=True):
                     result.in_force.append(item.key)
@@ -252,80 +255,87 @@
             if self._store.stamp(item.key) != before:
                 self.taken(item.key)
 
-    def _rumours(self, now: datetime.timedelta) -> list[Outgoing]:
-        if not self._hot or not self._budget.open(now):
+    def _due_rumours(self, now: datetime.timedelta) -> list[Outgoing]:
+        if not self._rumour_sends_left or not self._budget.refill(now):
             return []
         outgoing = []
-        for peer in self._some_peers(FANOUT):
-            # Least told first: a rumour that has just come is news to most.
-            keys = sorted(self._hot, key=lambda key: -self._hot[key])
-            message = self._rumour(keys[:MAX_ENTRIES])
+        for peer in self._choose_peers(FANOUT):
+            # Rumours with the most sends left go first, because most peers
+            # lack a version that has only just arrived.
+            keys = sorted(
+                self._rumour_sends_left,
+                key=lambda key: -self._rumour_sends_left[key],
+            )
+            message = self._make_rumour(keys[:MAX_ENTRIES])
             outgoing.append(Outgoing(peer.name, message))
-            self._budget.left -= size(message)
+            self._budget.remaining -= size(message)
             for key in keys[:MAX_ENTRIES]:
-                self._cool(key)
+                self._count_rumour_send(key)
         return outgoing
 
-    def _ask_again(self, now: datetime.timedelta) -> list[Outgoing]:
-        late = [
+    def _retry_requests(self, now: datetime.timedelta) -> list[Outgoing]:
+        overdue = [
             key
-            for key, asked in self._asked.items()
-            if now - asked.at >= WANT_TIMEOUT
+            for key, pending in self._pending_requests.items()
+            if now - pending.sent_at >= WANT_TIMEOUT
         ]
-        wanted: dict[str, list[store.Key]] = {}
-        for key in late:
-            asked = self._asked[key]
-            if asked.count >= MAX_ASKS or self._store.stamp(key) >= asked.stamp:
-                del self._asked[key]
+        keys_by_holder: dict[str, list[store.Key]] = {}
+        for key in overdue:
+            pending = self._pending_requests[key]
+            if (
+                pending.attempts >= MAX_ASKS
+                or self._store.stamp(key) >= pending.stamp
+            ):
+                del self._pending_requests[key]
                 continue
-            asked.at = now
-            asked.count += 1
-            wanted.setdefault(asked.holder, []).append(key)
+            pending.sent_at = now
+            pending.attempts += 1
+            keys_by_holder.setdefault(pending.holder, []).append(key)
         return [
-            Outgoing(holder, self._message(want=tuple(keys[:MAX_ENTRIES])))
-            for holder, keys in wanted.items()
+            Outgoing(holder, self._make_message(want=tuple(keys[:MAX_ENTRIES])))
+            for holder, keys in keys_by_holder.items()
         ]
 
-    def _rumour(self, keys: list[store.Key]) -> Message:
+    def _make_rumour(self, keys: list[store.Key]) -> Message:
         have: list[Have] = []
         objects: list[Packed] = []
         pushed = 0
         for key in keys:
             packed = self._store.packed(key) or b""
             stamp = self._store.stamp(key)
-            # In a large submission the bodies of all objects to all peers
-            # would cost several times what asking costs.
+            # For a large submission, sending every object to every peer would
+            # cost several times as much as letting peers request them.
             if len(packed) <= PUSH_BYTES and pushed < 8 * PUSH_BYTES:
                 pushed += len(packed)
                 objects.append(Packed(key, stamp.version, packed))
             else:
                 have.append(Have(key, stamp))
-        return self._message(have=tuple(have), objects=tuple(objects))
+        return self._make_message(have=tuple(have), objects=tuple(objects))
 
-    def _cool(self, key: store.Key) -> None:
-        left = self._hot.get(key, 0) - 1
-        if left > 0:
-            self._hot[key] = left
+    def _count_rumour_send(self, key: store.Key) -> None:
+        remaining = self._rumour_sends_left.get(key, 0) - 1
+        if remaining > 0:
+            self._rumour_sends_left[key] = remaining
         else:
-            self._hot.pop(key, None)
+            self._rumour_sends_left.pop(key, None)
 
-    def _digests(self, now: datetime.timedelta) -> list[Outgoing]:
+    def _due_digests(self, now: datetime.timedelta) -> list[Outgoing]:
         period = DIGEST_PERIOD if self._ready else JOINING_PERIOD
-        # Jitter: nodes started together must not ask together for ever.
+        # Jitter keeps nodes that started together from staying in step.
         self._next_digest = now + period * self._rng.uniform(0.5, 1.5)
-        if not self._budget.open(now):
+        if not self._budget.refill(now):
             return []
-        message = self._message(digest=(self._store.summary,))
-        chosen = self._some_peers(1 if self._ready else JOINING_PEERS)
-        self._budget.left -= size(message) * len(chosen)
+        message = self._make_message(digest=(self._store.summary,))
+        chosen = self._choose_peers(1 if self._ready else JOINING_PEERS)
+        self._budget.remaining -= size(message) * len(chosen)
         return [Outgoing(peer.name, message) for peer in chosen]
 
-    def _answer_digest(self, message: Message) -> Message | None:
+    def _respond_to_digest(self, message: Message) -> Message | None:
         if len(message.digest) == 1:
             if message.digest[0] == self._store.summary:
-                return self._message(same=True)
-            # The sender compares the buckets, and asks for what it lacks.
-            return self._message(digest=self._store.buckets)
+                return self._make_message(same=True)
+            # The sender compares the buckets and requests what it lacks.
+            return self._make_message(digest=self._store.buckets)
         if len(message.digest) != store.BUCKETS:
             return None
         own = self._store.buckets
@@ -335,7 +345,7 @@
             if own[number] != message.digest[number]
         ]
         if not differing:
-            return self._message(same=True)
+            return self._make_message(same=True)
         self._rng.shuffle(differing)
         listed: list[int] = []
         have: list[Have] = []
@@ -345,38 +355,40 @@
                 break
             listed.append(number)
             have.extend(Have(key, self._store.stamp(key)) for key in keys)
-        return self._message(have=tuple(have), buckets=tuple(listed))
+        return self._make_message(have=tuple(have), buckets=tuple(listed))
 
-    def _answer_have(
+    def _respond_to_have(
         self, message: Message, now: datetime.timedelta
     ) -> Message | None:
         want: list[store.Key] = []
-        give: list[store.Key] = []
+        newer_here: list[store.Key] = []
         for item in message.have[:MAX_ENTRIES]:
             own = self._store.stamp(item.key)
             if item.stamp < own:
-                give.append(item.key)
-            if item.stamp > own and not self._is_asked(item, message.sender):
-                asked = _Asked(item.stamp, message.sender, now)
-                self._asked[item.key] = asked
+                newer_here.append(item.key)
+            if item.stamp > own and not self._is_requested(
+                item, message.sender
+            ):
+                pending = _PendingRequest(item.stamp, message.sender, now)
+                self._pending_requests[item.key] = pending
                 want.append(item.key)
         listed = {item.key for item in message.have}
         for number in message.buckets:
             keys = self._store.in_bucket(number)
-            give.extend(key for key in keys if key not in listed)
-        if not want and not give:
+            newer_here.extend(key for key in keys if key not in listed)
+        if not want and not newer_here:
             return None
-        objects = self._objects(give)
-        return self._message(want=tuple(want), objects=objects)
+        objects = self._fitting_objects(newer_here)
+        return self._make_message(want=tuple(want), objects=objects)
 
-    def _is_asked(self, item: Have, holder: str) -> bool:
-        asked = self._asked.get(item.key)
-        if asked is None or asked.stamp < item.stamp:
+    def _is_requested(self, item: Have, holder: str) -> bool:
+        pending = self._pending_requests.get(item.key)
+        if pending is None or pending.stamp < item.stamp:
             return False
-        asked.holder = holder
+        pending.holder = holder
         return True
 
-    def _answer_want(self, message: Message) -> Message | None:
+    def _respond_to_want(self, message: Message) -> Message | None:
         keys = [
             key
             for key in message.want[:MAX_ENTRIES]
@@ -384,10 +396,10 @@
         ]
         if not keys:
             return None
-        return self._message(objects=self._objects(keys))
+        return self._make_message(objects=self._fitting_objects(keys))
 
-    def _objects(self, keys: list[store.Key]) -> tuple[Packed, ...]:
-        """As many as fit; the rest comes with the next repair."""
+    def _fitting_objects(self, keys: list[store.Key]) -> tuple[Packed, ...]:
+        """Returns as many as fit; the next comparison brings the rest."""
         chosen: list[Packed] = []
         total = 0
         for key in keys[:MAX_ENTRIES]:
@@ -398,17 +410,17 @@
             chosen.append(Packed(key, self._store.stamp(key).version, value))
         return tuple(chosen)
 
-    def _some_peers(self, count: int) -> list[Peer]:
+    def _choose_peers(self, count: int) -> list[Peer]:
         known = self._peers()
-        near = [peer for peer in known if peer.region == self._region]
+        same_region = [peer for peer in known if peer.region == self._region]
         chosen: dict[str, Peer] = {}
         for _ in range(min(count, len(known))):
-            group = near if self._rng.random() < NEAR_SHARE else known
+            group = same_region if self._rng.random() < NEAR_SHARE else known
             peer = self._rng.choice(group or known)
             chosen[peer.name] = peer
         return list(chosen.values())
 
-    def _message(
+    def _make_message(
         self,
         digest: tuple[int, ...] = (),
         same: bool = False,
@@ -423,7 +435,7 @@
 
 
 def size(message: Message) -> int:
-    """About the bytes of a message on the wire."""
+    """Estimates the size of a message on the wire in bytes."""
     entries = len(message.have) + len(message.want) + len(message.objects)
     return (
         ENTRY_BYTES * (1 + entries)
--- a/endivewind/config/store.py
+++ b/endivewind/config/store.py
@@ -1,8 +1,8 @@
-"""The configuration in force: the highest version of each object.
+"""Stores the configuration in force: the highest version of each object.
 
-Versions are the submitter's, kept inside the object, because the platform's
-own counter starts again from nothing when its store is lost: an object with a
-lower counter would then look old although it is the newest.
+Versions are assigned by the submitter and stored in the object's envelope. The
+platform's own version counter is not used because it restarts when the
+platform loses its store, so that the newest object would appear to be old.
 """
 
 import collections.abc
@@ -24,15 +24,15 @@
 SERVICE = "service"
 ROUTE_GROUP = "route-group"
 WORKSPACE_SHARD = "workspace-shard"
-# A whole configuration in one object, where a platform keeps it so.
+# A complete configuration in one object, for platforms that store it that way.
 DOCUMENT = "document"
 KINDS = (SERVICE, ROUTE_GROUP, WORKSPACE_SHARD)
 
-# The platform holds values up to a megabyte; nothing longer is genuine.
+# The platform stores values of up to a megabyte, so longer ones are invalid.
 MAX_VALUE_BYTES = 1_048_576
-# Versions travel as signed 64-bit numbers.
+# Versions are sent as signed 64-bit integers.
 MAX_VERSION = 2**62
-# Groups of objects whose fingerprints are compared as one: at 650 objects a
+# Groups of objects that are compared by one hash each. With 650 objects, a
 # difference in one object leads to a list of about ten.
 BUCKETS = 64
 
@@ -45,19 +45,20 @@
 
 
 class Envelope(pydantic.BaseModel):
-    """What the platform holds for one configuration object.
+    """A configuration object and its metadata, as stored on the platform.
 
     Attributes:
-      spec: the object itself; None is a removal (a tombstone).
+      spec: the object itself; None for a tombstone of a removed object.
       operation: id of the submission that wrote this version.
       author: who submitted it.
-      version: the submitter's version; grows with every write of the object,
-        also over a loss of the platform's store. 0 takes the platform's.
+      version: version assigned by the submitter; grows with every write of
+        the object, even if the platform loses its store in between. If 0, the
+        platform's version is used.
       time: when it was submitted, ISO 8601 in UTC.
-      replaced_version: the version that the submitter had read; 0 if none.
-      replaced_operation: the operation that had written that version.
-      ancestors: fingerprints of earlier specs, so that a file that holds one
-        of them is known to be older and not a change back.
+      replaced_version: version that this one replaced; 0 if none.
+      replaced_operation: operation that wrote the replaced version.
+      ancestors: fingerprints of earlier specs. A submitted file with one of
+        them is recognised as outdated instead of as a change back.
     """
 
     spec: dict[str, Any] | None
@@ -71,7 +72,7 @@
 
 
 class Key(NamedTuple):
-    """Names one configuration object."""
+    """Identifies a configuration object."""
 
     kind: str
     name: str
@@ -81,13 +82,13 @@
 
 
 class Stamp(NamedTuple):
-    """What orders two states of one object; the higher one wins.
+    """Orders the states of an object; the highest one wins.
 
     Attributes:
       version: the object's version.
-      fingerprint: hash of the value. It decides between two values that were
-        given one version after a loss of the platform's store, so that every
-        node keeps the same one.
+      fingerprint: hash of the value. It breaks the tie between two values that
+        got the same version after the platform lost its store, so that every
+        node keeps the same value.
     """
 
     version: int
@@ -99,13 +100,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejection:
-    """An object that was not taken, and why.
+    """A rejected object and the reasons.
 
     Attributes:
       key: the object.
-      version: the version refused.
-      problems: what is wrong, each with the path inside the object.
-      kept: whether the value is kept for nodes of a newer release.
+      version: the rejected version.
+      problems: what is wrong, each with its path inside the object.
+      is_retained: whether the value is stored for nodes of a newer release.
     """
 
     key: Key
@@ -118,14 +119,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Held:
-    """One object: the highest value known, and the one in force.
+class _ObjectState:
+    """An object: the value with the highest version, and the one in force.
 
     Attributes:
-      stamp: orders the highest value known.
-      packed: that value as compressed JSON, as it spreads.
-      in_force: version of the model; below the stamp's while that is refused.
-      model: the last good object; None where it was removed or never good.
+      stamp: stamp of the highest value known.
+      packed: that value as compressed JSON, in which form it is replicated.
+      in_force: version of the model; below the stamp's version if that value
+        is invalid.
+      model: the last valid object; None if it was removed or never valid.
     """
 
     stamp: Stamp
@@ -135,10 +137,10 @@
 
 
 class ConfigurationStore:
-    """Merges versions of objects; never goes back to a lower one."""
+    """Merges versions of objects; a version is never replaced by a lower."""
 
     def __init__(self) -> None:
-        self._objects: dict[Key, _Held] = {}
+        self._objects: dict[Key, _ObjectState] = {}
         self._buckets = [0] * BUCKETS
         self._version = 0
         self._workspaces: dict[objects.Workspace, objects.Workspace] = {}
@@ -150,12 +152,12 @@
 
     @property
     def buckets(self) -> tuple[int, ...]:
-        """One hash for each group of objects; equal where all are equal."""
+        """One hash for each bucket; equal if all its objects are equal."""
         return tuple(self._buckets)
 
     @property
     def summary(self) -> int:
-        """One hash of all objects; equal where all are equal."""
+        """One hash of all objects; equal if all objects are equal."""
         found = 0
         for bucket in self._buckets:
             found ^= bucket
@@ -163,79 +165,81 @@
 
     @property
     def keys(self) -> collections.abc.KeysView[Key]:
-        """Every object known, tombstones included."""
+        """Keys of all objects known, including tombstones."""
         return self._objects.keys()
 
     def apply(
         self, kind: str, name: str, version: int, value: dict[str, Any]
     ) -> expression.Result[bool, Rejection]:
-        """Takes an object unless as high a version is known.
+        """Applies an object unless the same or a higher version is known.
 
         Args:
           kind: the object's kind.
           name: the object's name.
-          version: the platform's version; counts only where the value brings
-            none of its own.
+          version: the platform's version; used only if the envelope has no
+            version of its own.
           value: the platform's value, an Envelope.
 
         Returns:
-          Whether it is now in force. An error where the value is refused: it
-          is refused whole, and the last good one stays in force.
+          Whether it is now in force. An error if the value is invalid; it is
+          then rejected as a whole and the last valid one stays in force.
         """
         key = Key(kind, name)
         if kind not in _MODELS:
-            return _refused(key, version, "unknown kind")
+            return _reject(key, version, "unknown kind")
         if not value:
-            # A delete past `endivewind submit` carries no version, so it can
-            # not be told from a loss of the store: the object stays.
-            return _refused(key, version, "deleted without a tombstone")
+            # A deletion without `endivewind submit` has no version and can't
+            # be distinguished from a loss of the store, so the object stays.
+            return _reject(key, version, "deleted without a tombstone")
         try:
             envelope = Envelope.model_validate(value)
         except pydantic.ValidationError as error:
-            return expression.Error(Rejection(key, version, _problems(error)))
-        text = _canonical(value)
+            return expression.Error(
+                Rejection(key, version, _describe_errors(error))
+            )
+        text = _canonical_json(value)
         if len(text) > MAX_VALUE_BYTES:
-            return _refused(key, version, f"{len(text)} bytes are too many")
+            return _reject(key, version, f"value too large: {len(text)} bytes")
         stamp = Stamp(envelope.version or version, _fingerprint(text))
         if not 0 < stamp.version < MAX_VERSION:
-            return _refused(key, version, "version out of range")
-        return self._take(key, stamp, envelope, text)
+            return _reject(key, version, "version out of range")
+        return self._merge(key, stamp, envelope, text)
 
     def apply_packed(
         self, key: Key, version: int, packed: bytes
     ) -> expression.Result[bool, Rejection]:
-        """Takes an object as a peer sent it."""
+        """Applies an object received from a peer."""
         unpacked = unpack(packed)
         if unpacked is None:
-            return _refused(key, version, "can't be unpacked")
+            return _reject(key, version, "can't be unpacked")
         return self.apply(key.kind, key.name, version, unpacked)
 
     def stamp(self, key: Key) -> Stamp:
-        """The highest state known of an object; ABSENT if none is."""
+        """Returns the highest state known of an object, or ABSENT_STAMP."""
         held = self._objects.get(key)
         return held.stamp if held else ABSENT
 
     def packed(self, key: Key) -> bytes | None:
-        """The highest value known, compressed."""
+        """Returns the highest value known, compressed."""
         held = self._objects.get(key)
         return held.packed if held else None
 
     def value(self, key: Key) -> dict[str, Any] | None:
-        """The highest value known, as the platform holds it."""
+        """Returns the highest value known, as stored on the platform."""
         held = self._objects.get(key)
         return unpack(held.packed) if held else None
 
     def in_force(self, key: Key) -> int:
-        """The version in force of an object; 0 if none."""
+        """Returns the version in force of an object; 0 if there is none."""
         held = self._objects.get(key)
         return held.in_force if held else 0
 
     def in_bucket(self, bucket: int) -> list[Key]:
-        """The objects of one bucket."""
+        """Returns the keys of the objects in a bucket."""
         return [key for key in self._objects if bucket_of(key) == bucket]
 
     def service(self, name: str) -> objects.Service | None:
-        """A service in force."""
+        """Returns a service in force."""
         item = self._objects.get(Key(SERVICE, name))
         if item is not None:
             return item.model
@@ -245,13 +249,13 @@
         return None
 
     def document(self, name: str) -> objects.Document | None:
-        """A whole configuration in force."""
+        """Returns a complete configuration in force."""
         item = self._objects.get(Key(DOCUMENT, name))
         return item.model if item else None
 
     @property
     def document_version(self) -> int:
-        """The version in force of the whole configuration; 0 if none is."""
+        """Version in force of the complete configuration; 0 if there is none."""
         return max(
             (
                 item.in_force
@@ -262,28 +266,28 @@
         )
 
     def documents(self) -> list[objects.Document]:
-        """All whole configurations in force."""
+        """Returns all complete configurations in force."""
         return self._models(DOCUMENT)
 
     def route_group(self, name: str) -> objects.RouteGroup | None:
-        """A route group in force."""
+        """Returns a route group in force."""
         item = self._objects.get(Key(ROUTE_GROUP, name))
         return item.model if item else None
 
     def route_groups(self) -> list[objects.RouteGroup]:
-        """All route groups in force."""
+        """Returns all route groups in force."""
         return self._models(ROUTE_GROUP)
 
     def workspace_shard(self, name: str) -> objects.WorkspaceShard | None:
-        """A workspace shard in force."""
+        """Returns a workspace shard in force."""
         item = self._objects.get(Key(WORKSPACE_SHARD, name))
         return item.model if item else None
 
     def workspace_shards(self) -> list[objects.WorkspaceShard]:
-        """All workspace shards in force."""
+        """Returns all workspace shards in force."""
         return self._models(WORKSPACE_SHARD)
 
-    def _take(
+    def _merge(
         self, key: Key, stamp: Stamp, envelope: Envelope, text: bytes
     ) -> expression.Result[bool, Rejection]:
         known = self._objects.get(key)
@@ -293,44 +297,47 @@
         model = known.model if known else None
         in_force = known.in_force if known else 0
         try:
-            model = self._model(key.kind, envelope)
+            model = self._validate_spec(key.kind, envelope)
             in_force = stamp.version
         except pydantic.ValidationError as error:
-            problems = _problems(error)
-        self._hold(key, _Held(stamp, zlib.compress(text), in_force, model))
+            problems = _describe_errors(error)
+        self._put(
+            key, _ObjectState(stamp, zlib.compress(text), in_force, model)
+        )
         if problems:
-            # Kept although refused: a newer release may know its fields, and
-            # nodes of that release hear of it through this one.
+            # Stored although invalid here: a newer release may know its fields,
+            # and nodes of that release may receive it only through this one.
             return expression.Error(
                 Rejection(key, stamp.version, problems, kept=True)
             )
         return expression.Ok(True)
 
-    def _hold(self, key: Key, held: _Held) -> None:
+    def _put(self, key: Key, held: _ObjectState) -> None:
         bucket = bucket_of(key)
         known = self._objects.get(key)
         if known:
-            self._buckets[bucket] ^= _mark(key, known.stamp)
-        self._buckets[bucket] ^= _mark(key, held.stamp)
+            self._buckets[bucket] ^= _state_hash(key, known.stamp)
+        self._buckets[bucket] ^= _state_hash(key, held.stamp)
         self._objects[key] = held
         self._version = max(self._version, held.stamp.version)
 
-    def _model(
+    def _validate_spec(
         self, kind: str, envelope: Envelope
     ) -> pydantic.BaseModel | None:
         if envelope.spec is None:
             return None
         model = _MODELS[kind].model_validate(envelope.spec)
         if isinstance(model, objects.WorkspaceShard):
-            return self._shared(model)
+            return self._intern_workspaces(model)
         return model
 
-    def _shared(self, shard: objects.WorkspaceShard) -> objects.WorkspaceShard:
-        """The shard with one instance for all equal workspaces.
+    def _intern_workspaces(
+        self, shard: objects.WorkspaceShard
+    ) -> objects.WorkspaceShard:
+        """Returns the shard with equal workspaces sharing one instance.
 
-        29,000 workspaces as instances of their own take more than all the
-        memory that a node has for state; firms give most of theirs the same
-        limits.
+        29,000 separate instances would take more memory than a node has for
+        all its state. Most workspaces of a firm have the same limits.
         """
         shared = {
             name: self._workspaces.setdefault(item, item)
@@ -347,21 +354,23 @@
 
 
 def bucket_of(key: Key) -> int:
-    """The bucket of an object, the same on every node."""
+    """Returns the bucket of an object, which is the same on every node."""
     return zlib.crc32(f"{key.kind}/{key.name}".encode()) % BUCKETS
 
 
 def stamp_of(version: int, value: dict[str, Any]) -> Stamp:
-    """The state that a value of the platform has; ABSENT if it is none."""
+    """Returns the stamp of a platform value; ABSENT_STAMP if invalid."""
     try:
         envelope = Envelope.model_validate(value)
     except pydantic.ValidationError:
         return ABSENT
-    return Stamp(envelope.version or version, _fingerprint(_canonical(value)))
+    return Stamp(
+        envelope.version or version, _fingerprint(_canonical_json(value))
+    )
 
 
 def unpack(packed: bytes) -> dict[str, Any] | None:
-    """The value in its compressed form; None if it is not one."""
+    """Decompresses a value; returns None if it is invalid."""
     unpacker = zlib.decompressobj()
     try:
         text = unpacker.decompress(packed, MAX_VALUE_BYTES + 1)
@@ -372,11 +381,11 @@
 
 
 def fingerprint(value: dict[str, Any]) -> int:
-    """Hash of a JSON value, the same for any order of its keys."""
-    return _fingerprint(_canonical(value))
+    """Returns a hash of a JSON value, independent of the order of keys."""
+    return _fingerprint(_canonical_json(value))
 
 
-def _canonical(value: dict[str, Any]) -> bytes:
+def _canonical_json(value: dict[str, Any]) -> bytes:
     return json.dumps(value, sort_keys=True, separators=(",", ":")).encode()
 
 
@@ -385,18 +394,18 @@
     return int.from_bytes(digest, "big")
 
 
-def _mark(key: Key, stamp: Stamp) -> int:
+def _state_hash(key: Key, stamp: Stamp) -> int:
     text = f"{key.kind}/{key.name}@{stamp.version}/{stamp.fingerprint}"
     return _fingerprint(text.encode())
 
 
-def _refused(
+def _reject(
     key: Key, version: int, problem: str
 ) -> expression.Result[bool, Rejection]:
     return expression.Error(Rejection(key, version, (problem,)))
 
 
-def _problems(error: pydantic.ValidationError) -> tuple[str, ...]:
+def _describe_errors(error: pydantic.ValidationError) -> tuple[str, ...]:
     return tuple(
         ".".join(str(part) for part in item["loc"]) + ": " + item["msg"]
         for item in error.errors()
--- a/endivewind/config/watchers.py
+++ b/endivewind/config/watchers.py
@@ -1,18 +1,22 @@
-"""Which nodes hold the platform's watch: the longest-running of each zone."""
+"""Selects the nodes that watch the platform for changes of configuration.
+
+The longest-running nodes of each zone and region are the watchers; each node
+decides for itself from the list of members.
+"""
 
 import collections.abc
 from typing import Protocol
 
-# Every change comes whole to each watcher, over paid links, and each waiting
-# watch is a call that is paid for. Where a zone's only watcher fails, those of
-# the region's other zones hear of a change and pass it on.
+# Each watcher receives every change in full, over links that are billed, and
+# each pending watch is a billed call. If a zone's only watcher fails, those in
+# the region's other zones receive changes and replicate them.
 WATCHERS_PER_ZONE = 1
-# Two stand in for one another, also in a region of one zone.
+# Two, so that one can fail, even in a region with a single zone.
 WATCHERS_PER_REGION = 2
 
 
 class Member(Protocol):
-    """What is needed of a node."""
+    """The properties of a node that the selection uses."""
 
     @property
     def name(self) -> str:
@@ -20,7 +24,7 @@
 
     @property
     def incarnation(self) -> int:
-        """Its start; a later one has a higher number."""
+        """The node's incarnation; increases with each start."""
 
     @property
     def region(self) -> str:
@@ -32,19 +36,19 @@
 
 
 def is_watcher(me: Member, members: collections.abc.Iterable[Member]) -> bool:
-    """Whether a node is among the longest-running of its zone or region.
-
-    Load: a fleet of which a part restarts all the time. Harm: where a node
-    that joins could take the watch over from one that runs, each restart
-    would cost the platform a listing and a watch more. The order of starts
-    moves a watch only when its holder ends. Nodes that know different members
-    may choose one more: harmless, it costs a call. A node that knows nobody
-    watches itself.
+    """Returns whether a node is a watcher of its zone or region.
+
+    Load: part of the fleet restarts all the time. Harm: if a joining node
+    could take over the watch from a running one, each restart would cost the
+    platform an additional listing and watch. With the longest-running nodes, a
+    watch moves only when its holder stops. Nodes that know different members
+    may select one watcher more, which costs only a call. A node that knows no
+    other members is a watcher.
     """
     zone = region = 0
-    mine = start(me)
+    own_start = start(me)
     for member in members:
-        if member.region != me.region or start(member) >= mine:
+        if member.region != me.region or start(member) >= own_start:
             continue
         region += 1
         zone += member.zone == me.zone
@@ -52,17 +56,19 @@
 
 
 def is_oldest(me: Member, members: collections.abc.Iterable[Member]) -> bool:
-    """Whether a node has run for longest of its zone."""
-    mine = start(me)
-    return all(start(item) >= mine for item in members if item.zone == me.zone)
+    """Returns whether a node is the longest-running one of its zone."""
+    own_start = start(me)
+    return all(
+        start(item) >= own_start for item in members if item.zone == me.zone
+    )
 
 
 def sharers(me: Member, members: collections.abc.Collection[Member]) -> int:
-    """How many nodes share the platform's call budget with this one.
+    """Returns the number of nodes that share a call budget with this one.
 
-    Watchers share one and all others another: at 760 nodes an equal share
-    would let a watcher call once in four seconds, too late for a change that
-    has to be in force within eight.
+    Watchers share one budget of platform calls and all other nodes another.
+    With equal shares at 760 nodes, a watcher could call only once in four
+    seconds, too late for a change that has to be in force within eight.
     """
     if not is_watcher(me, members):
         return len(members)
@@ -74,5 +80,5 @@
 
 
 def start(member: Member) -> tuple[int, str]:
-    """Orders nodes by when they started; names decide between equals."""
+    """Returns a sort key by start; names break ties."""
     return member.incarnation, member.name
--- a/endivewind/tests/config/base_tests.py
+++ b/endivewind/tests/config/base_tests.py
@@ -1,4 +1,4 @@
-"""Findings of files: every fault at once, each with its place."""
+"""Tests of loading YAML files: all findings at once, with locations."""
 
 import textwrap
 import unittest
@@ -11,21 +11,23 @@
 _SETTINGS = "name: a\nregion: r\nzone: z\nplatform: http://p"
 
 
-def _found(text: str, model=objects.Configuration):
+def _findings(text: str, model=objects.Configuration):
     loaded = base.load_text(textwrap.dedent(text), "f.yaml", model)
     assert loaded.is_error(), loaded.ok
     return loaded.error
 
 
-def _brief(text: str, model=objects.Configuration):
-    return [(item.line, item.path, item.seen) for item in _found(text, model)]
+def _finding_tuples(text: str, model=objects.Configuration):
+    return [
+        (item.line, item.path, item.seen) for item in _findings(text, model)
+    ]
 
 
-class ThreeFaultsTest(unittest.TestCase):
-    """One pass names all that is wrong, so that one edit mends it."""
+class MultipleFindingsTest(unittest.TestCase):
+    """All errors of a file are reported at once."""
 
-    def test_wrong_value_unknown_key_and_wrong_reference_are_all_named(self):
-        found = _brief("""\
+    def test_wrong_value_unknown_key_and_wrong_reference_are_all_reported(self):
+        found = _finding_tuples("""\
             services:
               riders:
                 slots: 0
@@ -47,7 +49,7 @@
         )
 
     def test_settings_of_a_node(self):
-        found = _brief(
+        found = _finding_tuples(
             """\
             name: node-a
             region: andina
@@ -71,16 +73,16 @@
 
 
 class SecretsTest(unittest.TestCase):
-    """Findings end up in terminals, tickets and CI logs."""
+    """Findings are copied to terminals, tickets and CI logs."""
 
-    def test_a_wrong_key_is_not_shown(self):
+    def test_invalid_key_is_not_shown(self):
         for line in ("gossip_key: 0xSECRET5", "gossip_key: [SECRET5]"):
             text = f"{_SETTINGS}\n{line}\nnodes_tls: {{certificate: 1}}\n"
             loaded = base.load_text(text, "f", settings.NodeSettings)
             self.assertTrue(loaded.is_error())
             self.assertNotIn("SECRET5", str(loaded.error))
 
-    def test_a_key_that_is_too_short_is_not_shown(self):
+    def test_too_short_key_is_not_shown(self):
         text = f"{_SETTINGS}\ngossip_key: SECRET5\n"
 
         loaded = base.load_text(text, "f", settings.NodeSettings)
@@ -90,10 +92,10 @@
 
 
 class UnknownKeysTest(unittest.TestCase):
-    """The nearest known name, at every level and through every type."""
+    """Unknown keys get a suggestion at every level and in every type."""
 
     def test_nearest_name_at_each_level(self):
-        found = _found("""\
+        found = _findings("""\
             servces: {}
             services:
               riders: {profil: detection}
@@ -124,7 +126,7 @@
         )
 
     def test_through_an_optional_model(self):
-        found = _found(
+        found = _findings(
             """\
             name: a
             region: r
@@ -138,16 +140,16 @@
         self.assertIn("did you mean 'authority'?", found[0].message)
 
     def test_names_that_are_numbers(self):
-        found = _brief("services: {1: {slots: 2}, 2: {slot: 3}}\n")
+        found = _finding_tuples("services: {1: {slots: 2}, 2: {slot: 3}}\n")
 
         self.assertIn((1, "services.1", "1"), found)
 
 
 class WrongTypesTest(unittest.TestCase):
-    """YAML makes numbers and truth values of words that were not meant so."""
+    """YAML reads some words as numbers or booleans by accident."""
 
-    def test_truth_value_or_text_for_a_number(self):
-        found = _brief("""\
+    def test_boolean_or_text_instead_of_number(self):
+        found = _finding_tuples("""\
             services:
               riders: {slots: yes}
               venues: {timeout_ms: "100"}
@@ -160,12 +162,14 @@
             [path for _, path, _ in found],
         )
 
-    def test_list_or_text_where_a_mapping_belongs(self):
-        self.assertEqual([(1, "services", "a list")], _brief("services: []\n"))
-        self.assertEqual([(1, "", "'text'")], _brief("text\n"))
+    def test_list_or_text_instead_of_mapping(self):
+        self.assertEqual(
+            [(1, "services", "a list")], _finding_tuples("services: []\n")
+        )
+        self.assertEqual([(1, "", "'text'")], _finding_tuples("text\n"))
 
     def test_infinite_rate(self):
-        found = _brief("""\
+        found = _finding_tuples("""\
             workspace_shards:
               one:
                 workspaces:
@@ -176,8 +180,8 @@
             [(4, "workspace_shards.one.workspaces.crew.rate", "inf")], found
         )
 
-    def test_a_key_instead_of_its_digest(self):
-        found = _brief("""\
+    def test_key_instead_of_its_digest(self):
+        found = _finding_tuples("""\
             workspace_shards:
               one:
                 workspaces: {crew: {firm: camerino}}
@@ -187,9 +191,9 @@
         self.assertEqual(4, found[0][0])
         self.assertIn("workspace_shards.one.keys", found[0][1])
 
-    def test_keys_of_no_workspace_and_of_two(self):
+    def test_keys_of_unknown_workspace_and_of_two_workspaces(self):
         digest = "0" * 32
-        found = _found(f"""\
+        found = _findings(f"""\
             workspace_shards:
               one:
                 workspaces: {{crew: {{firm: camerino}}}}
@@ -201,16 +205,18 @@
 
         problems = {item.path: item.message for item in found}
         place = "workspace_shards.two.keys."
-        self.assertIn("one workspace holds a key", problems[place + digest])
+        self.assertIn(
+            "a key belongs to one workspace", problems[place + digest]
+        )
         self.assertIn("not in this shard", problems[f"{place}1{digest[1:]}"])
 
-    def test_allowed_values_are_named(self):
-        found = _found("services: {riders: {profile: fast}}\n")
+    def test_allowed_values_are_listed(self):
+        found = _findings("services: {riders: {profile: fast}}\n")
 
         self.assertIn("'detection' or 'capacity'", found[0].message)
 
-    def test_missing_key_is_placed_at_its_parent(self):
-        found = _brief("""\
+    def test_missing_key_has_the_location_of_its_parent(self):
+        found = _finding_tuples("""\
             services: {riders: {}}
             route_groups:
               camerino:
@@ -224,15 +230,15 @@
 
 
 class UnreadableFilesTest(unittest.TestCase):
-    """A file that is no YAML gives one finding, never a traceback."""
+    """An invalid YAML file gives a finding and never a traceback."""
 
     def test_syntax_error_has_its_line(self):
-        found = _found("services:\n  riders: {slots: 3\nroute_groups: }\n")
+        found = _findings("services:\n  riders: {slots: 3\nroute_groups: }\n")
 
         self.assertEqual(3, found[0].line)
 
-    def test_keys_given_twice(self):
-        found = _brief("""\
+    def test_duplicate_keys(self):
+        found = _finding_tuples("""\
             services:
               riders: {slots: 3}
               riders: {slots: 4}
@@ -242,7 +248,7 @@
 
     def test_empty_file(self):
         self.assertTrue(base.load_text("", "f", objects.Configuration).is_ok())
-        missing = _brief("", settings.NodeSettings)
+        missing = _finding_tuples("", settings.NodeSettings)
         self.assertEqual(
             ["name", "platform", "region", "zone"],
             [path for _, path, _ in missing],
@@ -261,7 +267,7 @@
             loaded = base.load_file(path, objects.Configuration)
             self.assertIn("can't be read", loaded.error[0].message)
 
-    def test_values_that_yaml_itself_fails_on(self):
+    def test_values_on_which_the_yaml_parser_fails(self):
         texts = {
             "number": "a: " + "9" * 5000,
             "date": "a: 2026-13-45",
@@ -276,22 +282,22 @@
                 self.assertTrue(loaded.is_error())
 
     def test_alias_to_itself(self):
-        self.assertTrue(_found("services: &a {x: *a}\n"))
+        self.assertTrue(_findings("services: &a {x: *a}\n"))
 
-    def test_aliases_that_grow_beyond_measure(self):
+    def test_exponentially_expanding_aliases(self):
         levels = [
             f"a{n}: &a{n} [{', '.join([f'*a{n - 1}'] * 9)}]"
             for n in range(1, 30)
         ]
         text = "\n".join(["a0: &a0 [x]", *levels, "services: *a29"])
 
-        found = _found(text)
+        found = _findings(text)
 
         self.assertTrue(all(len(item.seen) < 100 for item in found))
 
 
 class ReferencesTest(unittest.TestCase):
-    """What no part shows alone."""
+    """Inconsistencies between several parts of a configuration."""
 
     def test_floor_above_the_expected_slots_is_a_warning(self):
         loaded = base.load_text(
@@ -305,7 +311,7 @@
         self.assertEqual("services.riders.floor_slots", warning.path)
         self.assertIn("9 slots", warning.message)
 
-    def test_floor_within_the_expected_slots_is_none(self):
+    def test_floor_within_the_expected_slots_is_no_warning(self):
         loaded = base.load_text(
             "services: {riders: {floor_slots: 9, slots: 3, expected_targets: 3}}",
             "f",
@@ -314,7 +320,7 @@
 
         self.assertEqual((), loaded.ok.warnings)
 
-    def test_two_routes_of_one_key_are_a_warning(self):
+    def test_two_routes_with_the_same_match_are_a_warning(self):
         loaded = base.load_text(
             textwrap.dedent("""\
                 services: {riders: {}, venues: {}}
@@ -332,7 +338,7 @@
         )
 
     def test_workspace_in_two_shards(self):
-        found = _brief("""\
+        found = _finding_tuples("""\
             workspace_shards:
               one: {workspaces: {crew: {firm: a}}}
               two: {workspaces: {crew: {firm: b}}}
--- a/endivewind/tests/config/convergence_tests.py
+++ b/endivewind/tests/config/convergence_tests.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of configuration: the oracle is the highest version."""
+"""Stateful fuzzing of replication; the oracle is the highest version."""
 
 import datetime
 import random
@@ -15,32 +15,33 @@
 NODES = ("a", "b", "c", "d")
 NAMES = ("riders", "venues", "ledger")
 ROUNDS_TO_CONVERGE = 100
-MESSAGES_A_ROUND = 200
+MESSAGES_PER_ROUND = 200
 
 nodes = strategies.sampled_from(NODES)
 names = strategies.sampled_from(NAMES)
 
 
 class ConfigurationMachine(stateful.RuleBasedStateMachine):
-    """Four nodes, a platform that may lose its store, a faulty network.
+    """Four nodes, a platform that may lose its store, and a faulty network.
 
-    Whatever is lost, repeated, delayed or offered again, no node goes back
-    to a lower version, and after the faults end all hold the highest one.
+    Messages are lost, duplicated and delayed, and old values are applied
+    again. No node may go back to a lower version. After the faults have ended,
+    all nodes must converge on the highest one.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self._rng = random.Random(0)
         self._now = datetime.timedelta()
-        self._flying: list[spreading.Outgoing] = []
+        self._in_flight: list[spreading.Outgoing] = []
         self._highest: dict[store.Key, tuple[int, int | None]] = {}
         self._versions = 0
         self._platform: dict[store.Key, dict] = {}
         self._history: list[tuple[store.Key, dict]] = []
-        self._cut: set[tuple[str, str]] = set()
+        self._blocked_links: set[tuple[str, str]] = set()
         self._stores: dict[str, store.ConfigurationStore] = {}
         self._cores: dict[str, spreading.Spreader] = {}
-        self._seen: dict[tuple[str, store.Key], int] = {}
+        self._last_versions: dict[tuple[str, store.Key], int] = {}
         for name in NODES:
             self._start(name)
 
@@ -55,20 +56,22 @@
             name, "andina", self._stores[name], lambda: peers, self._rng
         )
 
-    def _offer(self, node: str, key: store.Key, value: dict) -> None:
+    def _apply(self, node: str, key: store.Key, value: dict) -> None:
         before = self._stores[node].stamp(key)
         self._stores[node].apply(*key, 1, value)
         if self._stores[node].stamp(key) != before:
             self._cores[node].taken(key)
 
     def _send(self, sender: str, outgoing: list[spreading.Outgoing]) -> None:
-        self._flying.extend(
-            item for item in outgoing if (sender, item.to) not in self._cut
+        self._in_flight.extend(
+            item
+            for item in outgoing
+            if (sender, item.to) not in self._blocked_links
         )
 
     @stateful.initialize()
-    def accept_a_history(self):
-        """Starts with something old to offer: else few examples have it."""
+    def accept_initial_changes(self):
+        """Starts with an old value, which few examples would have otherwise."""
         for node in NODES[:3]:
             self.accept_a_change(node, NAMES[0], self._versions + 1)
 
@@ -86,33 +89,33 @@
         self._highest[key] = (self._versions, slots)
         self._platform[key] = value
         self._history.append((key, value))
-        self._offer(node, key, value)
+        self._apply(node, key, value)
 
     @stateful.precondition(lambda self: self._history)
     @stateful.rule(node=nodes, number=strategies.integers(0, 99))
-    def offer_something_old(self, node, number):
+    def apply_old_value(self, node, number):
         key, value = self._history[number % len(self._history)]
-        self._offer(node, key, value)
+        self._apply(node, key, value)
 
     @stateful.rule(node=nodes)
     def read_the_platform(self, node):
         for key, value in self._platform.items():
-            self._offer(node, key, value)
+            self._apply(node, key, value)
 
     @stateful.rule(name=names)
-    def platform_loses(self, name):
-        """The store is lost after a node has heard of the change.
+    def lose_platform_object(self, name):
+        """The platform loses an object that a node has already received.
 
-        Found by a trace: a change that no node has heard of yet, or whose
-        only node was replaced, is lost with the store. No one could know of
-        it (docs/design/configuration.md, limits).
+        A change that no node has received yet, or whose only node was
+        replaced, is lost with the store and can't be recovered
+        (docs/design/configuration.md, limits).
         """
         key = store.Key(store.SERVICE, name)
-        if self._holders(key, self._stores):
+        if self._count_holders(key, self._stores):
             self._platform.pop(key, None)
 
     @stateful.rule(node=nodes, name=names)
-    def delete_past_submit(self, node, name):
+    def delete_without_submit(self, node, name):
         self._stores[node].apply(store.SERVICE, name, 999, {})
 
     @stateful.rule(node=nodes)
@@ -120,54 +123,56 @@
         self._now += spreading.TICK
         self._send(node, self._cores[node].tick(self._now))
 
-    @stateful.precondition(lambda self: self._flying)
+    @stateful.precondition(lambda self: self._in_flight)
     @stateful.rule(
         number=strategies.integers(0, 99),
         fate=strategies.sampled_from(("deliver", "lose", "repeat")),
     )
-    def a_message(self, number, fate):
-        position = number % len(self._flying)
-        item = self._flying[position]
+    def handle_a_message(self, number, fate):
+        position = number % len(self._in_flight)
+        item = self._in_flight[position]
         if fate != "repeat":
-            del self._flying[position]
+            del self._in_flight[position]
         if fate != "lose":
             core = self._cores[item.to]
             received = core.received(item.message, self._now)
             self._send(item.to, received.outgoing)
 
     @stateful.rule()
-    def nothing_arrives_until_rumours_end(self):
-        """A long partition: only repair can make up for it afterwards."""
+    def lose_all_messages_until_rumours_end(self):
+        """A long partition, from which only anti-entropy can recover."""
         for _ in range(30):
             self._now += spreading.TICK
             for name in NODES:
                 self._cores[name].tick(self._now)
-        self._flying.clear()
+        self._in_flight.clear()
 
     @stateful.rule(sender=nodes, receiver=nodes)
-    def cut_one_way(self, sender, receiver):
-        self._cut.add((sender, receiver))
+    def block_one_direction(self, sender, receiver):
+        self._blocked_links.add((sender, receiver))
 
     @stateful.rule()
-    def heal(self):
-        self._cut.clear()
+    def unblock_links(self):
+        self._blocked_links.clear()
 
     @stateful.rule(node=nodes)
     def replace_a_node(self, node):
-        """A VM keeps nothing; its successor must not bring others back."""
+        """A replaced VM starts empty and must not set other nodes back."""
         others = dict(self._stores)
         del others[node]
-        # What only this VM has heard of is lost with it, unless the platform
-        # still has it: no one could know of it.
+        # A change that only this VM has received is lost with it, unless the
+        # platform still has it.
         for key in self._highest:
-            if key not in self._platform and not self._holders(key, others):
+            if key not in self._platform and not self._count_holders(
+                key, others
+            ):
                 return
         self._start(node)
         for key in self._highest:
-            self._seen.pop((node, key), None)
+            self._last_versions.pop((node, key), None)
 
-    def _holders(self, key, stores):
-        """How many nodes have the highest version of an object."""
+    def _count_holders(self, key, stores):
+        """Returns how many nodes have the highest version of an object."""
         highest = self._highest.get(key, (0, None))[0]
         return sum(
             1 for held in stores.values() if held.in_force(key) == highest
@@ -178,24 +183,24 @@
         for name, held in self._stores.items():
             for key in self._highest:
                 version = held.in_force(key)
-                assert version >= self._seen.get((name, key), 0)
-                self._seen[name, key] = version
+                assert version >= self._last_versions.get((name, key), 0)
+                self._last_versions[name, key] = version
 
     def teardown(self):
-        self._cut.clear()
-        self._flying.clear()
+        self._blocked_links.clear()
+        self._in_flight.clear()
         for key, value in self._platform.items():
-            self._offer(NODES[0], key, value)
+            self._apply(NODES[0], key, value)
         for _ in range(ROUNDS_TO_CONVERGE):
             self._now += spreading.TICK
             for name in NODES:
                 self._send(name, self._cores[name].tick(self._now))
-            # Bounded: a fault that makes nodes answer one another for ever
-            # must end as a failure and not as a hang.
-            for _ in range(MESSAGES_A_ROUND):
-                if not self._flying:
+            # Bounded, so that nodes that respond to each other endlessly make
+            # the test fail instead of hang.
+            for _ in range(MESSAGES_PER_ROUND):
+                if not self._in_flight:
                     break
-                item = self._flying.pop(0)
+                item = self._in_flight.pop(0)
                 core = self._cores[item.to]
                 received = core.received(item.message, self._now)
                 self._send(item.to, received.outgoing)
--- a/endivewind/tests/config/freshness_tests.py
+++ b/endivewind/tests/config/freshness_tests.py
@@ -1,4 +1,4 @@
-"""Proofs that a configuration was the newest, against the users' bound."""
+"""Tests of proofs of freshness, which bound the use of revoked keys."""
 
 import datetime
 import unittest
@@ -14,7 +14,7 @@
 
 
 def seconds(number):
-    """A span of time."""
+    """Returns a duration."""
     return datetime.timedelta(seconds=number)
 
 
@@ -23,26 +23,26 @@
         self.version = 3
         self.proof = freshness.Freshness(lambda: self.version, BOUND)
 
-    def test_without_a_reading_nothing_is_proved(self):
+    def test_without_a_read_there_is_no_proof(self):
         self.assertFalse(self.proof.is_proved(seconds(0)))
         self.assertIsNone(self.proof.answer(seconds(0)))
 
-    def test_a_proof_runs_out(self):
+    def test_proof_expires(self):
         self.proof.proved(3, seconds(10))
 
         self.assertTrue(self.proof.is_proved(seconds(14.8)))
         self.assertFalse(self.proof.is_proved(seconds(15)))
 
-    def test_an_answer_that_is_long_on_its_way_is_older(self):
-        """Guards against a delay that lengthens the life of a revoked key."""
+    def test_delayed_response_makes_an_older_proof(self):
+        """A delayed response must not extend the use of a revoked key."""
         answer = freshness.Answer(3, seconds(1))
 
         self.proof.answered(answer, asked=seconds(10))
 
         self.assertEqual(seconds(4), self.proof.age(seconds(13)))
 
-    def test_a_newer_version_counts_once_it_is_in_force(self):
-        """Guards against a proof for a configuration that is not here."""
+    def test_proof_of_a_newer_version_counts_once_it_is_in_force(self):
+        """A proof must not count for a version that is not in force here."""
         self.proof.proved(4, seconds(10))
         self.assertFalse(self.proof.is_proved(seconds(10)))
 
@@ -50,42 +50,42 @@
 
         self.assertTrue(self.proof.is_proved(seconds(10)))
 
-    def test_a_proof_of_an_older_version_holds_for_a_newer_one(self):
+    def test_proof_of_an_older_version_holds_for_a_newer_one(self):
         self.version = 9
 
         self.proof.proved(3, seconds(10))
 
         self.assertTrue(self.proof.is_proved(seconds(11)))
 
-    def test_an_older_proof_does_not_replace_a_younger_one(self):
+    def test_older_proof_does_not_replace_a_younger_one(self):
         self.proof.proved(3, seconds(10))
         self.proof.proved(3, seconds(7))
 
         self.assertEqual(seconds(1), self.proof.age(seconds(11)))
 
-    def test_a_lenient_node_needs_none(self):
+    def test_node_without_a_bound_needs_no_proof(self):
         self.proof.limit(None)
 
         self.assertTrue(self.proof.is_proved(seconds(100)))
 
 
 class RevocationMachine(stateful.RuleBasedStateMachine):
-    """Nodes that read, ask, hear late, are cut off, sleep and restart.
+    """Nodes that read, query, are late, partitioned, suspended and restarted.
 
-    Every version takes one key away. The oracle is the users' bound: no node
-    may serve the key of a version that was accepted longer ago than that.
-    Each node has a clock of its own; messages wait as long as they like.
+    Every version revokes one key. The oracle is the revocation bound: no node
+    may accept a key that was revoked longer ago than that. Each node has its
+    own clock, and messages may be delayed without limit.
     """
 
     def __init__(self):
         super().__init__()
         self.now = seconds(100)
-        # When each version was accepted; the last is the newest.
+        # When each version was accepted; the last one is the newest.
         self.accepted = [self.now]
         self.offsets = [seconds(7 * node) for node in NODES]
         self.versions = [0 for _ in NODES]
         self.proofs = [self.build(node) for node in NODES]
-        self.starts = [0 for _ in NODES]
+        self.incarnations = [0 for _ in NODES]
         self.messages = []
 
     def build(self, node):
@@ -96,31 +96,33 @@
 
     @stateful.rule(tenths=strategies.integers(1, 40))
     def time_passes(self, tenths):
-        """Also that of nodes that are paused or asleep."""
+        """Time also passes for nodes that are paused or suspended."""
         self.now += seconds(tenths / 10)
 
     @stateful.rule()
-    def a_key_is_taken_away(self):
+    def a_key_is_revoked(self):
         self.accepted.append(self.now)
 
     @stateful.rule(node=strategies.sampled_from(NODES))
-    def a_node_hears_of_the_newest(self, node):
+    def a_node_receives_the_newest(self, node):
         self.versions[node] = len(self.accepted) - 1
 
     @stateful.rule(node=strategies.sampled_from(NODES))
-    def a_node_begins_a_reading(self, node):
-        """The store reads later than it was asked, and answers later still."""
+    def a_node_starts_a_read(self, node):
+        """The platform reads its store later and responds later still."""
         self.send("begun", node, self.clock(node))
 
     @stateful.rule(
         asker=strategies.sampled_from(NODES),
         answerer=strategies.sampled_from(NODES),
     )
-    def a_node_asks(self, asker, answerer):
+    def a_node_queries(self, asker, answerer):
         self.send("asked", asker, self.clock(asker), answerer)
 
-    def send(self, word, node, moment, *more):
-        self.messages.append((word, node, self.starts[node], moment, *more))
+    def send(self, kind, node, moment, *arguments):
+        self.messages.append(
+            (kind, node, self.incarnations[node], moment, *arguments)
+        )
 
     @stateful.precondition(lambda self: self.messages)
     @stateful.rule(data=strategies.data(), repeat=strategies.booleans())
@@ -136,7 +138,7 @@
         self.messages.append(("read", node, start, moment, newest))
 
     def read(self, node, start, moment, version):
-        if start == self.starts[node]:
+        if start == self.incarnations[node]:
             self.proofs[node].proved(version, moment)
 
     def asked(self, node, start, moment, answerer):
@@ -145,7 +147,7 @@
             self.messages.append(("told", node, start, moment, answer))
 
     def told(self, node, start, moment, answer):
-        if start == self.starts[node]:
+        if start == self.incarnations[node]:
             self.proofs[node].answered(answer, moment)
 
     @stateful.precondition(lambda self: self.messages)
@@ -158,7 +160,7 @@
     def a_node_restarts(self, node):
         self.versions[node] = 0
         self.proofs[node] = self.build(node)
-        self.starts[node] += 1
+        self.incarnations[node] += 1
 
     @stateful.invariant()
     def no_revoked_key_works_beyond_the_bound(self):
--- a/endivewind/tests/config/gossip_key_tests.py
+++ b/endivewind/tests/config/gossip_key_tests.py
@@ -1,4 +1,4 @@
-"""Datagrams beside secured links must be signed."""
+"""Tests that links with TLS require signed gossip datagrams."""
 
 import unittest
 
@@ -17,10 +17,10 @@
 
 
 class GossipKeyTest(unittest.TestCase):
-    """Settings of a node."""
+    """Validation of gossip_key in the settings of a node."""
 
     def test_secured_links_need_signed_datagrams(self):
-        """Nobody can have nodes taken for dead past the links' TLS."""
+        """Unsigned datagrams could declare nodes dead in spite of TLS."""
         with self.assertRaisesRegex(pydantic.ValidationError, "gossip_key"):
             settings.NodeSettings(**NODE, nodes_tls=TLS)
         settings.NodeSettings(**NODE, nodes_tls=TLS, gossip_key=KEY)
--- a/endivewind/tests/config/spreading_tests.py
+++ b/endivewind/tests/config/replication_tests.py
@@ -1,4 +1,4 @@
-"""Spreading of configuration: rumours, repair, joining, watchers."""
+"""Tests of replication, readiness and the choice of watchers."""
 
 import datetime
 import random
@@ -22,7 +22,7 @@
 
 
 class _Pair:
-    """Two spreaders; messages are passed on until none is left."""
+    """Two replicators that exchange messages until none is left."""
 
     def __init__(self) -> None:
         self.stores = {name: store.ConfigurationStore() for name in ("a", "b")}
@@ -37,18 +37,18 @@
             for name, other in (("a", "b"), ("b", "a"))
         }
 
-    def pass_on(self, outgoing: list[spreading.Outgoing], now) -> int:
-        passed = 0
+    def deliver_all(self, outgoing: list[spreading.Outgoing], now) -> int:
+        delivered = 0
         while outgoing:
             item = outgoing.pop(0)
-            passed += 1
+            delivered += 1
             received = self.cores[item.to].received(item.message, now)
             outgoing.extend(received.outgoing)
-        return passed
+        return delivered
 
 
-class SpreaderTest(unittest.TestCase):
-    def test_a_new_version_is_told_and_told_no_more_in_the_end(self):
+class ReplicatorTest(unittest.TestCase):
+    def test_rumour_of_a_new_version_ends_after_some_time(self):
         pair = _Pair()
         pair.cores["a"].ready = True
         pair.stores["a"].apply(*RIDERS, 1, bench_spreading.change(5, 2))
@@ -56,17 +56,19 @@
 
         for number in range(20):
             now = number * spreading.TICK
-            pair.pass_on(pair.cores["a"].tick(now), now)
+            pair.deliver_all(pair.cores["a"].tick(now), now)
 
         self.assertEqual(2, pair.stores["b"].in_force(RIDERS))
-        quiet = pair.cores["a"].tick(20 * spreading.TICK)
-        self.assertFalse([item for item in quiet if item.message.objects])
+        late_messages = pair.cores["a"].tick(20 * spreading.TICK)
+        self.assertFalse(
+            [item for item in late_messages if item.message.objects]
+        )
 
-    def test_a_large_object_is_asked_for_once(self):
-        """A rumour of a large object comes from several peers at once.
+    def test_large_object_is_requested_once(self):
+        """Rumours of a large object come from several peers at once.
 
-        If each were answered by asking, the node would receive the object
-        several times and overrun its bytes a second.
+        If the node requested the object from each, it would receive it several
+        times and exceed its limit of bytes per second.
         """
         pair = _Pair()
         routes = [
@@ -89,11 +91,11 @@
         ]
         self.assertEqual([[(key,)], []], wants)
 
-    def test_a_question_that_was_lost_is_asked_again_and_not_for_ever(self):
-        """The answer to a question is lost and no more rumours come.
+    def test_lost_request_is_retried_a_limited_number_of_times(self):
+        """The response to a request is lost and no more rumours arrive.
 
-        Left to the digests alone, one node in five would have a changed
-        shard some seconds later than the others.
+        With anti-entropy alone, one node in five would receive a changed shard
+        some seconds later than the others.
         """
         pair = _Pair()
         have = (spreading.Have(RIDERS, store.Stamp(2, 3)),)
@@ -107,7 +109,7 @@
 
         self.assertEqual([RIDERS] * (spreading.MAX_ASKS - 1), asked)
 
-    def test_repair_goes_both_ways(self):
+    def test_anti_entropy_works_in_both_directions(self):
         pair = _Pair()
         older = bench_spreading.change(3, 1)
         newer = bench_spreading.change(5, 2)
@@ -118,13 +120,13 @@
 
         for number in range(1, 9):
             now = number * SECOND
-            pair.pass_on(pair.cores["b"].tick(now), now)
+            pair.deliver_all(pair.cores["b"].tick(now), now)
 
         self.assertEqual(pair.stores["a"].buckets, pair.stores["b"].buckets)
         self.assertEqual(2, pair.stores["b"].in_force(RIDERS))
         self.assertEqual(1, pair.stores["b"].in_force(only_a))
 
-    def test_a_message_stays_within_its_bounds(self):
+    def test_message_size_is_limited(self):
         pair = _Pair()
         for number in range(2_000):
             value = bench_spreading.change(3, 1)
@@ -143,7 +145,7 @@
             )
             self.assertLess(spreading.size(item.message), 40_000)
 
-    def test_a_burst_of_changes_keeps_to_the_budget(self):
+    def test_burst_of_changes_keeps_to_the_budget(self):
         cores = bench_spreading.Cores(10, 0.0, 1)
         for number in range(600):
             key = store.Key(store.SERVICE, f"new-{number}")
@@ -156,7 +158,7 @@
         allowed = spreading.BURST_BYTES + 60 * spreading.BYTES_PER_SECOND
         self.assertLess(max(cores.sent.values()), 1.2 * allowed)
 
-    def test_the_wire_form_loses_nothing(self):
+    def test_message_survives_encoding_and_decoding(self):
         message = spreading.Message(
             "a",
             True,
@@ -175,13 +177,13 @@
         self.assertEqual(message, configuration.message_in(decoded))
 
 
-class SpreadingTimeTest(unittest.TestCase):
-    def test_one_in_ten_lost_and_a_one_way_cut(self):
-        """One node hears of a change; its zone reaches no other region.
+class ReplicationTimeTest(unittest.TestCase):
+    def test_message_loss_and_one_way_partition(self):
+        """Replication takes at most 8 seconds despite a one-way partition.
 
-        Messages from its zone to the other region vanish while those of the
-        other region arrive, and one in ten is lost everywhere. Callers there
-        must not see the old rules for more than 8 seconds.
+        One node receives a change. Messages from its zone to the other region
+        are lost, while those in the opposite direction arrive. One message in
+        ten is lost everywhere.
         """
         run = bench_spreading.run_once(50, 0.1, seed=1)
 
@@ -189,11 +191,11 @@
         self.assertLess(run.quiet_bytes_per_second, 2_000)
 
 
-class JoiningTest(unittest.TestCase):
+class ReadinessTest(unittest.TestCase):
     def setUp(self):
         self.pair = _Pair()
         self.spreader = self.pair.cores["a"]
-        self.joining = joining.Joining(
+        self.readiness = joining.Joining(
             self.spreader, ("service", "route-group")
         )
 
@@ -202,36 +204,37 @@
             message = spreading.Message(name, ready, same=True)
             self.spreader.received(message, SECOND)
 
-    def test_the_platform_away_takes_several_peers(self):
+    def test_without_the_platform_several_peers_must_agree(self):
         self._agree("b", "c")
-        self.assertIn("2 of 3", self.joining.missing(9))
+        self.assertIn("2 of 3", self.readiness.missing(9))
 
         self._agree("d")
 
-        self.assertIsNone(self.joining.missing(9))
+        self.assertIsNone(self.readiness.missing(9))
 
     def test_peers_that_are_not_ready_do_not_count(self):
-        """The whole fleet starts anew while the platform is away.
+        """The whole fleet restarts while the platform is unavailable.
 
-        All are empty and agree. If that counted, they would refuse every
-        caller for want of a route and call themselves ready.
+        All nodes are empty and agree. If that counted, they would be ready and
+        refuse every request for lack of a route.
         """
         self._agree("b", "c", "d", ready=False)
 
-        self.assertIsNotNone(self.joining.missing(3))
+        self.assertIsNotNone(self.readiness.missing(3))
 
-    def test_the_platform_is_enough_once_every_kind_is_listed(self):
-        """The node has heard of services, and not yet of any route.
+    def test_complete_listing_of_the_platform_suffices(self):
+        """Services have been listed, but no routes yet.
 
-        Ready at that moment it would refuse callers with 404. The platform
-        loses nothing, so that what it lists needs nobody's word.
+        If the node were ready now, it would refuse requests with 404. After
+        the complete listing it needs no agreeing peers, since the platform
+        loses nothing that it has acknowledged.
         """
-        self.joining.listed("service")
-        self.assertIsNotNone(self.joining.missing(3))
+        self.readiness.listed("service")
+        self.assertIsNotNone(self.readiness.missing(3))
 
-        self.joining.listed("route-group")
+        self.readiness.listed("route-group")
 
-        self.assertIsNone(self.joining.missing(3))
+        self.assertIsNone(self.readiness.missing(3))
 
 
 class WatchersTest(unittest.TestCase):
@@ -251,7 +254,7 @@
         return [item for item in members if watchers.is_watcher(item, members)]
 
     def test_each_zone_has_one_and_each_region_two(self):
-        """A region of one zone must not go blind with one node."""
+        """A region with one zone must not depend on a single watcher."""
         members = self.members(100, ("a-x", "a-y", "a-z", "b-x"))
 
         zones = [item.zone for item in self.watching(members)]
@@ -260,7 +263,7 @@
         self.assertEqual(2, zones.count("b-x"))
         self.assertLessEqual(len(zones), 6)
 
-    def test_a_watcher_that_leaves_is_followed_by_one_other(self):
+    def test_watcher_that_leaves_is_replaced_by_one_other(self):
         members = self.members(20, ("a-x",))
         before = {item.name for item in self.watching(members)}
         gone = min(before)
@@ -271,8 +274,8 @@
         self.assertEqual(before - {gone}, before & after)
         self.assertEqual(2, len(after))
 
-    def test_a_node_that_joins_takes_no_watch_over(self):
-        """Each watch that moves costs a listing and a call."""
+    def test_joining_node_takes_over_no_watch(self):
+        """Each watch that moves costs the platform a listing and a call."""
         members = self.members(20, ("a-x", "a-y"))
         before = self.watching(members)
 
@@ -281,17 +284,17 @@
 
         self.assertEqual(before, after)
 
-    def test_watchers_share_their_calls_among_themselves(self):
+    def test_watchers_have_their_own_call_budget(self):
         members = self.members(760, tuple(f"a-{zone}" for zone in "vwxyz"))
 
         shares = {watchers.sharers(item, members) for item in members}
 
         self.assertEqual({6, 760}, shares)
 
-    def test_a_node_that_knows_nobody_watches(self):
+    def test_node_that_knows_no_members_is_a_watcher(self):
         self.assertTrue(watchers.is_watcher(_record("a"), []))
 
-    def test_one_node_of_a_zone_is_the_oldest(self):
+    def test_one_node_of_each_zone_is_the_oldest(self):
         members = self.members(20, ("a-x", "a-y"))
 
         oldest = [item for item in members if watchers.is_oldest(item, members)]
--- a/endivewind/tests/config/store_tests.py
+++ b/endivewind/tests/config/store_tests.py
@@ -1,4 +1,4 @@
-"""The configuration store: versions, tombstones, refusals, packing."""
+"""Tests of the store: versions, tombstones, rejections, compression."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 def _envelope(slots: int | None, version: int = 0, **extra) -> dict:
-    """A value as the platform holds it; slots None is a removal."""
+    """Returns a platform value; a tombstone if slots is None."""
     spec = None if slots is None else {"slots": slots, **extra}
     return {"spec": spec, "operation": f"op-{version}", "version": version}
 
@@ -20,83 +20,82 @@
     def _apply(self, value, platform_version=1):
         return self.store.apply(*RIDERS, platform_version, value)
 
-    def test_an_older_version_never_replaces_a_newer_one(self):
+    def test_older_version_never_replaces_a_newer_one(self):
         self._apply(_envelope(5, version=70), platform_version=9)
 
-        taken = self._apply(_envelope(3, version=60), platform_version=10)
+        applied = self._apply(_envelope(3, version=60), platform_version=10)
 
-        self.assertEqual(False, taken.ok)
+        self.assertEqual(False, applied.ok)
         self.assertEqual(5, self.store.service("riders").slots)
 
-    def test_a_store_that_starts_again_from_one_is_no_older(self):
-        """The platform loses its store, then a change is accepted.
+    def test_restarted_platform_counter_does_not_make_objects_older(self):
+        """The platform loses its store and accepts a change afterwards.
 
-        Its counter starts from 1, below what nodes hold. The change must
-        come into force: the object's own version orders it, not the counter.
+        Its counter restarts from 1, below the versions that nodes hold. The
+        change must come into force because the envelope's version counts.
         """
         self._apply(_envelope(3, version=60), platform_version=900)
 
-        taken = self._apply(_envelope(5, version=61), platform_version=1)
+        applied = self._apply(_envelope(5, version=61), platform_version=1)
 
-        self.assertEqual(True, taken.ok)
+        self.assertEqual(True, applied.ok)
         self.assertEqual(5, self.store.service("riders").slots)
 
-    def test_a_tombstone_outlives_a_node_that_was_away(self):
-        """A node misses a removal and offers the object afterwards.
+    def test_tombstone_prevents_return_of_a_removed_object(self):
+        """A node misses a removal and sends the object afterwards.
 
-        Without a version on the removal the object would come back for
-        callers; the tombstone's higher version refuses it.
+        The tombstone's higher version must keep the object from coming back.
         """
         self._apply(_envelope(3, version=5))
         self._apply(_envelope(None, version=6))
 
-        taken = self._apply(_envelope(3, version=5))
+        applied = self._apply(_envelope(3, version=5))
 
-        self.assertEqual(False, taken.ok)
+        self.assertEqual(False, applied.ok)
         self.assertIsNone(self.store.service("riders"))
         self.assertEqual(6, self.store.in_force(RIDERS))
 
-    def test_a_delete_past_submit_changes_nothing(self):
+    def test_deletion_without_submit_changes_nothing(self):
         self._apply(_envelope(3, version=5))
 
-        refused = self._apply({}, platform_version=99)
+        rejected = self._apply({}, platform_version=99)
 
-        self.assertIn("without a tombstone", str(refused.error))
+        self.assertIn("without a tombstone", str(rejected.error))
         self.assertEqual(3, self.store.service("riders").slots)
 
-    def test_a_bad_object_is_refused_whole_with_every_place(self):
+    def test_invalid_object_is_rejected_with_all_locations(self):
         self._apply(_envelope(3, version=5))
 
-        refused = self._apply(_envelope(0, version=6, timeout_ms=1))
+        rejected = self._apply(_envelope(0, version=6, timeout_ms=1))
 
-        self.assertIn("slots: ", str(refused.error))
-        self.assertIn("timeout_ms: ", str(refused.error))
+        self.assertIn("slots: ", str(rejected.error))
+        self.assertIn("timeout_ms: ", str(rejected.error))
         self.assertEqual(3, self.store.service("riders").slots)
         self.assertEqual(5, self.store.in_force(RIDERS))
 
-    def test_an_object_of_a_newer_release_is_kept_for_spreading(self):
+    def test_object_of_a_newer_release_is_stored_for_replication(self):
         """A newer release adds a field that this node does not know.
 
-        The node refuses it for itself, but nodes of the newer release may
-        hear of it only through this one, so the raw value must be kept.
+        The node rejects the object for itself, but nodes of the newer release
+        may receive it only through this one, so it must store the raw value.
         """
         value = _envelope(3, version=6, new_field="x")
 
-        refused = self._apply(value)
+        rejected = self._apply(value)
 
-        self.assertTrue(refused.error.kept)
+        self.assertTrue(rejected.error.kept)
         self.assertEqual(value, self.store.value(RIDERS))
         self.assertEqual(6, self.store.stamp(RIDERS).version)
 
-    def test_a_good_object_after_a_refused_one_comes_into_force(self):
+    def test_valid_object_after_a_rejected_one_comes_into_force(self):
         self._apply(_envelope(0, version=6))
 
-        taken = self._apply(_envelope(4, version=7))
+        applied = self._apply(_envelope(4, version=7))
 
-        self.assertEqual(True, taken.ok)
+        self.assertEqual(True, applied.ok)
         self.assertEqual(7, self.store.in_force(RIDERS))
 
-    def test_two_values_of_one_version_end_the_same_in_any_order(self):
+    def test_two_values_of_one_version_converge_in_any_order(self):
         other = store.ConfigurationStore()
         values = [_envelope(3, version=6), _envelope(4, version=6)]
         for value in values:
@@ -107,7 +106,7 @@
         self.assertEqual(other.stamp(RIDERS), self.store.stamp(RIDERS))
         self.assertEqual(other.buckets, self.store.buckets)
 
-    def test_values_that_are_no_envelope_are_not_kept(self):
+    def test_invalid_envelopes_are_not_stored(self):
         cases = (
             ("no-operation", {"spec": {}}),
             ("spec-not-a-map", {"spec": 3, "operation": "x"}),
@@ -119,19 +118,19 @@
                 self.assertTrue(self._apply(value).is_error())
                 self.assertEqual(store.ABSENT, self.store.stamp(RIDERS))
 
-    def test_an_unknown_kind_is_refused(self):
-        refused = self.store.apply("wallet", "a", 1, _envelope(3))
+    def test_unknown_kind_is_rejected(self):
+        rejected = self.store.apply("wallet", "a", 1, _envelope(3))
 
-        self.assertIn("unknown kind", str(refused.error))
+        self.assertIn("unknown kind", str(rejected.error))
 
-    def test_a_packed_value_that_is_too_long_or_garbage_is_refused(self):
+    def test_too_large_or_invalid_compressed_value_is_rejected(self):
         bomb = store.zlib.compress(b" " * (4 * store.MAX_VALUE_BYTES))
         for name, packed in (("garbage", b"x"), ("bomb", bomb)):
             with self.subTest(name):
-                refused = self.store.apply_packed(RIDERS, 1, packed)
-                self.assertIn("unpacked", str(refused.error))
+                rejected = self.store.apply_packed(RIDERS, 1, packed)
+                self.assertIn("unpacked", str(rejected.error))
 
-    def test_a_packed_value_arrives_as_it_was(self):
+    def test_compressed_value_is_restored_unchanged(self):
         self._apply(_envelope(3, version=6))
         other = store.ConfigurationStore()
 
--- a/endivewind/tests/docs_tests.py
+++ b/endivewind/tests/docs_tests.py
@@ -1,4 +1,4 @@
-"""The docs: links resolve, and pages agree with the code."""
+"""Tests that links in the docs resolve and pages match the code."""
 
 import pathlib
 import re
@@ -23,7 +23,7 @@
 
 
 class LinksTest(unittest.TestCase):
-    """A reader who follows a link finds its page and heading."""
+    """Links to pages and headings."""
 
     def test_every_relative_link_resolves(self):
         checked = 0
@@ -41,7 +41,7 @@
 
 
 class ReferenceTest(unittest.TestCase):
-    """The page on configuration is the models' own."""
+    """The generated reference, and the list of commands."""
 
     def test_page_is_up_to_date(self):
         text = reference.PAGE.read_text()
@@ -53,7 +53,7 @@
             "run python -m endivewind.config.reference",
         )
 
-    def test_every_key_has_a_meaning(self):
+    def test_every_key_is_documented(self):
         rows = [
             line
             for line in reference.render().splitlines()
@@ -63,7 +63,7 @@
         self.assertGreater(len(rows), 40)
         self.assertEqual([], [row for row in rows if row.endswith("|  |")])
 
-    def test_commands_are_on_the_operators_page(self):
+    def test_every_command_is_documented(self):
         page = style.ROOT / "docs/user-guide/operators.md"
 
         for command in main.COMMANDS:
--- a/endivewind/tests/fuzz_border_tests.py
+++ b/endivewind/tests/fuzz_border_tests.py
@@ -1,4 +1,4 @@
-"""Fuzzing at the border: findings or refusals, never a traceback."""
+"""Fuzzes external input, which must give findings and no traceback."""
 
 import asyncio
 import contextlib
@@ -65,7 +65,7 @@
     ),
     max_leaves=12,
 )
-_WHOLE = """\
+_VALID_CONFIGURATION = """\
 services:
   riders: &r {slots: 3, floor_slots: 6, profile: capacity}
   venues: {<<: *r, timeout_ms: 100}
@@ -79,7 +79,7 @@
 
 
 class LoaderFuzzTest(unittest.TestCase):
-    """Whatever a file holds, it is loaded or every finding has a message."""
+    """Any file is loaded or gives findings that have a message."""
 
     def _check(self, raw: bytes):
         for model in _MODELS:
@@ -102,28 +102,34 @@
 
     @_SETTINGS
     @hypothesis.given(
-        st.integers(0, len(_WHOLE)),
+        st.integers(0, len(_VALID_CONFIGURATION)),
         st.integers(0, 12),
         st.text(alphabet="{}[]:&*<-!|>'\"#%@`,? \n\tab01\x00é", max_size=4),
     )
-    def test_a_valid_file_with_one_edit(self, start, cut, put):
-        self._check((_WHOLE[:start] + put + _WHOLE[start + cut :]).encode())
+    def test_valid_file_with_one_edit(self, start, cut, put):
+        self._check(
+            (
+                _VALID_CONFIGURATION[:start]
+                + put
+                + _VALID_CONFIGURATION[start + cut :]
+            ).encode()
+        )
 
 
 class AnnouncementFuzzTest(unittest.TestCase):
-    """Whatever a target sends, it is taken or told what is wrong."""
+    """Any announcement is accepted or gets a response with findings."""
 
     def setUp(self):
         self._loop = asyncio.new_event_loop()
         self.addCleanup(self._loop.close)
         home = registry.HomeIdentity("node-a", 1, "andina", "andina-a")
         targets = registry.TargetRegistry(home, clocks.ManualClock())
-        taken = registration.Registration(
+        registered = registration.Registration(
             targets, lambda service: 3, lambda: None
         )
-        served = api.TargetApi(taken)
+        target_api = api.TargetApi(registered)
         self._client = test_utils.TestClient(
-            test_utils.TestServer(served.application()), loop=self._loop
+            test_utils.TestServer(target_api.application()), loop=self._loop
         )
         self._loop.run_until_complete(self._client.start_server())
         self.addCleanup(self._run, self._client.close)
@@ -163,7 +169,7 @@
 
 
 class FlagsFuzzTest(unittest.TestCase):
-    """Whatever an operator types, an exit code and no traceback."""
+    """Any arguments of a command give an exit code and no traceback."""
 
     @_SETTINGS
     @hypothesis.given(
--- a/endivewind/tests/tls_tests.py
+++ b/endivewind/tests/tls_tests.py
@@ -1,4 +1,4 @@
-"""TLS of the callers' listener, and mutual TLS between nodes."""
+"""Tests of TLS for callers and mutual TLS between nodes."""
 
 import asyncio
 import pathlib
@@ -23,7 +23,7 @@
     }
 
 
-_SECURED = {
+_TLS_SETTINGS = {
     "callers_tls": {**_tls("node"), "authority": ""},
     "nodes_tls": _tls("node"),
     "gossip_key": "a-test-key-of-no-secret-at-all-0123456789",
@@ -31,15 +31,15 @@
 
 
 class SecuredFleetTest(unittest.IsolatedAsyncioTestCase):
-    """Callers come by HTTPS; nodes take only each other's certificates."""
+    """A fleet with HTTPS for callers and mutual TLS between nodes."""
 
     async def test_request_across_two_nodes(self):
         trusted = ssl.create_default_context(
             cafile=str(_FOLDER / "authority.pem")
         )
         async with processes.Fleet() as fleet:
-            entry = await fleet.node("node-a", "andina-a", **_SECURED)
-            home = await fleet.node("node-b", "andina-b", **_SECURED)
+            entry = await fleet.node("node-a", "andina-a", **_TLS_SETTINGS)
+            home = await fleet.node("node-b", "andina-b", **_TLS_SETTINGS)
             await fleet.target("riders-1", "riders", [home])
             await fleet.submit(path_tests.CONFIGURATION)
             await entry.message("in force", object="camerino")
@@ -64,10 +64,10 @@
 
 
 class LinkTlsTest(unittest.IsolatedAsyncioTestCase):
-    """What a node's listener for nodes accepts."""
+    """Which connections the listener for nodes accepts."""
 
     async def asyncSetUp(self):
-        # Refused handshakes are expected here; asyncio would print each.
+        # Failed handshakes are expected here; asyncio would log each of them.
         asyncio.get_running_loop().set_exception_handler(lambda *_: None)
         self._server = await asyncio.start_server(
             _echo,
@@ -75,14 +75,14 @@
             0,
             ssl=tls.server_context(settings.Tls(**_tls("node"))),
         )
-        self.addAsyncCleanup(_closed, self._server)
+        self.addAsyncCleanup(_close, self._server)
         self._port = self._server.sockets[0].getsockname()[1]
 
     async def _exchange(self, context: ssl.SSLContext | None) -> bytes:
-        """The echo of "frame"; empty where the connection is refused.
+        """Returns the echo of "frame"; empty if the connection is refused.
 
-        In TLS 1.3 a client learns only at its first read that the server
-        has refused its certificate.
+        With TLS 1.3, a client notices only on its first read that the server
+        has rejected its certificate.
         """
         try:
             reader, writer = await asyncio.open_connection(
@@ -95,18 +95,18 @@
         writer.close()
         return answer
 
-    async def test_node_of_the_same_authority(self):
+    async def test_certificate_of_the_same_authority_is_accepted(self):
         context = tls.link_context(settings.Tls(**_tls("node")))
 
         self.assertEqual(b"frame", await self._exchange(context))
 
-    async def test_stranger_is_refused(self):
-        # The stranger trusts the node, so that the node alone can refuse.
+    async def test_certificate_of_another_authority_is_refused(self):
+        # The other end trusts the node, so only the node can refuse.
         context = tls.link_context(settings.Tls(**_tls("stranger")))
 
         self.assertEqual(b"", await self._exchange(context))
 
-    async def test_no_certificate_is_refused(self):
+    async def test_missing_certificate_is_refused(self):
         context = ssl.create_default_context(
             cafile=str(_FOLDER / "authority.pem")
         )
@@ -114,7 +114,7 @@
 
         self.assertEqual(b"", await self._exchange(context))
 
-    async def test_node_refuses_a_strangers_listener(self):
+    async def test_node_refuses_a_listener_of_another_authority(self):
         stranger = await asyncio.start_server(
             _echo,
             "127.0.0.1",
@@ -123,13 +123,13 @@
                 settings.Tls(**_tls("stranger", "stranger-authority"))
             ),
         )
-        self.addAsyncCleanup(_closed, stranger)
+        self.addAsyncCleanup(_close, stranger)
         self._port = stranger.sockets[0].getsockname()[1]
 
         context = tls.link_context(settings.Tls(**_tls("node")))
         self.assertEqual(b"", await self._exchange(context))
 
-    async def test_plain_text_gets_nothing(self):
+    async def test_unencrypted_connection_gets_no_response(self):
         self.assertNotEqual(b"frame", await self._exchange(None))
 
 
@@ -146,6 +146,6 @@
     writer.close()
 
 
-async def _closed(server: asyncio.Server) -> None:
+async def _close(server: asyncio.Server) -> None:
     server.close()
     await server.wait_closed()
