--- a/endivewind/config/store.py
+++ b/endivewind/config/store.py
@@ -199,7 +199,9 @@
             )
         text = _canonical_json(value)
         if len(text) > MAX_VALUE_BYTES:
-            return _reject(key, version, f"value too large: {len(text)} bytes")
+            return _reject(
+                key, version, f"{len(text)} bytes exceed the size limit"
+            )
         stamp = Stamp(envelope.version or version, _fingerprint(text))
         if not 0 < stamp.version < MAX_VERSION:
             return _reject(key, version, "version out of range")
