--- a/endivewind/config/joining.py
+++ b/endivewind/config/joining.py
@@ -21,16 +21,16 @@
 
     def __init__(
         self,
-        spreader: spreading.Spreader,
+        replicator: spreading.Spreader,
         kinds: collections.abc.Iterable[str],
     ) -> None:
         """Creates the check for a node without configuration.
 
         Args:
-          spreader: tells which peers have the same configuration.
+          replicator: tells which peers have the same configuration.
           kinds: the kinds of objects that have to be listed.
         """
-        self._spreader = spreader
+        self._replicator = replicator
         self._unlisted = set(kinds)
 
     def listed(self, kind: str) -> None:
@@ -39,12 +39,12 @@
 
     def missing(self, known_peers: int) -> str | None:
         """Returns why the node is not ready yet; None if it is ready."""
-        if self._spreader.ready:
+        if self._replicator.ready:
             return None
-        agreed = len(self._spreader.agreed)
+        agreed = len(self._replicator.agreed)
         required = min(JOIN_PEERS, max(1, known_peers))
         if not self._unlisted or agreed >= required:
-            self._spreader.ready = True
+            self._replicator.ready = True
             return None
         return (
             "no configuration yet: the platform has not answered, and "
--- a/endivewind/tests/config/settings_reloader_tests.py
+++ b/endivewind/tests/config/settings_reloader_tests.py
@@ -9,7 +9,7 @@
 _INITIAL_SETTINGS = "{name: a, region: r, zone: z, platform: 'http://p'}"
 
 
-class SettingsFollowerTest(unittest.IsolatedAsyncioTestCase):
+class SettingsReloaderTest(unittest.IsolatedAsyncioTestCase):
     """The file may be rewritten with or without a signal."""
 
     async def asyncSetUp(self):
