--- a/endivewind/config/base.py
+++ b/endivewind/config/base.py
@@ -138,25 +138,25 @@
 def _validate(
     data: object, document: "_Document", model: type[ModelT]
 ) -> expression.Result[Loaded[ModelT], Findings]:
-    found = document.duplicate_keys()
+    collected = document.duplicate_keys()
     if issubclass(model, Model):
-        found += [
+        collected += [
             document.problem_finding(item) for item in model.problems(data)
         ]
     value = None
     try:
         value = model.model_validate(data if data is not None else {})
     except pydantic.ValidationError as error:
-        found += [
+        collected += [
             document.error_finding(item, model) for item in error.errors()
         ]
-    found.sort()
+    collected.sort()
     errors = [
-        item for item in found if item.severity is findings.Severity.ERROR
+        item for item in collected if item.severity is findings.Severity.ERROR
     ]
     if errors or value is None:
-        return expression.Error(tuple(found))
-    return expression.Ok(Loaded(value, tuple(found)))
+        return expression.Error(tuple(collected))
+    return expression.Ok(Loaded(value, tuple(collected)))
 
 
 def findings_of(
@@ -206,7 +206,7 @@
 
     def duplicate_keys(self) -> list[findings.Finding]:
         """Finds duplicate keys, of which YAML silently keeps only the last."""
-        found: list[findings.Finding] = []
+        collected: list[findings.Finding] = []
         pending: list[tuple[str, yaml.Node | None]] = [("", self._root)]
         # An alias may refer to an ancestor or to a node visited already.
         visited: set[int] = set()
@@ -221,12 +221,12 @@
                     for index, item in enumerate(node.value)
                 )
             if isinstance(node, yaml.MappingNode):
-                found.extend(self._duplicate_keys(path, node))
+                collected.extend(self._duplicate_keys(path, node))
                 pending.extend(
                     (_join_path(path, key.value), value)
                     for key, value in node.value
                 )
-        return found
+        return collected
 
     def _duplicate_keys(
         self, path: str, node: yaml.MappingNode
--- a/endivewind/config/following.py
+++ b/endivewind/config/following.py
@@ -57,8 +57,8 @@
         self._last_content = raw
         loaded = base.load_bytes(raw, str(self._path), settings.NodeSettings)
         if loaded.is_error():
-            found = [str(item) for item in loaded.error]
-            log.error("settings kept", extra=logs.fields(findings=found))
+            messages = [str(item) for item in loaded.error]
+            log.error("settings kept", extra=logs.fields(findings=messages))
             return
         self._on_reload(loaded.ok.model)
 
--- a/endivewind/config/freshness.py
+++ b/endivewind/config/freshness.py
@@ -100,8 +100,8 @@
         """Records another node's response to a query.
 
         Args:
-          answer: the response.
-          asked: when the query was sent, in this node's clock.
+          response: the response.
+          query_time: when the query was sent, in this node's clock.
 
         Returns:
           Whether this made the node's proof younger.
--- a/endivewind/config/spreading.py
+++ b/endivewind/config/spreading.py
@@ -245,9 +245,11 @@
     def _apply_objects(self, message: Message, result: Received) -> None:
         for item in message.objects:
             before = self._store.stamp(item.key)
-            taken = self._store.apply_packed(item.key, item.version, item.value)
+            applied = self._store.apply_packed(
+                item.key, item.version, item.value
+            )
             self._pending_requests.pop(item.key, None)
-            match taken:
+            match applied:
                 case expression.Result(tag="ok", ok=True):
                     result.in_force.append(item.key)
                 case expression.Result(tag="error", error=rejection):
--- a/endivewind/config/store.py
+++ b/endivewind/config/store.py
@@ -158,10 +158,10 @@
     @property
     def summary(self) -> int:
         """One hash of all objects; equal if all objects are equal."""
-        found = 0
+        combined = 0
         for bucket in self._buckets:
-            found ^= bucket
-        return found
+            combined ^= bucket
+        return combined
 
     @property
     def keys(self) -> collections.abc.KeysView[Key]:
--- a/endivewind/tests/config/freshness_tests.py
+++ b/endivewind/tests/config/freshness_tests.py
@@ -70,7 +70,7 @@
 
 
 class RevocationMachine(stateful.RuleBasedStateMachine):
-    """Nodes that read, query, are late, partitioned, suspended and restarted.
+    """Nodes that read_finished, query, are late, partitioned, suspended and restarted.
 
     Every version revokes one key. The oracle is the revocation bound: no node
     may accept a key that was revoked longer ago than that. Each node has its
@@ -110,14 +110,14 @@
     @stateful.rule(node=strategies.sampled_from(NODES))
     def a_node_starts_a_read(self, node):
         """The platform reads its store later and responds later still."""
-        self.send("begun", node, self.clock(node))
+        self.send("read_started", node, self.clock(node))
 
     @stateful.rule(
         asker=strategies.sampled_from(NODES),
         answerer=strategies.sampled_from(NODES),
     )
     def a_node_queries(self, asker, answerer):
-        self.send("asked", asker, self.clock(asker), answerer)
+        self.send("query_received", asker, self.clock(asker), answerer)
 
     def send(self, kind, node, moment, *arguments):
         self.messages.append(
@@ -133,20 +133,22 @@
             del self.messages[index]
         getattr(self, message[0])(*message[1:])
 
-    def begun(self, node, start, moment):
+    def read_started(self, node, start, moment):
         newest = len(self.accepted) - 1
-        self.messages.append(("read", node, start, moment, newest))
+        self.messages.append(("read_finished", node, start, moment, newest))
 
-    def read(self, node, start, moment, version):
+    def read_finished(self, node, start, moment, version):
         if start == self.incarnations[node]:
             self.proofs[node].proved(version, moment)
 
-    def asked(self, node, start, moment, answerer):
+    def query_received(self, node, start, moment, answerer):
         answer = self.proofs[answerer].answer(self.clock(answerer))
         if answer is not None:
-            self.messages.append(("told", node, start, moment, answer))
+            self.messages.append(
+                ("response_received", node, start, moment, answer)
+            )
 
-    def told(self, node, start, moment, answer):
+    def response_received(self, node, start, moment, answer):
         if start == self.incarnations[node]:
             self.proofs[node].answered(answer, moment)
 
--- a/endivewind/tests/config/replication_tests.py
+++ b/endivewind/tests/config/replication_tests.py
@@ -102,12 +102,12 @@
         message = spreading.Message("a", have=have)
         pair.cores["b"].received(message, SECOND)
 
-        asked = []
+        requested = []
         for number in range(1, 40):
             for item in pair.cores["b"].tick(SECOND + number * spreading.TICK):
-                asked.extend(item.message.want)
+                requested.extend(item.message.want)
 
-        self.assertEqual([RIDERS] * (spreading.MAX_ASKS - 1), asked)
+        self.assertEqual([RIDERS] * (spreading.MAX_ASKS - 1), requested)
 
     def test_anti_entropy_works_in_both_directions(self):
         pair = _Pair()
