--- a/endivewind/config/objects.py
+++ b/endivewind/config/objects.py
@@ -26,7 +26,7 @@
 
 
 class Repeat(enum.StrEnum):
-    """Which requests of a route are retried although they may have run."""
+    """Which requests of a route may run more than once."""
 
     SAFE_METHODS = "safe-methods"
     ALWAYS = "always"
--- a/endivewind/config/proving.py
+++ b/endivewind/config/proving.py
@@ -34,7 +34,7 @@
 STALE_AGE = 0.45
 # Nodes that query the same parent, each a few times per second.
 ASKERS = 16
-# Nodes queried in addition if a node's parent has no fresh proof.
+# Oldest nodes, queried in addition if a node's parent has no fresh proof.
 STAND_INS = 3
 # Query period of a node without any proof, since its callers are waiting.
 FIRST_PERIOD = datetime.timedelta(milliseconds=50)
@@ -108,7 +108,7 @@
       start_rank: the node's position in the order of starts.
       age: age of its proof; without one, time since its start.
       bound: maximum age of a proof.
-      rng: selects nodes at random once even late standbys should have read.
+      rng: selects at random among the nodes beyond the ordered standbys.
       is_standby: whether it had to stand in for the primary reader recently.
     """
     if number == 0 or stands_in:
--- a/endivewind/config/settings.py
+++ b/endivewind/config/settings.py
@@ -55,7 +55,7 @@
 
 
 class Trail(enum.StrEnum):
-    """Where a node writes its audit records of ejections, drains and joins."""
+    """Where a node records its ejections, drains and membership changes."""
 
     PLATFORM = "platform"
     LOG = "log"
--- a/endivewind/tests/config/freshness_tests.py
+++ b/endivewind/tests/config/freshness_tests.py
@@ -70,7 +70,7 @@
 
 
 class RevocationMachine(stateful.RuleBasedStateMachine):
-    """Nodes that read_finished, query, are late, partitioned, suspended and restarted.
+    """Nodes that read, query, are late, partitioned, suspended and restarted.
 
     Every version revokes one key. The oracle is the revocation bound: no node
     may accept a key that was revoked longer ago than that. Each node has its
