--- a/endivewind/config/services.py
+++ b/endivewind/config/services.py
@@ -12,7 +12,7 @@
         self._configuration = configuration
 
     def slots(self, service: str) -> int:
-        """Returns the slots of a target that announces no number of slots."""
+        """Returns the slots of a target that announces none."""
         return self._service_or_default(service).slots
 
     def floor(self, service: str) -> int:
--- a/endivewind/config/settings.py
+++ b/endivewind/config/settings.py
@@ -285,7 +285,7 @@
 
     @property
     def defaults(self) -> objects.Service:
-        """Service settings that the platform's own configuration leaves open."""
+        """Service settings that the platform's configuration leaves open."""
         if self.fleet_limits is None:
             return self.service_defaults
         return self.fleet_limits.applied_to(self.service_defaults)
--- a/endivewind/config/spreading.py
+++ b/endivewind/config/spreading.py
@@ -17,14 +17,14 @@
 
 from endivewind.config import store
 
-# Peers that receive a rumour at once. With one it spreads too slowly; with more,
-# most messages reach nodes that have the version already.
+# Peers that receive a rumour at once. With one it spreads too slowly; with
+# more, most messages reach nodes that have the version already.
 FANOUT = 2
 # A node sends a rumour ln(N) + this many times: each message divides the share
 # of nodes that have not received it by e, and one message in ten is lost.
 EXTRA_SENDS = 4
-# Maximum size of an object sent within a rumour. Larger objects are requested by
-# the receiver, so that a node receives each about once.
+# Maximum size of an object sent within a rumour. Larger objects are requested
+# by the receiver, so that a node receives each about once.
 PUSH_BYTES = 512
 TICK = datetime.timedelta(milliseconds=250)
 # If nothing differs, a comparison costs two messages with one number each.
@@ -34,8 +34,8 @@
 JOINING_PERIOD = datetime.timedelta(milliseconds=100)
 JOINING_PEERS = 3
 # If one message in ten is lost, one request in five gets no response. The last
-# peer that advertised the object is then asked again, because rumours have ended
-# by then and anti-entropy takes several periods.
+# peer that advertised the object is then asked again, because rumours have
+# ended by then and anti-entropy takes several periods.
 WANT_TIMEOUT = datetime.timedelta(milliseconds=400)
 MAX_ASKS = 8
 # Limits of one message. A single object, up to a megabyte, is always sent.
--- a/endivewind/config/store.py
+++ b/endivewind/config/store.py
@@ -257,7 +257,7 @@
 
     @property
     def document_version(self) -> int:
-        """Version in force of the complete configuration; 0 if there is none."""
+        """Version in force of the complete configuration; 0 if none."""
         return max(
             (
                 item.in_force
