--- a/endivewind/config/references.py
+++ b/endivewind/config/references.py
@@ -125,7 +125,7 @@
             if known != str(shard):
                 yield base.Problem(
                     ("workspace_shards", str(shard), "workspaces", str(name)),
-                    f"also in shard {known!r}: a workspace belongs to one shard",
+                    f"also in shard {known!r}: a workspace has one shard",
                 )
 
 
--- a/endivewind/config/services.py
+++ b/endivewind/config/services.py
@@ -16,7 +16,7 @@
         return self._service_or_default(service).slots
 
     def floor(self, service: str) -> int:
-        """Returns the capacity floor in slots per region; 0 if it is a share."""
+        """Returns the capacity floor in slots per region; 0 if a share."""
         return self._service_or_default(service).floor_slots
 
     def floor_share(self, service: str) -> float:
