--- a/endivewind/durable/__init__.py
+++ b/endivewind/durable/__init__.py
@@ -1,1 +1,1 @@
-"""What must last: kept as objects of the platform, read and written here."""
+"""Durable state: the objects that nodes keep in the platform's store."""
--- a/endivewind/durable/audit.py
+++ b/endivewind/durable/audit.py
@@ -1,8 +1,9 @@
-"""The audit trail: who changed what, when, from which version.
+"""The audit trail: who changed what and when, and from which version.
 
-Records lie in the platform as objects of a kind of their own: a fixed number
-of shards, each with a bounded list, so that the trail can't outgrow it
-however many nodes come and go.
+Nodes and operators' commands append records, which the platform's store keeps
+as objects of a kind of their own. The number of shards is fixed and the list
+of each is bounded, so that the size of the trail is bounded however many
+nodes come and go.
 """
 
 import asyncio
@@ -21,7 +22,7 @@
 
 AUDIT = "audit"
 SHARDS = 32
-# 500 records of about 400 bytes: a fifth of the platform's largest value.
+# 500 records of about 400 bytes are a fifth of the platform's largest value.
 RECORDS_PER_SHARD = 500
 ATTEMPTS = 8
 
@@ -29,7 +30,7 @@
 
 
 class Action(enum.StrEnum):
-    """What was done."""
+    """The kind of change that a record describes."""
 
     SUBMIT = "submit"
     REMOVE = "remove"
@@ -41,10 +42,10 @@
 
 
 class Outcome(enum.StrEnum):
-    """How it ended, as far as its writer knew.
+    """The outcome of a change, as far as the record's writer knows.
 
-    INTENDED is written before the change, so that no change is without a
-    record; a later record of the same operation and subject replaces it.
+    INTENDED is written before the change, so that every change has a record;
+    a later record of the same operation and subject replaces it.
     """
 
     INTENDED = "intended"
@@ -54,18 +55,19 @@
 
 
 class Record(pydantic.BaseModel):
-    """One entry of the trail.
+    """One record of the trail.
 
     Attributes:
       time: when it was recorded, in UTC.
-      actor: the operator, or the node.
-      action: what was done.
-      subject: to what, such as "service/riders" or "target/riders-1".
-      operation: id of the operation; the same on all its records.
-      outcome: how it ended.
-      from_version: version that was replaced; 0 if none.
-      to_version: version that was written; 0 where there is none.
-      detail: for people; no bodies and no secrets.
+      actor: the operator or the node that made the change.
+      action: the kind of change.
+      subject: what was changed, such as "service/riders" or
+        "target/riders-1".
+      operation: id of the operation; the same in all its records.
+      outcome: the outcome of the change.
+      from_version: the version that was replaced; 0 if there is none.
+      to_version: the version that was written; 0 if there is none.
+      detail: a description for people; contains no bodies and no secrets.
     """
 
     model_config = pydantic.ConfigDict(frozen=True)
@@ -88,20 +90,20 @@
     backoff: retries.Backoff,
     sleep: Sleep = asyncio.sleep,
 ) -> expression.Result[None, messages.PlatformError]:
-    """Adds records, however many others write to the same shard.
+    """Appends records to the actor's shard, retrying after conflicts.
 
-    A lost answer leads to a second read: records already there are not added
-    again.
+    Every attempt reads the shard first, so that records which an earlier
+    attempt wrote, but whose response was lost, are not added again.
     """
     name = shard_name(actor)
-    last = messages.PlatformError(messages.Failure.UNAVAILABLE)
+    last_error = messages.PlatformError(messages.Failure.UNAVAILABLE)
     for _ in range(ATTEMPTS):
-        written = await _append_once(platform, name, records)
-        if written.is_ok():
+        result = await _append_once(platform, name, records)
+        if result.is_ok():
             return expression.Ok(None)
-        last = written.error
-        await sleep(backoff.next_seconds(last))
-    return expression.Error(last)
+        last_error = result.error
+        await sleep(backoff.next_seconds(last_error))
+    return expression.Error(last_error)
 
 
 async def _append_once(
@@ -109,50 +111,52 @@
     name: str,
     records: collections.abc.Sequence[Record],
 ) -> expression.Result[messages.StoredObject | None, messages.PlatformError]:
-    found = await platform.get(AUDIT, name)
-    kept: list[Any] = []
+    shard = await platform.get(AUDIT, name)
+    stored_records: list[Any] = []
     version = 0
-    if found.is_ok():
-        # Raw, so that records of a newer release are not lost.
-        kept = list(found.ok.value.get("records", ()))
-        version = found.ok.version
-    elif found.error.failure is not messages.Failure.NOT_FOUND:
-        return expression.Error(found.error)
-    added = [item.model_dump(mode="json") for item in records]
-    fresh = [item for item in added if item not in kept]
-    if not fresh:
+    if shard.is_ok():
+        # Not validated, so that records of a newer release are kept.
+        stored_records = list(shard.ok.value.get("records", ()))
+        version = shard.ok.version
+    elif shard.error.failure is not messages.Failure.NOT_FOUND:
+        return expression.Error(shard.error)
+    encoded = [item.model_dump(mode="json") for item in records]
+    missing = [item for item in encoded if item not in stored_records]
+    if not missing:
         return expression.Ok(None)
-    value = {"records": [*kept, *fresh][-RECORDS_PER_SHARD:]}
-    written = await platform.put(AUDIT, name, value, version)
-    return written.map(lambda stored: stored)
+    value = {"records": [*stored_records, *missing][-RECORDS_PER_SHARD:]}
+    result = await platform.put(AUDIT, name, value, version)
+    return result.map(lambda stored: stored)
 
 
 async def read(
     platform: client.PlatformClient,
 ) -> expression.Result[list[Record], messages.PlatformError]:
-    """The whole trail, oldest first, one record for each change."""
-    found = await platform.list(AUDIT)
-    if found.is_error():
-        return expression.Error(found.error)
+    """Reads the whole trail, oldest first, one record for each change."""
+    listing = await platform.list(AUDIT)
+    if listing.is_error():
+        return expression.Error(listing.error)
     latest: dict[tuple[str, str], Record] = {}
-    records = [item for shard in found.ok.objects for item in records_of(shard)]
+    records = [
+        item for shard in listing.ok.objects for item in records_of(shard)
+    ]
     for item in sorted(records, key=lambda record: record.time):
         latest[item.operation, item.subject] = item
     return expression.Ok(sorted(latest.values(), key=lambda item: item.time))
 
 
 def records_of(stored: messages.StoredObject) -> tuple[Record, ...]:
-    """The records of one shard that can be read."""
-    found = []
+    """Decodes the records of one shard and skips invalid ones."""
+    records = []
     for item in stored.value.get("records", ()):
         try:
-            found.append(Record.model_validate(item))
+            records.append(Record.model_validate(item))
         except pydantic.ValidationError:
-            # Of a newer release; the rest is still worth showing.
+            # A newer release may have written it; the others are still shown.
             continue
-    return tuple(found)
+    return tuple(records)
 
 
 def shard_name(actor: str) -> str:
-    """The shard that holds an actor's records."""
+    """Returns the name of the shard that holds an actor's records."""
     return f"shard-{zlib.crc32(actor.encode()) % SHARDS:02d}"
--- a/endivewind/durable/auditor.py
+++ b/endivewind/durable/auditor.py
@@ -1,4 +1,9 @@
-"""Records in the audit trail what a node does: verdicts, drains, membership."""
+"""Records a node's actions in the audit trail.
+
+The actions are ejections and returns of targets, drains, and the node's own
+joins and leaves. Records are queued and written in batches, so that no action
+waits for the platform.
+"""
 
 import asyncio
 import collections
@@ -17,16 +22,16 @@
 
 log = logging.getLogger(__name__)
 
-# Records wait this long, so that many of one moment make one write.
+# The mean delay of a write, so that records close in time share one.
 BATCH_WAIT = datetime.timedelta(seconds=1)
-# While the platform is away for hours the oldest records are dropped first.
+# During long outages of the platform the oldest records are dropped first.
 MAX_WAITING = 500
 
 Causes = collections.abc.Mapping[str, str]
 
 
 class Auditor:
-    """Keeps records until they are written; never holds up what they tell."""
+    """Queues records until they are written; does not delay the actions."""
 
     def __init__(
         self,
@@ -38,16 +43,16 @@
         *,
         to_platform: bool = True,
     ) -> None:
-        """Starts with nothing to write.
+        """Starts with an empty queue.
 
         Args:
           node: the node's name.
-          incarnation: this start of it.
-          platform: where records are kept.
-          clock: dates the records.
-          rng: spreads the writes of a fleet.
-          to_platform: whether records are written there; each write is a call
-            that is paid for. They are logged in any case.
+          incarnation: the node's incarnation.
+          platform: the store that keeps the records.
+          clock: gives the records' times.
+          rng: adds jitter, which spreads the writes of a fleet.
+          to_platform: whether records are written to the platform, which
+            bills each write as a call. They are logged in any case.
         """
         self._to_platform = to_platform
         self._node = node
@@ -56,55 +61,62 @@
         self._clock = clock
         self._rng = rng
         self._numbers = itertools.count(1)
-        self._known: dict[str, records.TargetRecord] = {}
-        self._waiting: collections.deque[audit.Record] = collections.deque(
+        self._last_targets: dict[str, records.TargetRecord] = {}
+        self._pending: collections.deque[audit.Record] = collections.deque(
             maxlen=MAX_WAITING
         )
-        self._wake = asyncio.Event()
+        self._has_pending = asyncio.Event()
 
     @property
     def waiting(self) -> tuple[audit.Record, ...]:
-        """Records that are not written yet."""
-        return tuple(self._waiting)
+        """The records that have not been written yet."""
+        return tuple(self._pending)
 
     def membership(self, action: audit.Action) -> None:
-        """Records that this node joins or leaves."""
+        """Records that this node joins or leaves the fleet."""
         self._add(action, f"node/{self._node}", "")
 
     def targets(
-        self, held: collections.abc.Iterable[records.TargetRecord], why: Causes
+        self,
+        home_targets: collections.abc.Iterable[records.TargetRecord],
+        causes: Causes,
     ) -> None:
-        """Records what has changed among this node's own targets."""
-        now = {item.id: item for item in held}
-        for name, item in now.items():
-            for action in _actions(self._known.get(name), item):
-                self._add(action, f"target/{name}", why.get(name, ""))
-        self._known = now
+        """Records the changes among this node's own targets.
+
+        Args:
+          home_targets: all targets of this home.
+          causes: the causes of ejections, by target id.
+        """
+        targets = {item.id: item for item in home_targets}
+        for name, item in targets.items():
+            for action in _actions(self._last_targets.get(name), item):
+                self._add(action, f"target/{name}", causes.get(name, ""))
+        self._last_targets = targets
 
     async def run(self) -> None:
-        """Writes for ever; what can't be written stays for the next time."""
+        """Writes records until cancelled; failed writes are retried."""
         while True:
-            await self._wake.wait()
-            longest = 2 * BATCH_WAIT.total_seconds()
-            await asyncio.sleep(self._rng.uniform(0, longest))
+            await self._has_pending.wait()
+            max_delay = 2 * BATCH_WAIT.total_seconds()
+            await asyncio.sleep(self._rng.uniform(0, max_delay))
             await self.flush()
-            if not self._waiting:
-                self._wake.clear()
+            if not self._pending:
+                self._has_pending.clear()
 
     async def flush(self) -> None:
-        """Writes what waits, if the platform takes it."""
-        batch = tuple(self._waiting)
+        """Writes the pending records and keeps them if the write fails."""
+        batch = tuple(self._pending)
         if not batch:
             return
         backoff = retries.Backoff(self._rng)
-        written = await audit.append(self._platform, self._node, batch, backoff)
-        if written.is_error():
-            log.warning("audit records wait: %s", written.error)
+        result = await audit.append(self._platform, self._node, batch, backoff)
+        if result.is_error():
+            log.warning("audit records not written yet: %s", result.error)
             return
-        done = set(batch)
-        left = [item for item in self._waiting if item not in done]
-        self._waiting.clear()
-        self._waiting.extend(left)
+        written = set(batch)
+        unwritten = [item for item in self._pending if item not in written]
+        self._pending.clear()
+        self._pending.extend(unwritten)
 
     def _add(self, action: audit.Action, subject: str, detail: str) -> None:
         record = audit.Record(
@@ -118,13 +130,14 @@
         log.info("audit", extra=logs.fields(**record.model_dump(mode="json")))
         if not self._to_platform:
             return
-        self._waiting.append(record)
-        self._wake.set()
+        self._pending.append(record)
+        self._has_pending.set()
 
 
 def _actions(
     before: records.TargetRecord | None, after: records.TargetRecord
 ) -> collections.abc.Iterator[audit.Action]:
+    """Yields the actions that lead from one record of a target to the next."""
     health = before.health if before else records.Health.NORMAL
     if after.health is not health:
         if after.health is records.Health.EJECTED:
--- a/endivewind/platform/__init__.py
+++ b/endivewind/platform/__init__.py
@@ -1,5 +1,6 @@
-"""The adapter to the users' platform: its names, formats and calls.
+"""Adapter to the operators' platform: its names, formats and calls.
 
-Nothing here decides. What the platform's pages call an attempt, a machine or
-a back end is decoded here once, into the project's own types.
+This package makes no decisions. It translates the platform's terms (attempt,
+instance, tenant) into the project's own types, so that the rest of the code
+does not depend on the platform's wire format.
 """
--- a/endivewind/platform/client.py
+++ b/endivewind/platform/client.py
@@ -1,4 +1,9 @@
-"""Client of the platform's store: get, list, put, delete, watch."""
+"""Client of the platform's object store: get, list, put, delete and watch.
+
+Writes are conditional on an object's version (optimistic concurrency). All
+parts of a node that read or write the store share one client and its call
+budget.
+"""
 
 import asyncio
 import collections
@@ -23,20 +28,21 @@
 
 log = logging.getLogger(__name__)
 
-# The store answers in some milliseconds; a region's round trip is 60 ms.
+# The store responds within milliseconds; a round trip between regions takes
+# 60 ms.
 CALL_TIMEOUT = datetime.timedelta(seconds=3)
-# The store holds a watch for 30 s at most.
+# The store holds a watch open for at most 30 s.
 WATCH_WAIT = datetime.timedelta(seconds=30)
-# An answer of the store is about 1 MB at most; no genuine one is longer.
+# Genuine responses of the store are at most about 1 MB long.
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 
-# A connection that has gone silent shows by this: a watch waits for half a
-# minute and would hear of no change all the while.
-_IDLE_BEFORE_PROBE = datetime.timedelta(seconds=2)
-_PROBE_GAP = datetime.timedelta(seconds=1)
-_LOST_PROBES = 2
+# TCP keepalive detects dead connections. A watch waits for half a minute and
+# would otherwise miss every change during that time.
+_KEEPALIVE_IDLE_TIME = datetime.timedelta(seconds=2)
+_KEEPALIVE_INTERVAL = datetime.timedelta(seconds=1)
+_MAX_LOST_KEEPALIVES = 2
 _SECOND = datetime.timedelta(seconds=1)
-# After every name that an object may have.
+# Sorts after every valid object name.
 _LAST_NAME = "~"
 
 AnswerT = TypeVar("AnswerT")
@@ -51,31 +57,31 @@
 
 
 def session() -> aiohttp.ClientSession:
-    """A session whose connections find out when they have gone silent."""
-    connector = aiohttp.TCPConnector(socket_factory=_probing_socket)
+    """Makes an HTTP session that detects dead connections by keepalive."""
+    connector = aiohttp.TCPConnector(socket_factory=_make_keepalive_socket)
     return aiohttp.ClientSession(connector=connector)
 
 
-def _probing_socket(info: aiohttp.AddrInfoType) -> socket.socket:
+def _make_keepalive_socket(info: aiohttp.AddrInfoType) -> socket.socket:
     family, kind, protocol, _, _ = info
-    made = socket.socket(family, kind, protocol)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    keepalive_socket = socket.socket(family, kind, protocol)
+    keepalive_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
-        (socket.TCP_KEEPIDLE, _IDLE_BEFORE_PROBE // _SECOND),
-        (socket.TCP_KEEPINTVL, _PROBE_GAP // _SECOND),
-        (socket.TCP_KEEPCNT, _LOST_PROBES),
+        (socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_TIME // _SECOND),
+        (socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL // _SECOND),
+        (socket.TCP_KEEPCNT, _MAX_LOST_KEEPALIVES),
     ):
-        made.setsockopt(socket.IPPROTO_TCP, option, value)
-    return made
+        keepalive_socket.setsockopt(socket.IPPROTO_TCP, option, value)
+    return keepalive_socket
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """What a call does, for counting.
+    """Labels under which calls are counted.
 
     Attributes:
       word: get, list, watch, put, post or delete.
-      kind: of the objects that it is about.
+      kind: the kind of objects that the call reads or writes.
     """
 
     word: str
@@ -83,9 +89,10 @@
 
 
 class PlatformClient:
-    """Calls the store; every failure is a value, none is raised.
+    """Calls the store; failures are returned as values, not raised.
 
-    Calls keep to a budget, a waiting watch counting as one.
+    The number of calls is limited by a budget. A waiting watch counts as a
+    call in progress.
     """
 
     def __init__(
@@ -102,73 +109,76 @@
 
     @property
     def calls(self) -> collections.abc.Mapping[Call, int]:
-        """Calls made since the start; each is paid for."""
+        """Numbers of calls since the start; the platform bills each call."""
         return self._calls
 
     @property
     def budget(self) -> retries.CallBudget:
-        """The calls that this process may make."""
+        """The limit on the calls of this process."""
         return self._budget
 
     def move(self, url: str) -> None:
-        """Calls the store at another address from the next call on."""
+        """Sets the store's address for all further calls."""
         self._url = url.rstrip("/")
 
     async def get(
         self, kind: str, name: str
     ) -> expression.Result[messages.StoredObject, messages.PlatformError]:
         """Reads one object."""
-        found = await self._call(
-            "GET", _object(kind, name), lambda body: wire.object_in(kind, body)
+        result = await self._call(
+            "GET",
+            _object_path(kind, name),
+            lambda body: wire.object_in(kind, body),
         )
-        return _named(found, kind, name)
+        return _check_name(result, kind, name)
 
     async def list(
         self, kind: str, *, stale: bool = False
     ) -> expression.Result[messages.Listing, messages.PlatformError]:
         """Reads all objects of a kind.
 
-        The revision is that of the first part read, so that a watch from it
-        tells every change that a later part may have missed.
+        The revision is that of the first page, so that a watch from it
+        reports every change that a later page may have missed.
 
         Args:
-          kind: which objects.
-          stale: whether a state of some seconds ago will do; such a call
+          kind: the kind of objects.
+          stale: whether a listing that is some seconds old is acceptable; it
             costs a tenth, and a watch from its revision catches up.
         """
         query = {"allow_stale": 1} if stale else {}
         objects: list[messages.StoredObject] = []
         revision: int | None = None
-        path = _kind(kind, **query)
+        path = _kind_path(kind, **query)
         while True:
-            found = await self._call(
+            result = await self._call(
                 "GET", path, lambda body: wire.page_in(kind, body)
             )
-            if found.is_error():
-                return expression.Error(found.error)
-            page = found.ok
+            if result.is_error():
+                return expression.Error(result.error)
+            page = result.ok
             objects.extend(page.objects)
             revision = page.revision if revision is None else revision
             if not page.has_more or not page.objects:
                 break
-            path = _kind(kind, **query, after=page.objects[-1].name)
+            path = _kind_path(kind, **query, after=page.objects[-1].name)
         listing = messages.Listing(revision=revision, objects=tuple(objects))
         return expression.Ok(listing)
 
     async def revision(
         self, kind: str
     ) -> expression.Result[int, messages.PlatformError]:
-        """The store's revision now: equal to an earlier one, nothing changed.
+        """Reads the store's current revision.
 
-        Asked for as the rest of a listing that has none, which costs a call
-        but no bytes. A watch will not do: it may be cut off from changes.
+        If it equals an earlier one, nothing has changed since. The call
+        requests an empty last page of a listing, which transfers no objects.
+        A watch would not prove this, as it may be cut off from changes.
         """
-        found = await self._call(
+        result = await self._call(
             "GET",
-            _kind(kind, after=_LAST_NAME),
+            _kind_path(kind, after=_LAST_NAME),
             lambda body: wire.page_in(kind, body),
         )
-        return found.map(lambda page: page.revision)
+        return result.map(lambda page: page.revision)
 
     async def put(
         self, kind: str, name: str, value: dict[str, Any], expected: int
@@ -179,31 +189,34 @@
           kind: the object's kind.
           name: the object's name.
           value: the new JSON value.
-          expected: version read before; 0 where the object must not exist.
+          expected: the version read before; 0 if the object must not exist.
 
         Returns:
-          The object as written. UNAVAILABLE and INVALID leave open whether
-          it was; writing.write() resolves that.
+          The object as written. After UNAVAILABLE or INVALID the write may
+          have taken effect; conditional_writes.write() resolves that.
         """
-        method, path = "PUT", _object(kind, name)
+        method, path = "PUT", _object_path(kind, name)
         if not expected:
-            method, path = "POST", _kind(kind)
-        written = await self._call(
+            method, path = "POST", _kind_path(kind)
+        result = await self._call(
             method,
             path,
             lambda body: wire.object_in(kind, body),
             wire.object_out(name, value, expected or None),
         )
-        written = _named(written, kind, name)
-        if written.is_ok() and written.ok.value != value:
-            return _error(messages.Failure.INVALID, "another value")
-        return written
+        result = _check_name(result, kind, name)
+        if result.is_ok() and result.ok.value != value:
+            return _error(
+                messages.Failure.INVALID,
+                "the response holds another value than the one written",
+            )
+        return result
 
     async def delete(
         self, kind: str, name: str, expected: int
     ) -> expression.Result[None, messages.PlatformError]:
         """Deletes one object if its version is still the expected one."""
-        path = _object(kind, name, revision=expected)
+        path = _object_path(kind, name, revision=expected)
         return await self._call("DELETE", path, lambda body: None)
 
     async def watch(
@@ -212,16 +225,16 @@
         revision: int,
         wait: datetime.timedelta = WATCH_WAIT,
     ) -> expression.Result[messages.Listing, messages.PlatformError]:
-        """Waits for changes of a kind's objects after a revision.
+        """Waits for changes to objects of a kind after a revision.
 
         Returns:
-          What has changed, empty when the wait ran out; a removed object has
-          an empty value. COMPACTED asks for a new listing.
+          The changed objects, none after a timeout; a removed object has an
+          empty value. After COMPACTED a new listing is needed.
         """
         wait_ms = wait // datetime.timedelta(milliseconds=1)
         return await self._call(
             "GET",
-            _kind(kind, watch=revision, wait_ms=wait_ms),
+            _kind_path(kind, watch=revision, wait_ms=wait_ms),
             lambda body: wire.events_in(kind, body),
             timeout=wait + CALL_TIMEOUT,
         )
@@ -234,9 +247,9 @@
         value: dict[str, Any] | None = None,
         timeout: datetime.timedelta = CALL_TIMEOUT,
     ) -> expression.Result[AnswerT, messages.PlatformError]:
-        if not await self._admitted():
-            return _error(messages.Failure.THROTTLED, "call budget used up")
-        self._calls[_call_of(method, path)] += 1
+        if not await self._wait_for_budget():
+            return _error(messages.Failure.THROTTLED, "call budget exhausted")
+        self._calls[_call_labels(method, path)] += 1
         try:
             async with self._session.request(
                 method,
@@ -245,23 +258,26 @@
                 headers={"Content-Type": "application/json"},
                 timeout=aiohttp.ClientTimeout(total=timeout.total_seconds()),
             ) as response:
-                body = await _bounded(response)
+                body = await _read_body(response)
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             detail = str(error) or type(error).__name__
             return _error(messages.Failure.UNAVAILABLE, detail)
         finally:
             self._budget.end()
         if body is None:
-            return _error(messages.Failure.INVALID, "the answer is too long")
+            return _error(
+                messages.Failure.INVALID,
+                "the response exceeds the maximum length",
+            )
         if response.status >= 400:
-            return _refused(response, path, body)
+            return _status_error(response, path, body)
         try:
             return expression.Ok(decode(body))
         except pydantic.ValidationError as error:
             return _error(messages.Failure.INVALID, wire.problem_line(error))
 
-    async def _admitted(self) -> bool:
-        """Waits for the budget, but no longer than a call may take."""
+    async def _wait_for_budget(self) -> bool:
+        """Waits until the budget allows a call, at most the call timeout."""
         waited = datetime.timedelta()
         while waited <= CALL_TIMEOUT:
             wait = self._budget.start(self._clock.monotonic())
@@ -273,21 +289,21 @@
         return False
 
 
-def _call_of(method: str, path: str) -> Call:
-    plain, _, query = path.partition("?")
-    _, _, kind, *name = plain.split("/")
+def _call_labels(method: str, path: str) -> Call:
+    path_only, _, query = path.partition("?")
+    _, _, kind, *name = path_only.split("/")
     word = method.lower()
     if method == "GET" and not name:
         word = "watch" if "watch=" in query else "list"
     return Call(word, kind)
 
 
-def _kind(kind: str, **query: Any) -> str:
+def _kind_path(kind: str, **query: Any) -> str:
     path = names.OBJECTS_PATH.format(kind=urllib.parse.quote(kind, safe=""))
     return path + ("?" + urllib.parse.urlencode(query) if query else "")
 
 
-def _object(kind: str, name: str, **query: Any) -> str:
+def _object_path(kind: str, name: str, **query: Any) -> str:
     quoted = urllib.parse.quote(name, safe="")
     path = names.OBJECT_PATH.format(
         kind=urllib.parse.quote(kind, safe=""), name=quoted
@@ -295,17 +311,17 @@
     return path + ("?" + urllib.parse.urlencode(query) if query else "")
 
 
-async def _bounded(response: aiohttp.ClientResponse) -> bytes | None:
-    """The whole body; None if it is longer than any genuine one."""
-    parts: list[bytes] = []
+async def _read_body(response: aiohttp.ClientResponse) -> bytes | None:
+    """Returns the whole body, or None if it exceeds the maximum length."""
+    chunks: list[bytes] = []
     total = 0
-    async for part in response.content.iter_any():
-        total += len(part)
+    async for chunk in response.content.iter_any():
+        total += len(chunk)
         if total > MAX_ANSWER_BYTES:
             response.close()
             return None
-        parts.append(part)
-    return b"".join(parts)
+        chunks.append(chunk)
+    return b"".join(chunks)
 
 
 def _error(
@@ -319,19 +335,22 @@
     )
 
 
-def _named(
-    found: expression.Result[messages.StoredObject, messages.PlatformError],
+def _check_name(
+    result: expression.Result[messages.StoredObject, messages.PlatformError],
     kind: str,
     name: str,
 ) -> expression.Result[messages.StoredObject, messages.PlatformError]:
-    """Refuses the answer to another call, as crossed connections give it."""
-    if found.is_ok() and found.ok.name != name:
-        seen = f"{kind}/{found.ok.name}"
-        return _error(messages.Failure.INVALID, f"asked otherwise, got {seen}")
-    return found
+    """Rejects a response for another object, from a mixed-up connection."""
+    if result.is_ok() and result.ok.name != name:
+        received = f"{kind}/{result.ok.name}"
+        return _error(
+            messages.Failure.INVALID,
+            f"the response is for another object: {received}",
+        )
+    return result
 
 
-def _refused(
+def _status_error(
     response: aiohttp.ClientResponse, path: str, body: bytes
 ) -> expression.Result[Any, messages.PlatformError]:
     failure = _FAILURES.get(response.status)
@@ -346,11 +365,12 @@
     current = None
     if failure is messages.Failure.CONFLICT:
         try:
-            named = urllib.parse.unquote(path.split("/")[2])
-            current = wire.object_in(named, body)
+            object_kind = urllib.parse.unquote(path.split("/")[2])
+            current = wire.object_in(object_kind, body)
         except pydantic.ValidationError as error:
             log.debug(
-                "a conflict without its object: %s", wire.problem_line(error)
+                "conflict response without a valid object: %s",
+                wire.problem_line(error),
             )
     return _error(failure, detail, current, _retry_after(response))
 
@@ -358,7 +378,7 @@
 def _retry_after(
     response: aiohttp.ClientResponse,
 ) -> datetime.timedelta | None:
-    given = response.headers.get("Retry-After", "")
-    if not (given.isascii() and given.isdigit() and len(given) < 5):
+    text = response.headers.get("Retry-After", "")
+    if not (text.isascii() and text.isdigit() and len(text) < 5):
         return None
-    return datetime.timedelta(seconds=int(given))
+    return datetime.timedelta(seconds=int(text))
--- a/endivewind/platform/configuration.py
+++ b/endivewind/platform/configuration.py
@@ -1,4 +1,8 @@
-"""Decodes the operator's configuration into the project's own document."""
+"""Decodes the operators' configuration into the project's own document.
+
+The configuration reader calls decode() for each object that it reads from
+the platform's store.
+"""
 
 from typing import Annotated
 from typing import Any
@@ -14,9 +18,10 @@
 from endivewind.platform import names
 from endivewind.platform import wire
 
-_HEX = 16
-# What may run more than once; a download is a look-up with a large answer.
-_REPEAT = {
+_VERSION_BASE = 16
+# Route types whose requests are idempotent; a download is a read with a large
+# response.
+_REPEAT_POLICIES = {
     "safe": objects.Repeat.ALWAYS,
     "download": objects.Repeat.ALWAYS,
 }
@@ -35,10 +40,11 @@
     """A route as the operator writes it.
 
     Attributes:
-      route_type: "safe" or "download" for work that may run more than once;
-        all else may run at most once.
-      timeout_s: longest time that a caller is kept waiting.
-      target_latency_s: time within which an answer earns most.
+      route_type: "safe" or "download" for idempotent requests; requests of
+        any other type run at most once.
+      timeout_s: the longest time that a caller waits.
+      target_latency_s: the latency objective; a response within it has the
+        highest value.
       priority: 0 is the most important.
     """
 
@@ -58,10 +64,10 @@
     """A workspace as the operator writes it.
 
     Attributes:
-      api_keys: the keys that it holds, as callers send them.
-      priority: goes before that of the routes; 0 is the most important.
-      rate_per_s: requests a second over all nodes; 0 is no limit.
-      burst: requests besides.
+      api_keys: its keys, as callers send them.
+      priority: overrides the priority of routes; 0 is the most important.
+      rate_per_s: requests per second over all nodes; 0 means no limit.
+      burst: requests allowed at once above the rate.
     """
 
     api_keys: list[str] = []
@@ -106,7 +112,7 @@
 
 
 class _Unknown(pydantic.BaseModel):
-    """A resource of a later release; it is passed over."""
+    """A resource type of a later release, which is ignored."""
 
 
 _Resource = Annotated[
@@ -123,31 +129,33 @@
 def decode(
     stored: messages.StoredObject, defaults: objects.Service
 ) -> expression.Result[messages.StoredObject, str]:
-    """The project's own object for the operator's.
+    """Decodes the operator's object into the project's own document object.
 
     Args:
-      stored: the object as the platform keeps it.
-      defaults: what a service gets where the operator says nothing.
+      stored: the object as the platform stores it.
+      defaults: the settings of a service that the operator leaves out.
 
     Returns:
-      The document under the operator's version, or why it can't be read.
+      The document under the operator's version, or why it is invalid.
     """
     try:
-        given = _Configuration.model_validate(stored.value)
-        document = _document(given.resources, defaults)
-        nowhere = [item for item in document.routes if not _leads(item)]
-        if nowhere:
-            return expression.Error(f"{nowhere[0].prefix} leads nowhere")
-        held = _held_keys(given.resources)
-        if held.is_error():
-            return expression.Error(held.error)
-        document = document.model_copy(update={"keys": held.ok})
+        decoded = _Configuration.model_validate(stored.value)
+        document = _decode_document(decoded.resources, defaults)
+        unrouted = [item for item in document.routes if not _has_service(item)]
+        if unrouted:
+            return expression.Error(
+                f"route {unrouted[0].prefix} names no service"
+            )
+        keys = _decode_keys(decoded.resources)
+        if keys.is_error():
+            return expression.Error(keys.error)
+        document = document.model_copy(update={"keys": keys.ok})
     except pydantic.ValidationError as error:
         return expression.Error(wire.problem_line(error))
     envelope = store.Envelope(
         spec=document.model_dump(mode="json", exclude_defaults=True),
-        operation=given.version,
-        version=int(given.version, _HEX),
+        operation=decoded.version,
+        version=int(decoded.version, _VERSION_BASE),
     )
     return expression.Ok(
         messages.StoredObject(
@@ -159,7 +167,7 @@
     )
 
 
-def _document(
+def _decode_document(
     resources: list[Any], defaults: objects.Service
 ) -> objects.Document:
     services: dict[str, objects.Service] = {}
@@ -169,14 +177,16 @@
     for item in resources:
         match item:
             case _Service():
-                services[item.metadata.name] = _service(item.spec, defaults)
+                services[item.metadata.name] = _decode_service(
+                    item.spec, defaults
+                )
             case _Route():
-                routes.append(_route(item.spec))
+                routes.append(_decode_route(item.spec))
             case _Tenant():
                 name = item.metadata.name
-                workspaces[name] = _workspace(name, item.spec)
+                workspaces[name] = _decode_workspace(name, item.spec)
             case _Limits():
-                limits = _limits(item.spec)
+                limits = _decode_limits(item.spec)
     return objects.Document(
         services=services,
         routes=tuple(routes),
@@ -186,15 +196,15 @@
     )
 
 
-def _held_keys(
+def _decode_keys(
     resources: list[Any],
 ) -> expression.Result[dict[str, str], str]:
-    """The workspace that holds each key, by digest, or what is wrong.
+    """Returns the workspace of each key by the key's digest, or the problem.
 
-    Problems name the workspace and the key's place in its list, since a key
-    itself must not reach a log.
+    A problem names the workspace and the key's index in its list, since keys
+    must not be logged.
     """
-    holders: dict[str, str] = {}
+    workspaces: dict[str, str] = {}
     for item in resources:
         if not isinstance(item, _Tenant):
             continue
@@ -204,17 +214,19 @@
             checked = caller_keys.checked_digest(key)
             if checked.is_error():
                 return expression.Error(f"{place}: {checked.error}")
-            known = holders.setdefault(checked.ok, name)
+            known = workspaces.setdefault(checked.ok, name)
             if known != name:
-                return expression.Error(f"{place}: {known} holds it as well")
-    return expression.Ok(holders)
+                return expression.Error(f"{place}: {known} has the same key")
+    return expression.Ok(workspaces)
 
 
-def _leads(route: objects.Route) -> bool:
+def _has_service(route: objects.Route) -> bool:
     return bool(route.service or route.split)
 
 
-def _service(spec: _ServiceSpec, defaults: objects.Service) -> objects.Service:
+def _decode_service(
+    spec: _ServiceSpec, defaults: objects.Service
+) -> objects.Service:
     return defaults.model_copy(
         update={
             "health_path": spec.health_path,
@@ -223,8 +235,8 @@
     )
 
 
-def _workspace(name: str, spec: _TenantSpec) -> objects.Workspace:
-    """A workspace; on this platform each is a firm of its own."""
+def _decode_workspace(name: str, spec: _TenantSpec) -> objects.Workspace:
+    """Decodes a workspace; on this platform each is a firm of its own."""
     return objects.Workspace(
         firm=name,
         rate=spec.rate_per_s,
@@ -233,7 +245,7 @@
     )
 
 
-def _route(spec: _RouteSpec) -> objects.Route:
+def _decode_route(spec: _RouteSpec) -> objects.Route:
     split = tuple(
         objects.Share(service=item.service, weight=item.weight)
         for item in spec.traffic_split
@@ -243,23 +255,23 @@
         prefix=spec.path_prefix,
         service="" if split else spec.service,
         split=split,
-        repeat=_REPEAT.get(spec.route_type, objects.Repeat.NEVER),
+        repeat=_REPEAT_POLICIES.get(spec.route_type, objects.Repeat.NEVER),
         rank=spec.priority,
-        timeout_ms=_milliseconds(spec.timeout_s),
-        aim_ms=_milliseconds(spec.target_latency_s),
+        timeout_ms=_to_milliseconds(spec.timeout_s),
+        aim_ms=_to_milliseconds(spec.target_latency_s),
         attempts=spec.max_attempts,
         anonymous=spec.anonymous,
     )
 
 
-def _limits(spec: _LimitsSpec) -> objects.CallerLimits:
+def _decode_limits(spec: _LimitsSpec) -> objects.CallerLimits:
     return objects.CallerLimits(
         header_bytes=spec.max_header_bytes,
         body_bytes=spec.max_body_bytes,
-        header_timeout_ms=_milliseconds(spec.header_timeout_s),
-        idle_timeout_ms=_milliseconds(spec.idle_timeout_s),
+        header_timeout_ms=_to_milliseconds(spec.header_timeout_s),
+        idle_timeout_ms=_to_milliseconds(spec.idle_timeout_s),
     )
 
 
-def _milliseconds(seconds: float) -> int:
+def _to_milliseconds(seconds: float) -> int:
     return round(seconds * 1000)
--- a/endivewind/platform/heartbeats.py
+++ b/endivewind/platform/heartbeats.py
@@ -1,4 +1,8 @@
-"""The calls by which targets of the platform tell of themselves."""
+"""The HTTP API by which the platform's targets announce themselves.
+
+Translates heartbeats and deregistrations into announcements of the project's
+own target registration. Each heartbeat renews the target's lease.
+"""
 
 import collections.abc
 import logging
@@ -16,8 +20,8 @@
 
 log = logging.getLogger(__name__)
 
-# Targets send a heartbeat about this often at the slowest that is known; a
-# lease of four of them outlives a late one and two that were lost.
+# A lease of four heartbeat intervals survives one late heartbeat and two lost
+# ones.
 LEASE_BEATS = 4
 MAX_LEASE_MS = 60_000
 _STATES = {
@@ -41,8 +45,9 @@
     """What a target sends.
 
     Attributes:
-      address: host and port where it takes requests.
-      born: Unix millisecond of its start; orders the starts at one address.
+      address: host and port at which it accepts requests.
+      born: time of its start in Unix milliseconds; orders the incarnations at
+        one address.
     """
 
     address: pydantic.StrictStr
@@ -52,7 +57,7 @@
 
 
 class _Deregistration(pydantic.BaseModel):
-    """A target's leave; most of them say nothing of its start."""
+    """A target's departure; most targets leave out their start time."""
 
     born: pydantic.StrictInt = pydantic.Field(default=0, ge=0)
 
@@ -61,35 +66,36 @@
 
 
 async def at_once() -> None:
-    """For a home that has nothing to wait for."""
+    """Returns at once, for a home that need not wait for its peers."""
 
 
 class HeartbeatApi:
-    """Passes heartbeats and deregistrations on, in the project's words."""
+    """Forwards heartbeats and deregistrations to the target registration."""
 
     def __init__(
         self,
         targets: registration.Registration,
         heartbeat_ms: collections.abc.Callable[[], int],
         clock: clocks.Clock,
-        settled: Settled = at_once,
+        wait_for_peers: Settled = at_once,
     ) -> None:
         """Builds the API.
 
         Args:
-          targets: takes the announcements.
-          heartbeat_ms: how often targets send one.
-          clock: that of the target's VM, by which it numbers its starts.
-          settled: waits until this home knows what its peers remember of its
-            targets.
+          targets: receives the announcements.
+          heartbeat_ms: returns the heartbeat interval of the targets.
+          clock: the clock of the targets' VM, from which they take their
+            incarnations.
+          wait_for_peers: waits until this home has received its peers' state
+            of its targets.
         """
         self._clock = clock
-        self._settled = settled
+        self._wait_for_peers = wait_for_peers
         self._targets = targets
         self._heartbeat_ms = heartbeat_ms
 
     def application(self) -> web.Application:
-        """The routes of the API."""
+        """Makes the web application with the routes of the API."""
         app = web.Application()
         app.router.add_post(names.HEARTBEAT_PATH, self._heartbeat)
         app.router.add_post(names.DEREGISTER_PATH, self._deregister)
@@ -98,50 +104,52 @@
     async def _heartbeat(self, request: web.Request) -> web.Response:
         target = request.match_info["id"]
         try:
-            given = _Heartbeat.model_validate_json(await request.read())
-            announcement = self._announcement(given)
+            heartbeat = _Heartbeat.model_validate_json(await request.read())
+            announcement = self._make_announcement(heartbeat)
         except pydantic.ValidationError as error:
-            return _bad(target, error)
-        await self._settled()
-        refused = self._targets.announce(target, announcement)
-        if refused is not None:
-            return web.json_response({"title": refused}, status=409)
+            return _bad_request(target, error)
+        await self._wait_for_peers()
+        refusal = self._targets.announce(target, announcement)
+        if refusal is not None:
+            return web.json_response({"title": refusal}, status=409)
         return web.json_response({})
 
     async def _deregister(self, request: web.Request) -> web.Response:
         target = request.match_info["id"]
         try:
             body = await request.read() or b"{}"
-            given = _Deregistration.model_validate_json(body)
+            deregistration = _Deregistration.model_validate_json(body)
         except pydantic.ValidationError as error:
-            return _bad(target, error)
+            return _bad_request(target, error)
         now_ms = round(self._clock.now().timestamp() * 1000)
-        self._targets.withdraw(target, given.born, latest=now_ms)
+        self._targets.withdraw(target, deregistration.born, latest=now_ms)
         return web.json_response({})
 
-    def _announcement(self, given: _Heartbeat) -> registry.Announcement:
-        lease = min(LEASE_BEATS * self._heartbeat_ms(), MAX_LEASE_MS)
-        state = _STATES.get(given.status.state)
-        cold = round(given.status.cold_remaining_s * 1000)
-        if state is records.State.READY and cold:
+    def _make_announcement(
+        self, heartbeat: _Heartbeat
+    ) -> registry.Announcement:
+        lease_ms = min(LEASE_BEATS * self._heartbeat_ms(), MAX_LEASE_MS)
+        state = _STATES.get(heartbeat.status.state)
+        cold_ms = round(heartbeat.status.cold_remaining_s * 1000)
+        if state is records.State.READY and cold_ms:
             state = records.State.COLD
         return registry.Announcement.model_validate(
             {
-                "service": given.info.service,
-                "address": f"http://{given.address}",
-                "incarnation": given.born,
-                "sequence": given.status.sequence,
-                "slots": given.info.slots,
-                # An unknown word is a finding of the announcement's own.
-                "state": state or given.status.state,
-                "cold_ms": cold,
-                "lease_ms": lease,
+                "service": heartbeat.info.service,
+                "address": f"http://{heartbeat.address}",
+                "incarnation": heartbeat.born,
+                "sequence": heartbeat.status.sequence,
+                "slots": heartbeat.info.slots,
+                # The announcement's own validation reports an unknown state.
+                "state": state or heartbeat.status.state,
+                "cold_ms": cold_ms,
+                "lease_ms": lease_ms,
             }
         )
 
 
-def _bad(target: str, error: pydantic.ValidationError) -> web.Response:
+def _bad_request(target: str, error: pydantic.ValidationError) -> web.Response:
     place, problem = wire.first_problem(error)
     fields = logs.fields(target=target, place=place, problem=problem)
-    log.warning("heartbeat that can't be read", extra=fields)
+    log.warning("invalid heartbeat or deregistration", extra=fields)
     return web.json_response({"title": "bad heartbeat"}, status=400)
--- a/endivewind/platform/messages.py
+++ b/endivewind/platform/messages.py
@@ -1,4 +1,4 @@
-"""What the rest of the project sees of the platform's store."""
+"""Types of the platform's store that the rest of the project uses."""
 
 import dataclasses
 import datetime
@@ -9,7 +9,7 @@
 
 
 class Failure(enum.Enum):
-    """Why a call gave no answer that counts."""
+    """Why a call to the store failed."""
 
     CONFLICT = "conflict"
     NOT_FOUND = "not-found"
@@ -23,9 +23,10 @@
     """One object at one version.
 
     Attributes:
-      kind: group of objects, such as "service".
-      name: unique within the kind.
-      version: grows with every write of the store, so also of the object.
+      kind: the group of objects, such as "service".
+      name: the name, unique within the kind.
+      version: the store's revision at the object's last write; it increases
+        with every write.
       value: the JSON value.
     """
 
@@ -38,7 +39,7 @@
 
 
 class Listing(pydantic.BaseModel):
-    """Objects of one kind, as they were at a revision of the store."""
+    """Objects of one kind at a revision of the store."""
 
     revision: int = pydantic.Field(ge=0)
     objects: tuple[StoredObject, ...] = ()
@@ -46,12 +47,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Page:
-    """One part of a listing.
+    """One page of a listing.
 
     Attributes:
-      revision: the store's revision when it was read.
-      objects: ordered by name.
-      has_more: whether objects after the last one were left out.
+      revision: the store's revision when the page was read.
+      objects: the objects, ordered by name.
+      has_more: whether more pages follow.
     """
 
     revision: int
@@ -65,8 +66,8 @@
 
     Attributes:
       failure: the kind of failure.
-      detail: for people.
-      current: on a conflict, the object as it is now.
+      detail: a description for people.
+      current: after a conflict, the object as it is now.
       retry_after: how long the platform asks to wait; None if it does not.
     """
 
--- a/endivewind/platform/names.py
+++ b/endivewind/platform/names.py
@@ -5,8 +5,8 @@
 # Kind and name of the object that holds the whole configuration.
 CONFIGURATION_KIND = "config"
 CONFIGURATION_NAME = "main"
-# Objects of this project's own, one for each node: in one kind, or in one for
-# each availability zone.
+# This project's own objects, one for each node: all of one kind, or of a kind
+# for each availability zone.
 NODE_KIND = "node"
 ZONE_NODE_KIND = "node-{zone}"
 
@@ -17,8 +17,7 @@
 OBJECTS_PATH = "/objects/{kind}"
 OBJECT_PATH = "/objects/{kind}/{name}"
 
-# What callers and targets of the platform say in HTTP headers, by the
-# project's own names of these things.
+# The HTTP headers of the platform's callers and targets.
 HEADERS = headers.HeaderNames(
     request_id="X-Attempt-Id",
     timeout_ms="X-Deadline-Ms",
--- a/endivewind/platform/readiness.py
+++ b/endivewind/platform/readiness.py
@@ -1,4 +1,4 @@
-"""The platform's question whether a node may get new work."""
+"""The platform's readiness check: whether a node may receive new requests."""
 
 import collections.abc
 
@@ -10,12 +10,12 @@
 
 
 def application(not_ready: NotReady) -> web.Application:
-    """Answers 200 where nothing is missing, else 503 with what is."""
+    """Makes an application that responds 200 if ready, or 503 and why not."""
 
     async def ready(request: web.Request) -> web.Response:
-        missing = not_ready()
-        if missing:
-            return web.Response(status=503, text=missing + "\n")
+        reason = not_ready()
+        if reason:
+            return web.Response(status=503, text=reason + "\n")
         return web.Response(text="ready\n")
 
     app = web.Application()
--- a/endivewind/platform/wire.py
+++ b/endivewind/platform/wire.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's store as JSON, and back."""
+"""Encodes and decodes the JSON of the platform's store."""
 
 import json
 from typing import Any
@@ -14,11 +14,11 @@
 
 
 class _WireObject(pydantic.BaseModel):
-    """One object; what this project does not use is passed over.
+    """One object; fields that this project does not use are ignored.
 
     Attributes:
-      metadata: the name, and the store's counter at the last change.
-      spec: the value; anything at all in objects of other writers.
+      metadata: the name, and the store's revision at the last change.
+      spec: the value; of any type in objects of other writers.
     """
 
     metadata: _Metadata
@@ -42,31 +42,43 @@
 
 
 def object_in(kind: str, body: bytes) -> messages.StoredObject:
-    """One object; raises pydantic.ValidationError."""
-    return _stored(kind, _WireObject.model_validate_json(body))
+    """Decodes one object.
+
+    Raises:
+      pydantic.ValidationError: the body is no valid object.
+    """
+    return _to_stored(kind, _WireObject.model_validate_json(body))
 
 
 def page_in(kind: str, body: bytes) -> messages.Page:
-    """One part of a listing; raises pydantic.ValidationError."""
+    """Decodes one page of a listing.
+
+    Raises:
+      pydantic.ValidationError: the body is no valid page.
+    """
     page = _WireListing.model_validate_json(body)
-    objects = tuple(_stored(kind, item) for item in page.items)
+    objects = tuple(_to_stored(kind, item) for item in page.items)
     return messages.Page(page.at_rev, objects, page.has_more)
 
 
 def events_in(kind: str, body: bytes) -> messages.Listing:
-    """What a watch has told; a removal is an object without a value."""
-    found = _WireEvents.model_validate_json(body)
+    """Decodes the events of a watch; a removed object has an empty value.
+
+    Raises:
+      pydantic.ValidationError: the body holds no valid events.
+    """
+    decoded = _WireEvents.model_validate_json(body)
     objects = tuple(
-        _stored(kind, event.object, gone=event.deleted)
-        for event in found.events
+        _to_stored(kind, event.object, is_removed=event.deleted)
+        for event in decoded.events
     )
-    return messages.Listing(revision=found.at_rev, objects=objects)
+    return messages.Listing(revision=decoded.at_rev, objects=objects)
 
 
 def object_out(
     name: str, value: dict[str, Any], revision: int | None = None
 ) -> dict[str, Any]:
-    """An object as calls send it and as the store shows it."""
+    """Encodes an object as requests and responses of the store hold it."""
     metadata: dict[str, Any] = {"name": name, "finalizers": []}
     if revision is not None:
         metadata["revision"] = revision
@@ -74,25 +86,25 @@
 
 
 def first_problem(error: pydantic.ValidationError) -> tuple[str, str]:
-    """Where the first problem of a message is, and what it is."""
+    """Returns the place and the text of the first validation error."""
     first = error.errors(include_url=False, include_input=False)[0]
     return ".".join(str(part) for part in first["loc"]), first["msg"]
 
 
 def problem_line(error: pydantic.ValidationError) -> str:
-    """The first problem of a message with its place, in one line."""
+    """Formats the first validation error and its place in one line."""
     return ": ".join(first_problem(error))
 
 
 def bytes_out(value: dict[str, Any]) -> bytes:
-    """JSON without spaces: its bytes are paid for between regions."""
+    """Encodes JSON without spaces, as traffic between regions is billed."""
     return json.dumps(value, separators=(",", ":")).encode()
 
 
-def _stored(
-    kind: str, item: _WireObject, *, gone: bool = False
+def _to_stored(
+    kind: str, item: _WireObject, *, is_removed: bool = False
 ) -> messages.StoredObject:
-    value = item.spec if isinstance(item.spec, dict) and not gone else {}
+    value = item.spec if isinstance(item.spec, dict) and not is_removed else {}
     return messages.StoredObject(
         kind=kind,
         name=item.metadata.name,
