--- a/endivewind/durable/membership.py
+++ b/endivewind/durable/membership.py
@@ -1,4 +1,8 @@
-"""The nodes' objects in the platform: by zone, written at start, for others."""
+"""The directory of nodes in the platform's store, one list for each zone.
+
+Each node registers at its start; others find it there when they join the
+fleet. Gossip, not this directory, tells which nodes are alive.
+"""
 
 import asyncio
 import collections.abc
@@ -15,19 +19,19 @@
 
 log = logging.getLogger(__name__)
 
-# A start may wait for the platform no longer than this to learn of earlier
-# starts and of the nodes of its zone; an answer takes 60 ms from the farthest
-# region.
+# The longest time that a starting node waits for the list of its zone, which
+# holds its own earlier incarnations and the zone's other nodes. A response
+# from the farthest region takes 60 ms.
 START_TIMEOUT = datetime.timedelta(milliseconds=500)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Registered:
-    """A start of a node that is registered.
+    """The registration of an incarnation of a node.
 
     Attributes:
       node: the node.
-      version: of its object.
+      version: the version of its object.
     """
 
     node: view.NodeRecord
@@ -39,8 +43,9 @@
     """The nodes that are registered in one list of the directory.
 
     Attributes:
-      revision: the platform's when it was so.
-      found: by name; the dead are among them.
+      revision: the store's revision of the listing.
+      registrations: the registrations by node name, including those of dead
+        nodes.
     """
 
     revision: int
@@ -48,7 +53,7 @@
 
     @property
     def addresses(self) -> tuple[str, ...]:
-        """Where these nodes take links."""
+        """The addresses at which these nodes accept links."""
         return tuple(item.node.address for item in self.found.values())
 
 
@@ -56,12 +61,12 @@
 
 
 class Directory:
-    """Where nodes register, zone by zone.
+    """The directory in which nodes register, zone by zone.
 
     Load: hundreds of nodes start at once. Harm: with one list for all, each
-    start reads an object of every node, and the bytes of all starts grow with
-    the square of the fleet. With a list for each zone a start reads its zone,
-    and hears of the others from its neighbours.
+    starting node reads the objects of all nodes, so that the bytes of all
+    starts grow with the square of the fleet's size. With a list for each zone
+    a node reads only its own zone and learns of the others by gossip.
     """
 
     def __init__(
@@ -72,14 +77,14 @@
         """Builds the directory.
 
         Args:
-          platform: where it is kept.
-          zones: all availability zones; nodes of others share one list.
+          platform: the store that keeps the directory.
+          zones: all availability zones; nodes of other zones share one list.
         """
         self._platform = platform
         self._zones = tuple(zones)
 
     def other_zones(self, zone: str) -> tuple[str, ...]:
-        """The zones whose nodes are not in the list of a node's own zone."""
+        """Returns the zones whose nodes are not in the given zone's list."""
         if zone not in self._zones:
             return self._zones
         return tuple(item for item in self._zones if item != zone)
@@ -91,50 +96,50 @@
 
     @property
     def kinds(self) -> tuple[str, ...]:
-        """The kinds of objects that nodes may register as."""
+        """The kinds of objects under which nodes may register."""
         zones = (self._kind(zone) for zone in self._zones)
         return (names.NODE_KIND, *zones)
 
     async def listed(self, zone: str) -> Listed:
-        """The nodes of a zone, as they were a moment ago.
+        """Lists the nodes of a zone; the listing may be some seconds old.
 
-        A listing that may be some seconds old costs a fraction of a fresh
-        one; its revision tells whether what was written lately is in it.
+        A stale listing costs a fraction of a fresh one. Its revision tells
+        whether it includes a recent write.
         """
-        listed = await self._platform.list(self._kind(zone), stale=True)
-        if listed.is_error():
-            return expression.Error(listed.error)
-        found = {}
-        for item in listed.ok.objects:
-            node = _record_of(item)
+        result = await self._platform.list(self._kind(zone), stale=True)
+        if result.is_error():
+            return expression.Error(result.error)
+        registrations = {}
+        for item in result.ok.objects:
+            node = _decode_node(item)
             if node is not None:
-                found[node.name] = Registered(node, item.version)
-        return expression.Ok(ZoneListing(listed.ok.revision, found))
+                registrations[node.name] = Registered(node, item.version)
+        return expression.Ok(ZoneListing(result.ok.revision, registrations))
 
     async def listed_at_start(self, zone: str) -> ZoneListing | None:
-        """The nodes of a starting node's zone; None if no answer is in time."""
+        """Lists a starting node's zone; returns None without a response."""
         try:
             async with asyncio.timeout(START_TIMEOUT.total_seconds()):
-                listed = await self.listed(zone)
+                result = await self.listed(zone)
         except TimeoutError:
-            log.warning("can't tell of earlier starts: no answer in time")
+            log.warning("earlier incarnation unknown: no response in time")
             return None
-        if listed.is_error():
-            log.warning("can't tell of earlier starts: %s", listed.error)
+        if result.is_error():
+            log.warning("earlier incarnation unknown: %s", result.error)
             return None
-        return listed.ok
+        return result.ok
 
     async def register(
         self, record: view.NodeRecord, version: int = 0
     ) -> expression.Result[int, messages.PlatformError]:
-        """Writes a start of a node over whatever an earlier one left.
+        """Registers a node and replaces any earlier incarnation's object.
 
         Args:
-          record: this start.
-          version: of the earlier one's object, if one was seen.
+          record: the node with its current incarnation.
+          version: the version of the earlier object; 0 if none is known.
 
         Returns:
-          The version as written.
+          The version of the written object.
         """
         kind = self._kind(record.zone)
         value = {
@@ -143,43 +148,45 @@
             "region": record.region,
             "zone": record.zone,
         }
-        written = await self._platform.put(kind, record.name, value, version)
-        if written.is_error():
-            error = written.error
+        result = await self._platform.put(kind, record.name, value, version)
+        if result.is_error():
+            error = result.error
             if error.failure is messages.Failure.NOT_FOUND:
-                written = await self._platform.put(kind, record.name, value, 0)
+                result = await self._platform.put(kind, record.name, value, 0)
             elif error.current is not None:
-                written = await self._platform.put(
+                result = await self._platform.put(
                     kind, record.name, value, error.current.version
                 )
-        return written.map(lambda stored: stored.version)
-
-    async def remove(self, gone: Registered) -> None:
-        """Removes a node's object; that of a later start is left alone."""
-        removed = await self._platform.delete(
-            self._kind(gone.node.zone), gone.node.name, gone.version
+        return result.map(lambda stored: stored.version)
+
+    async def remove(self, registration: Registered) -> None:
+        """Removes a node's object unless a later incarnation replaced it."""
+        result = await self._platform.delete(
+            self._kind(registration.node.zone),
+            registration.node.name,
+            registration.version,
         )
-        if removed.is_error():
-            log.warning("can't remove the node's object: %s", removed.error)
+        if result.is_error():
+            log.warning("node object not removed: %s", result.error)
 
 
 def earlier_incarnation(listing: ZoneListing | None, name: str) -> int:
-    """Incarnation of the latest start of a node that is registered.
+    """Returns the incarnation under which a node is registered.
 
     Failure: a VM's clock goes back and its node is restarted. Symptom: the
-    new start has a lower incarnation than the old one, and the fleet takes
-    it for dead for ever. A start that counts on from what is registered is
-    later than it, whatever the clock says.
+    new incarnation is lower than the old one, and the fleet considers the
+    node dead for ever. A node that starts with an incarnation above the
+    registered one is the later one, whatever its clock says.
 
     Returns:
-      0 if there is none, or if the platform has not answered.
+      The incarnation; 0 if there is none, or if the platform did not respond.
     """
-    known = listing.found.get(name) if listing else None
-    return known.node.incarnation if known else 0
+    registration = listing.found.get(name) if listing else None
+    return registration.node.incarnation if registration else 0
 
 
-def _record_of(stored: messages.StoredObject) -> view.NodeRecord | None:
-    """The node that an object tells of; None if it is bad."""
+def _decode_node(stored: messages.StoredObject) -> view.NodeRecord | None:
+    """Decodes a node's object; returns None if it is invalid."""
     value = stored.value
     try:
         return view.NodeRecord(
@@ -190,5 +197,5 @@
             str(value["zone"]),
         )
     except (KeyError, TypeError, ValueError):
-        log.warning("bad node object %s", stored.name)
+        log.warning("invalid node object %s", stored.name)
         return None
--- a/endivewind/durable/retries.py
+++ b/endivewind/durable/retries.py
@@ -1,4 +1,8 @@
-"""Waits between calls that failed, and the budget of calls."""
+"""Exponential backoff after failed calls, and the rate limit of calls.
+
+Everything that calls the platform's store uses these. The rate limit is a
+token bucket whose rate is a node's share of a rate for the whole fleet.
+"""
 
 import datetime
 import random
@@ -11,91 +15,92 @@
 
 
 class Backoff:
-    """Doubles up to a limit; jitter keeps a fleet from coming at once."""
+    """Exponential backoff; jitter spreads the calls of a fleet."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._failures = 0
 
     def reset(self) -> None:
-        """Takes a call that succeeded."""
+        """Starts again with the initial backoff, after a successful call."""
         self._failures = 0
 
     def next_seconds(
         self, error: messages.PlatformError | None = None
     ) -> float:
-        """The wait before the next call, no shorter than what was asked."""
-        longest = min(
+        """Returns the wait before the next call, at least the retry-after."""
+        max_wait = min(
             FIRST_BACKOFF.total_seconds() * 2**self._failures,
             LAST_BACKOFF.total_seconds(),
         )
-        # Beyond this the power would only grow without use.
+        # The backoff has reached its maximum long before; this bounds the
+        # power of two.
         self._failures = min(self._failures + 1, 16)
-        wait = longest * self._rng.uniform(0.5, 1)
+        wait = max_wait * self._rng.uniform(0.5, 1)
         if error is not None and error.retry_after is not None:
             return error.retry_after.total_seconds() + wait
         return wait
 
 
 class CallBudget:
-    """Calls that a node may make: at once, and each second.
+    """Limits a node's calls: those in progress, and those per second.
 
-    Load: a fleet that starts anew, or a platform that is back after hours.
-    Harm: each node alone is modest, but all together take the platform's
-    rates and operators' writes starve. So the rate is a share of a rate for
-    the whole fleet, and it falls as the fleet grows. A waiting watch is a
-    call in progress for all of its time.
+    Load: a whole fleet starts, or the platform returns after an outage of
+    hours. Harm: each node alone makes few calls, but all together use up the
+    platform's rate limits, and operators' writes fail. The rate is therefore
+    a share of a rate for the whole fleet and falls as the fleet grows. A
+    watch is a call in progress for as long as it waits.
     """
 
-    # A tenth of the two thousand reads a second that the platform takes.
+    # A tenth of the 2000 reads per second that the platform allows.
     FLEET_CALLS_PER_SECOND = 200.0
     LEAST_CALLS_PER_SECOND = 0.2
     MOST_CALLS_PER_SECOND = 20.0
     BURST_CALLS = 20.0
-    # Three watches that wait, and a few calls beside them.
+    # Three waiting watches and a few other calls.
     MAX_AT_ONCE = 8
 
     def __init__(self) -> None:
-        self._nodes = 1
-        self._burst = self.BURST_CALLS
-        self._left = self._burst
-        self._at: datetime.timedelta | None = None
-        self._running = 0
+        self._node_count = 1
+        self._capacity = self.BURST_CALLS
+        self._tokens = self._capacity
+        self._refilled_at: datetime.timedelta | None = None
+        self._in_progress = 0
 
     @property
     def per_second(self) -> float:
         """This node's share of the fleet's rate."""
-        share = self.FLEET_CALLS_PER_SECOND / self._nodes
+        share = self.FLEET_CALLS_PER_SECOND / self._node_count
         return min(
             max(share, self.LEAST_CALLS_PER_SECOND), self.MOST_CALLS_PER_SECOND
         )
 
     def set_nodes(self, nodes: int) -> None:
-        """Takes the number of nodes that share the platform."""
-        self._nodes = max(1, nodes)
+        """Sets the number of nodes that share the platform."""
+        self._node_count = max(1, nodes)
 
     def refill(self, calls: float) -> None:
-        """Allows calls beyond the burst; for commands that make many."""
-        self._left = calls
-        self._burst = max(self._burst, calls)
+        """Allows more calls than the burst, for commands that make many."""
+        self._tokens = calls
+        self._capacity = max(self._capacity, calls)
 
     def start(self, now: datetime.timedelta) -> datetime.timedelta:
-        """Starts a call, or tells how long to wait before trying again."""
-        if self._at is not None:
-            gained = (now - self._at).total_seconds() * self.per_second
-            self._left = min(self._left + gained, self._burst)
-        self._at = now
-        if self._running >= self.MAX_AT_ONCE:
+        """Starts a call and returns zero, or returns the wait until a retry."""
+        if self._refilled_at is not None:
+            added = (now - self._refilled_at).total_seconds() * self.per_second
+            self._tokens = min(self._tokens + added, self._capacity)
+        self._refilled_at = now
+        if self._in_progress >= self.MAX_AT_ONCE:
             return SHORTEST_WAIT
-        if self._left < 1:
-            missing = (1 - self._left) / self.per_second
-            # Zero means admitted: a rest too small for a timedelta must not
-            # round down to that.
-            return max(datetime.timedelta(seconds=missing), SHORTEST_WAIT)
-        self._left -= 1
-        self._running += 1
+        if self._tokens < 1:
+            seconds = (1 - self._tokens) / self.per_second
+            # Zero means that the call was started, so a wait too short for a
+            # timedelta must not be rounded down to it.
+            return max(datetime.timedelta(seconds=seconds), SHORTEST_WAIT)
+        self._tokens -= 1
+        self._in_progress += 1
         return datetime.timedelta()
 
     def end(self) -> None:
         """Ends a call."""
-        self._running -= 1
+        self._in_progress -= 1
--- a/endivewind/durable/watcher.py
+++ b/endivewind/durable/watcher.py
@@ -1,4 +1,9 @@
-"""Follows the objects of one kind in the platform: a listing, then watches."""
+"""Follows the objects of one kind in the platform: a listing, then watches.
+
+The configuration reader runs a watcher for each kind. Only a few nodes watch;
+the others receive changes from their peers and list only if those tell them
+nothing.
+"""
 
 import asyncio
 import collections.abc
@@ -15,21 +20,22 @@
 
 log = logging.getLogger(__name__)
 
-# A node that reads because its peers tell it nothing does so again after this
-# long, and after twice as long each time; while it has no configuration at all
-# its callers wait for the next reading.
+# A node that lists because its peers tell it nothing repeats the listing after
+# this interval, which doubles each time. While it has no configuration its
+# callers wait for the next listing.
 FIRST_PAUSE = datetime.timedelta(seconds=1)
 LAST_PAUSE = datetime.timedelta(seconds=30)
-# How soon a node begins to read that has become a watcher, as members left,
-# or that hears nothing from its peers any more.
+# How often a node checks whether it has to read: it becomes a watcher when
+# other nodes leave, and lists when its peers tell it nothing any more.
 ROLE_PERIOD = datetime.timedelta(milliseconds=100)
 
 
 class Role(enum.Enum):
     """What a node has to read in the platform.
 
-    NOTHING: its peers tell it of every change. ONCE: what is there now, since
-    no peer tells it. ALWAYS: every change, as one of the few that watch.
+    NONE: nothing, as its peers tell it of every change. LIST: a listing, as
+    no peer tells it anything. WATCH: every change, as one of the few watching
+    nodes.
     """
 
     NOTHING = "nothing"
@@ -37,7 +43,7 @@
     ALWAYS = "always"
 
 
-# Lists the objects; whether a state of some seconds ago will do.
+# Lists the objects; the argument tells whether the listing may be stale.
 List = collections.abc.Callable[
     [bool],
     collections.abc.Awaitable[
@@ -46,98 +52,111 @@
 ]
 
 
-def _ignore(kind: str) -> None:
-    """Takes no notice of listings."""
+def _ignore_listing(kind: str) -> None:
+    """Ignores listings."""
 
 
-def _always() -> Role:
-    """Holds the watch all the time."""
+def _always_watch() -> Role:
+    """Keeps the watcher watching."""
     return Role.ALWAYS
 
 
 class Watcher:
-    """Calls back for every object seen; one task, written straight down."""
+    """Calls back for every object that it reads; run() is its only task."""
 
     def __init__(
         self,
         platform: client.PlatformClient,
         kind: str,
-        seen: collections.abc.Callable[[messages.StoredObject], object],
+        on_object: collections.abc.Callable[[messages.StoredObject], object],
         rng: random.Random,
-        listed: collections.abc.Callable[[str], None] = _ignore,
-        role: collections.abc.Callable[[], Role] = _always,
-        lists: List | None = None,
+        on_listed: collections.abc.Callable[[str], None] = _ignore_listing,
+        read_mode: collections.abc.Callable[[], Role] = _always_watch,
+        list_objects: List | None = None,
     ) -> None:
+        """Builds a watcher; run() starts it.
+
+        Args:
+          platform: the store to read.
+          kind: the kind of objects.
+          on_object: called for every object of a listing or watch.
+          rng: adds jitter to the backoff.
+          on_listed: called with the kind after a whole listing.
+          read_mode: returns what this node has to read now.
+          list_objects: lists the objects; by default the client's list().
+        """
         self._platform = platform
         self._kind = kind
-        self._seen = seen
-        self._take_listing = listed
-        self._role = role
-        self._list = lists or self._list_plainly
+        self._on_object = on_object
+        self._on_listed = on_listed
+        self._read_mode = read_mode
+        self._list = list_objects or self._list_from_platform
         self._backoff = retries.Backoff(rng)
-        self._pause = FIRST_PAUSE
-        self._stale_will_do = True
+        self._list_interval = FIRST_PAUSE
+        self._accepts_stale = True
         self._revision: int | None = None
         self._listed = asyncio.Event()
 
     @property
     def listed(self) -> asyncio.Event:
-        """Set once a whole listing has been taken."""
+        """An event that is set after the first whole listing."""
         return self._listed
 
     async def run(self) -> None:
-        """Follows for ever."""
+        """Reads until cancelled."""
         while True:
-            role = self._role()
-            if role is Role.NOTHING:
-                self._pause = FIRST_PAUSE
+            mode = self._read_mode()
+            if mode is Role.NOTHING:
+                self._list_interval = FIRST_PAUSE
                 await asyncio.sleep(ROLE_PERIOD.total_seconds())
                 continue
-            result = await self._step(role)
+            result = await self._read(mode)
             if result.is_ok():
                 self._backoff.reset()
-                self._take(result.ok)
-                if role is Role.ONCE:
-                    await self._rest()
+                self._apply(result.ok)
+                if mode is Role.ONCE:
+                    await self._wait_for_next_listing()
                 continue
             if result.error.failure is messages.Failure.COMPACTED:
                 self._revision = None
-                self._stale_will_do = False
+                self._accepts_stale = False
             log.warning("platform: %s", result.error)
             await asyncio.sleep(self._backoff.next_seconds(result.error))
 
-    async def _step(
-        self, role: Role
+    async def _read(
+        self, mode: Role
     ) -> expression.Result[messages.Listing, messages.PlatformError]:
-        """One reading.
+        """Makes one listing or watch.
 
-        A listing may be some seconds old, which costs a tenth; the watch that
-        follows begins at its revision and tells what has come since. Who does
-        not watch hears that from its peers. Where the platform has forgotten
-        what came since, only a fresh listing has it.
+        A listing may be some seconds old, which costs a tenth. The watch after
+        it starts at its revision and reports the later changes; a node that
+        does not watch receives these from its peers. If the platform has
+        compacted the later changes, only a fresh listing includes them.
         """
-        if self._revision is None or role is Role.ONCE:
-            return await self._list(self._stale_will_do)
+        if self._revision is None or mode is Role.ONCE:
+            return await self._list(self._accepts_stale)
         return await self._platform.watch(self._kind, self._revision)
 
-    async def _list_plainly(
+    async def _list_from_platform(
         self, stale: bool
     ) -> expression.Result[messages.Listing, messages.PlatformError]:
         return await self._platform.list(self._kind, stale=stale)
 
-    def _take(self, listing: messages.Listing) -> None:
+    def _apply(self, listing: messages.Listing) -> None:
         for item in listing.objects:
-            self._seen(item)
+            self._on_object(item)
         if self._revision is None:
-            self._take_listing(self._kind)
+            self._on_listed(self._kind)
         self._revision = listing.revision
-        self._stale_will_do = True
+        self._accepts_stale = True
         self._listed.set()
 
-    async def _rest(self) -> None:
-        """Waits before the next reading of a node that only asks."""
-        left = self._pause
-        self._pause = min(2 * self._pause, LAST_PAUSE)
-        while left > datetime.timedelta() and self._role() is Role.ONCE:
+    async def _wait_for_next_listing(self) -> None:
+        """Waits for the list interval, as long as the mode stays LIST."""
+        remaining = self._list_interval
+        self._list_interval = min(2 * self._list_interval, LAST_PAUSE)
+        while (
+            remaining > datetime.timedelta() and self._read_mode() is Role.ONCE
+        ):
             await asyncio.sleep(ROLE_PERIOD.total_seconds())
-            left -= ROLE_PERIOD
+            remaining -= ROLE_PERIOD
--- a/endivewind/durable/writing.py
+++ b/endivewind/durable/writing.py
@@ -1,4 +1,8 @@
-"""Writes that are resolved when their answer is lost."""
+"""Conditional writes that are resolved if their response is lost.
+
+Operators' commands write configuration through write(). Retries are made
+idempotent by the expected version (compare-and-swap) and an operation id.
+"""
 
 import asyncio
 import collections.abc
@@ -14,16 +18,16 @@
 
 Sleep = collections.abc.Callable[[float], collections.abc.Awaitable[None]]
 
-# No answer, or none that can be read: the write may have taken effect.
-_IN_DOUBT = (messages.Failure.UNAVAILABLE, messages.Failure.INVALID)
+# No valid response: the write may have taken effect.
+_UNCERTAIN_FAILURES = (messages.Failure.UNAVAILABLE, messages.Failure.INVALID)
 
 
 class Ending(enum.StrEnum):
-    """What is known of a write.
+    """The outcome of a write.
 
-    WRITTEN: it took effect. CONFLICT: another write came first and this one
-    did not take effect. UNWRITTEN: the platform took no call, and it did not
-    take effect. UNKNOWN: it may have taken effect.
+    WRITTEN: it took effect. CONFLICT: another write came first, and this one
+    did not take effect. NOT_WRITTEN: the platform accepted no call, and it did
+    not take effect. UNKNOWN: it may have taken effect.
     """
 
     WRITTEN = "written"
@@ -34,13 +38,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Write:
-    """How a write ended.
+    """The result of a write.
 
     Attributes:
-      ending: what is known.
-      current: the object as the platform last told it, if it did.
-      detail: for people.
-      followed: another write has already taken its place.
+      outcome: the outcome.
+      current: the object as the platform last reported it, if it did.
+      detail: a description for people.
+      is_superseded: whether another write has already replaced it.
     """
 
     ending: Ending
@@ -58,52 +62,62 @@
     backoff: retries.Backoff,
     sleep: Sleep = asyncio.sleep,
 ) -> Write:
-    """Writes one object once, whatever becomes of the answers.
+    """Writes one object exactly once, also if responses are lost.
 
-    Failure: the answer is lost after the write took effect. Symptom: a plain
-    retry is refused as a conflict with oneself, or writes twice. Every retry
-    is conditional on the version first read, so at most one attempt takes
-    effect; the operation id in the value tells whether it was ours.
+    Failure: the response is lost after the write took effect. Symptom: a
+    plain retry conflicts with its own first attempt, or writes twice. Every
+    retry is conditional on the version first read, so at most one attempt
+    takes effect; the operation id in the value tells whether it was ours.
 
     Args:
-      platform: where to write.
+      platform: the store to write to.
       kind: the object's kind.
       name: the object's name.
-      value: the value; "operation" is unique to this write.
+      value: the value; its "operation" is unique to this write.
       expected: the version read before.
-      backoff: waits between attempts.
+      backoff: gives the waits between attempts.
       sleep: waits; tests pass their own.
+
+    Returns:
+      The result; UNKNOWN if the outcome can't be determined.
     """
-    doubt = False
+    may_be_written = False
     detail = ""
     for _ in range(ATTEMPTS):
-        written = await platform.put(kind, name, value, expected)
-        if written.is_ok():
-            return Write(Ending.WRITTEN, written.ok)
-        error = written.error
+        result = await platform.put(kind, name, value, expected)
+        if result.is_ok():
+            return Write(Ending.WRITTEN, result.ok)
+        error = result.error
         detail = error.detail
         if error.failure is messages.Failure.CONFLICT:
-            return _resolve(value, error.current, doubt)
-        doubt = doubt or error.failure in _IN_DOUBT
+            return _resolve_conflict(value, error.current, may_be_written)
+        may_be_written = may_be_written or error.failure in _UNCERTAIN_FAILURES
         await sleep(backoff.next_seconds(error))
-    return Write(Ending.UNKNOWN if doubt else Ending.UNWRITTEN, None, detail)
+    return Write(
+        Ending.UNKNOWN if may_be_written else Ending.UNWRITTEN, None, detail
+    )
 
 
-def _resolve(
-    value: dict[str, Any], current: messages.StoredObject | None, doubt: bool
+def _resolve_conflict(
+    value: dict[str, Any],
+    current: messages.StoredObject | None,
+    may_be_written: bool,
 ) -> Write:
+    """Determines whether an earlier attempt caused a conflict itself."""
     operation = value.get("operation")
     if current is None:
-        # The object is gone, or the conflict came without it.
-        ending = Ending.UNKNOWN if doubt else Ending.CONFLICT
-        return Write(ending, None, "the platform did not show the object")
+        # The object was removed, or the response did not include it.
+        outcome = Ending.UNKNOWN if may_be_written else Ending.CONFLICT
+        return Write(outcome, None, "the conflict response has no object")
     if current.value.get("operation") == operation:
         return Write(Ending.WRITTEN, current)
     replaced = current.value.get("replaced_operation")
-    if doubt and replaced == operation:
+    if may_be_written and replaced == operation:
         return Write(Ending.WRITTEN, current, followed=True)
-    if doubt and replaced != value.get("replaced_operation"):
-        # More than one write has followed; whether ours was among them can
-        # no longer be read from the object.
-        return Write(Ending.UNKNOWN, current, "several writes have followed")
+    if may_be_written and replaced != value.get("replaced_operation"):
+        # More than one write has followed, and the object names only the
+        # last one that was replaced.
+        return Write(
+            Ending.UNKNOWN, current, "several other writes have followed"
+        )
     return Write(Ending.CONFLICT, current)
--- a/endivewind/logs.py
+++ b/endivewind/logs.py
@@ -1,7 +1,8 @@
-"""Logs as JSON lines on standard output: no bodies and no secrets.
+"""Logs as JSON lines on standard output, without bodies and secrets.
 
-Lines are bounded by rate for each message, and writing never blocks: a
-reader that is slow, or has gone, costs lines and no request.
+The rate of lines is limited for each message. Writing never blocks: if the
+reader is slow or has closed the pipe, lines are lost but requests are not
+delayed.
 """
 
 import collections
@@ -12,17 +13,17 @@
 import sys
 import time
 
-# Lines of one message that may come at once, and each second after that. A
-# node serves a few hundred requests a second; one failure in ten of them
-# still has its line, a storm of refusals does not slow the node down.
+# Lines of one message allowed at once, and per second after that. A node
+# serves a few hundred requests per second: if one in ten fails, each failure
+# is still logged, and a burst of refusals does not slow the node down.
 BURST_LINES = 200
 LINES_PER_SECOND = 50
-# What waits for a slow reader; about a second of lines.
+# Buffer for a slow reader, which holds about a second of lines.
 MAX_WAITING_BYTES = 65_536
 
 
 class JsonFormatter(logging.Formatter):
-    """One JSON object a line; `extra={"fields": {...}}` adds keys."""
+    """Formats a JSON object per line; `extra={"fields": {...}}` adds keys."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Formats one record."""
@@ -40,80 +41,81 @@
 
 
 class RateLimit(logging.Filter):
-    """Lets so many lines of each message through, and counts the others.
+    """Limits the rate of each message by a token bucket; counts the rest.
 
-    Failure: a dependency fails for minutes, and every request has a line of
-    it. Symptom: the node spends its processor on lines that say the same. The
-    first line that passes again tells how many were left out.
+    Failure: a dependency fails for minutes, and every request logs a line
+    about it. Symptom: the node spends its processor time on identical lines.
+    The next line that passes tells how many were left out.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self._left: dict[tuple[str, str], float] = {}
-        self._at: dict[tuple[str, str], float] = {}
+        self._tokens: dict[tuple[str, str], float] = {}
+        self._refilled_at: dict[tuple[str, str], float] = {}
         self._dropped: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the record passes."""
-        kind = (record.name, str(record.msg))
+        """Returns whether the record may be logged."""
+        key = (record.name, str(record.msg))
         now = time.monotonic()
-        left = self._left.get(kind, BURST_LINES)
-        gained = (now - self._at.get(kind, now)) * LINES_PER_SECOND
-        left = min(BURST_LINES, left + gained)
-        self._at[kind] = now
-        if left < 1:
-            self._left[kind] = left
-            self._dropped[kind] += 1
+        tokens = self._tokens.get(key, BURST_LINES)
+        added = (now - self._refilled_at.get(key, now)) * LINES_PER_SECOND
+        tokens = min(BURST_LINES, tokens + added)
+        self._refilled_at[key] = now
+        if tokens < 1:
+            self._tokens[key] = tokens
+            self._dropped[key] += 1
             return False
-        self._left[kind] = left - 1
-        dropped = self._dropped.pop(kind, 0)
+        self._tokens[key] = tokens - 1
+        dropped = self._dropped.pop(key, 0)
         if dropped:
-            given = getattr(record, "fields", {})
-            record.fields = {**given, "left_out_before": dropped}
+            record_fields = getattr(record, "fields", {})
+            record.fields = {**record_fields, "left_out_before": dropped}
         return True
 
 
 class PipeHandler(logging.Handler):
-    """Writes to a descriptor that never blocks; what can't wait is lost."""
+    """Writes without blocking; lines that do not fit the buffer are lost."""
 
     def __init__(self, descriptor: int) -> None:
         super().__init__()
         self._descriptor = descriptor
-        self._waiting = b""
-        self._lost = 0
+        self._buffer = b""
+        self._lost_lines = 0
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Writes one line, or keeps it for the next time."""
+        """Buffers one line, then writes as much as the pipe accepts."""
         line = self.format(record).encode() + b"\n"
-        if len(self._waiting) + len(line) > MAX_WAITING_BYTES:
-            self._lost += 1
+        if len(self._buffer) + len(line) > MAX_WAITING_BYTES:
+            self._lost_lines += 1
         else:
-            self._waiting += self._lost_line() + line
+            self._buffer += self._take_lost_report() + line
         try:
-            written = os.write(self._descriptor, self._waiting)
+            written = os.write(self._descriptor, self._buffer)
         except OSError:
-            # A full pipe, or nobody left to read it; there is nowhere to say.
+            # The pipe is full or closed, and there is no other place to
+            # report that.
             return
-        self._waiting = self._waiting[written:]
+        self._buffer = self._buffer[written:]
 
-    def _lost_line(self) -> bytes:
-        lost, self._lost = self._lost, 0
-        if not lost:
+    def _take_lost_report(self) -> bytes:
+        count, self._lost_lines = self._lost_lines, 0
+        if not count:
             return b""
-        text = {"level": "warning", "message": "lines lost", "count": lost}
-        return json.dumps(text).encode() + b"\n"
+        report = {"level": "warning", "message": "lines lost", "count": count}
+        return json.dumps(report).encode() + b"\n"
 
 
 def configure(level: str, *, never_block: bool = False) -> None:
-    """Sends all logs to standard output from the given level up.
+    """Sends all logs of at least the given level to standard output.
 
     Args:
       level: debug, info, warning, error or critical.
-      never_block: lose lines rather than wait for whoever reads them; nothing
-        else may be printed then.
+      never_block: whether to lose lines rather than wait for the reader; then
+        nothing else may be printed.
     """
     handler: logging.Handler = logging.StreamHandler(sys.stdout)
     if never_block:
@@ -126,5 +128,5 @@
 
 
 def fields(**values: object) -> dict[str, dict[str, object]]:
-    """The `extra` argument that adds keys to one log line."""
+    """Makes the `extra` argument that adds keys to one log line."""
     return {"fields": values}
--- a/endivewind/metrics.py
+++ b/endivewind/metrics.py
@@ -1,8 +1,9 @@
-"""Metrics of a node: OpenTelemetry instruments, read by Prometheus.
+"""Metrics of a node: OpenTelemetry instruments, scraped by Prometheus.
 
-Every instrument is observed: the SDK asks for its value when it is scraped,
-so that counting costs a request no more than a dictionary. The latency
-histogram is a counter for each bucket, with the bound in the label `le`.
+All instruments are asynchronous: the SDK reads their values at each scrape,
+so that counting costs a request only a dictionary update. The latency
+histogram is exported as one counter per bucket, with the bound in the label
+`le`.
 """
 
 import collections.abc
@@ -26,17 +27,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sources:
-    """Where the values come from.
+    """The sources of the values.
 
     Attributes:
-      requests: what the listener and the gateway count.
-      health_changes: verdicts on this home's targets, by service and health.
-      targets: targets of this home.
-      nodes: nodes known, this one included.
-      idle_links: open links to other nodes that carry no request.
-      version: the highest version of a configuration object in force.
+      requests: the request metrics of the listener and the gateway.
+      health_changes: numbers of status changes of this home's targets, by
+        service and health.
+      targets: returns the targets of this home.
+      nodes: returns the number of known nodes, this one included.
+      idle_links: returns the number of open links to other nodes that carry
+        no request.
+      version: returns the highest version of a configuration object in force.
       sent_bytes: bytes sent to other nodes.
-      platform_calls: calls to the platform.
+      platform_calls: numbers of calls to the platform.
     """
 
     requests: counts.RequestCounts
@@ -52,7 +55,7 @@
 
 
 class Kind(enum.Enum):
-    """What an instrument's value does."""
+    """The kind of an instrument."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -65,9 +68,9 @@
     Attributes:
       name: the name in OpenTelemetry.
       kind: counter or gauge.
-      unit: the unit of its value, as UCUM writes it.
-      description: one sentence.
-      observe: reads the values.
+      unit: the unit of its value in UCUM notation.
+      description: a description in one sentence.
+      observe: reads the current values.
     """
 
     name: str
@@ -78,24 +81,24 @@
 
     @property
     def scraped_name(self) -> str:
-        """The name as Prometheus scrapes it."""
+        """The name under which Prometheus scrapes it."""
         suffix = {"s": "_seconds", "By": "_bytes"}.get(self.unit, "")
         total = "_total" if self.kind is Kind.COUNTER else ""
         return self.name.replace(".", "_") + suffix + total
 
 
 def _requests(sources: Sources) -> Observations:
-    for ending, count in sources.requests.endings():
-        yield api.Observation(count, dataclasses.asdict(ending))
+    for outcome, count in sources.requests.endings():
+        yield api.Observation(count, dataclasses.asdict(outcome))
 
 
 def _latency_buckets(sources: Sources) -> Observations:
     for service, latencies in sources.requests.latencies.items():
-        below = 0
+        cumulative = 0
         bounds = (*map(str, counts.LATENCY_BOUNDS), "+Inf")
         for bound, count in zip(bounds, latencies.buckets, strict=True):
-            below += count
-            yield api.Observation(below, {"service": service, "le": bound})
+            cumulative += count
+            yield api.Observation(cumulative, {"service": service, "le": bound})
 
 
 def _latency_sums(sources: Sources) -> Observations:
@@ -107,7 +110,7 @@
     yield api.Observation(sources.requests.in_flight)
 
 
-def _placings(sources: Sources) -> Observations:
+def _attempts(sources: Sources) -> Observations:
     for service, count in sources.requests.placings.items():
         yield api.Observation(count, {"service": service})
 
@@ -123,10 +126,12 @@
 
 
 def _targets(sources: Sources) -> Observations:
-    found: collections.Counter[tuple[str, str, str]] = collections.Counter()
+    counts_by_labels: collections.Counter[tuple[str, str, str]] = (
+        collections.Counter()
+    )
     for item in sources.targets():
-        found[item.service, item.state.value, item.health.value] += 1
-    for (service, state, health), count in found.items():
+        counts_by_labels[item.service, item.state.value, item.health.value] += 1
+    for (service, state, health), count in counts_by_labels.items():
         labels = {"service": service, "state": state, "health": health}
         yield api.Observation(count, labels)
 
@@ -188,7 +193,7 @@
         Kind.COUNTER,
         "{attempt}",
         "Attempts at a target, by service.",
-        _placings,
+        _attempts,
     ),
     Instrument(
         "endivewind.retries",
@@ -252,7 +257,7 @@
 
 
 class NodeMetrics:
-    """The metrics of one node, in a registry of its own."""
+    """The metrics of one node, in their own Prometheus registry."""
 
     def __init__(self, sources: Sources) -> None:
         self._sources = sources
@@ -272,7 +277,7 @@
             self._create(meter, instrument)
 
     def render(self) -> bytes:
-        """The metrics in Prometheus' text format."""
+        """Renders the metrics in Prometheus' text format."""
         return prometheus_client.generate_latest(self._registry)
 
     def _create(self, meter: api.Meter, instrument: Instrument) -> None:
--- a/endivewind/node.py
+++ b/endivewind/node.py
@@ -1,4 +1,8 @@
-"""One endivewind-node: puts the packages together and runs them."""
+"""One endivewind-node: builds the parts of a node and runs them.
+
+A node is the entry for callers and the home of its targets. The command
+endivewind-node creates one from its settings.
+"""
 
 import asyncio
 import dataclasses
@@ -64,19 +68,21 @@
 
 log = logging.getLogger(__name__)
 
-# An announcement that is answered within a second counts as taken.
+# The longest time that an announcement waits for the peers' state of this
+# home. Targets consider an announcement accepted if the response arrives
+# within a second.
 SETTLE_LIMIT = datetime.timedelta(milliseconds=500)
 SETTLE_LOOK = datetime.timedelta(milliseconds=20)
 EXPIRE_PERIOD = datetime.timedelta(milliseconds=200)
 TRAFFIC_PERIOD = datetime.timedelta(seconds=10)
-# Of the time until the platform ends the process: a second to cut what is
-# left, to tell the platform, and to end.
+# The part of the platform's grace period that is reserved for closing the
+# remaining connections, writing the last records and ending the process.
 END_MARGIN = datetime.timedelta(seconds=1)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Addresses:
-    """The addresses that a started node has bound."""
+    """The addresses to which a started node is bound."""
 
     callers: str
     targets: str
@@ -103,37 +109,37 @@
             clock, tls.link_context(config.nodes_tls), self._traffic
         )
         self._link_server = link_server.LinkServer(self, self._traffic)
-        self._teller = peer_updates.TargetUpdatePublisher()
+        self._update_publisher = peer_updates.TargetUpdatePublisher()
         self._tasks: list[asyncio.Task[None]] = []
         self._http = http_servers.HttpServers()
         self._services = services.ServiceSettings(self._configuration)
-        self._proof = freshness.Freshness(
+        self._freshness_tracker = freshness.Freshness(
             lambda: self._configuration.document_version,
             config.revocation.bound,
         )
-        self._stopping = False
-        self._began = clock.monotonic()
+        self._is_stopping = False
+        self._created_at = clock.monotonic()
         # Set by start(), which needs the running loop and the platform.
         self._directory: membership.Directory
-        self._at_start: membership.ZoneListing | None
+        self._initial_listing: membership.ZoneListing | None
         self._incarnation: int
         self._targets: registry.TargetRegistry
-        self._judge: judge.Judge
+        self._outlier_monitor: judge.Judge
         self._dispatcher: dispatch.Dispatcher
         self._placement: placement.Placement
         self._gateway: gateway.Gateway
         self._listener: listener.Listener
-        self._ticketing: ticketing.Ticketing
+        self._ticket_handler: ticketing.Ticketing
         self._platform: client.PlatformClient
         self._session: aiohttp.ClientSession
         self._reader: reading.ConfigurationReader
         self._reports: reports.Reports
-        self._auditor: auditor.Auditor
+        self._audit_recorder: auditor.Auditor
         self._configuration_peer: configuration.ConfigurationPeer
         self._self_record: view.NodeRecord
         self._gossip: service.GossipService
-        self._proofs: proofs.ProofPeer
-        self._quotas: quotas.QuotaPeer
+        self._proof_peer: proofs.ProofPeer
+        self._quota_peer: quotas.QuotaPeer
 
     @classmethod
     def from_settings(
@@ -142,19 +148,20 @@
         clock: clocks.Clock,
         rng: random.Random,
     ) -> "Node":
-        """Builds a node; nothing runs before start()."""
+        """Builds a node; start() runs it."""
         return cls(config, clock, rng)
 
     async def start(self) -> Addresses:
         """Joins the fleet, binds every address and starts the tasks.
 
-        Nothing is accepted before all that answers it is built: callers and
-        peers come back to a node's addresses the moment it listens again.
+        An address is bound only after everything that serves it is built, as
+        callers and peers reconnect as soon as a node listens again.
 
-        Gossip starts last. It asks a peer for the state of the fleet, which
-        comes back within a millisecond and over a link: where none was
-        accepted yet it was lost, and the next was asked for three seconds
-        later. Until then callers were refused for want of a target.
+        Gossip starts after the link server. It requests the fleet's state from
+        a peer, which sends it within a millisecond over a link. If links are
+        not accepted yet the state is lost, and it is requested again only
+        three seconds later; until then callers are refused as no target is
+        known.
         """
         self._session = client.session()
         self._platform = client.PlatformClient(
@@ -171,25 +178,29 @@
         await self._gossip.start(nodes)
         for work in (
             *(item.run() for item in self._reader.watchers()),
-            self._auditor.run(),
+            self._audit_recorder.run(),
             self._configuration_peer.run(),
-            self._proofs.run_reading(),
-            self._proofs.run_asking(),
-            self._expire(),
-            self._judge_often(),
+            self._proof_peer.run_reading(),
+            self._proof_peer.run_asking(),
+            self._run_lease_checks(),
+            self._run_target_checks(),
             self._reports.log_traffic(),
         ):
             self._tasks.append(asyncio.create_task(work))
         return bound
 
     async def _build_identity(self) -> None:
-        """This start's incarnation, and the targets that it is home to."""
+        """Determines the incarnation and builds the target registry."""
         config = self._settings
         self._directory = membership.Directory(self._platform, config.zones)
-        self._at_start = await self._directory.listed_at_start(config.zone)
-        earlier = membership.earlier_incarnation(self._at_start, config.name)
-        started = int(self._clock.now().timestamp() * 1_000_000)
-        self._incarnation = max(started, earlier + 1)
+        self._initial_listing = await self._directory.listed_at_start(
+            config.zone
+        )
+        registered = membership.earlier_incarnation(
+            self._initial_listing, config.name
+        )
+        now_us = int(self._clock.now().timestamp() * 1_000_000)
+        self._incarnation = max(now_us, registered + 1)
         identity = registry.HomeIdentity(
             config.name, self._incarnation, config.region, config.zone
         )
@@ -198,16 +209,19 @@
         )
 
     def _build_requests(self) -> None:
-        """What serves requests: from the listener to this home's targets."""
+        """Builds the request path, from the listener to the dispatcher."""
         config = self._settings
-        self._judge = judge.Judge(
+        self._outlier_monitor = judge.Judge(
             self._targets,
             self._services.profile,
             self._clock,
-            self._targets_changed,
+            self._publish_target_changes,
         )
         self._dispatcher = dispatch.Dispatcher.from_registry(
-            self._targets, self._clock, self._judge, self._header_names
+            self._targets,
+            self._clock,
+            self._outlier_monitor,
+            self._header_names,
         )
         self._placement = placement.Placement(
             placement.Place(config.name, config.region, config.zone),
@@ -225,45 +239,47 @@
             self._dispatcher,
             self._pool,
             self._clock,
-            self._judge.witnessed,
+            self._outlier_monitor.witnessed,
             self._rng,
             origins.Origins(
                 self._clock, self._dispatcher if config.beside else None
             ),
             allowances.Allowances(
-                lambda workspace, count: self._quotas.grant(workspace, count),
+                lambda workspace, count: self._quota_peer.grant(
+                    workspace, count
+                ),
                 self._clock,
             ),
         )
-        kept = config.limits.kept_answer_bytes
-        self._ticketing = ticketing.Ticketing(
+        max_kept_bytes = config.limits.kept_answer_bytes
+        self._ticket_handler = ticketing.Ticketing(
             tickets.Issuer.for_incarnation(config.name, self._incarnation),
-            ticket_book.TicketBook(kept_answer_bytes=kept),
+            ticket_book.TicketBook(kept_answer_bytes=max_kept_bytes),
             self._gateway,
             self._fleet,
             self._pool,
             self._clock,
-            kept,
+            max_kept_bytes,
         )
         self._listener = listener.Listener(
             self._gateway,
-            self._ticketing,
+            self._ticket_handler,
             config.limits,
             authorization.Doubts(
                 lambda: self._configuration_peer.missing(),
-                self._is_proved,
+                self._is_configuration_fresh,
             ),
-            self._dialect(),
+            self._caller_conventions(),
         )
 
-    def _is_proved(self) -> bool:
-        """Whether the configuration in force was the newest lately."""
-        return self._proof.is_proved(self._clock.boot_time())
+    def _is_configuration_fresh(self) -> bool:
+        """Returns whether a recent proof shows that the newest is in force."""
+        return self._freshness_tracker.is_proved(self._clock.boot_time())
 
     def _build_configuration(self) -> None:
-        """What keeps configuration in force, and the audit trail."""
+        """Builds the parts for configuration and for the audit trail."""
         config = self._settings
-        self._auditor = auditor.Auditor(
+        self._audit_recorder = auditor.Auditor(
             config.name,
             self._incarnation,
             self._platform,
@@ -280,7 +296,7 @@
             self._fleet,
             self._pool,
             self._platform.budget,
-            self._in_force,
+            self._apply_configuration,
             self._clock,
             self._rng,
         )
@@ -289,32 +305,36 @@
             self._platform,
             self._configuration_peer,
             lambda: self._gossip.is_settled,
-            self._proof,
+            self._freshness_tracker,
             self._clock,
             self._rng,
         )
 
     @property
-    def _on_platform(self) -> bool:
+    def _uses_platform_interface(self) -> bool:
         return self._settings.interface is settings.Interface.PLATFORM
 
     @property
     def _header_names(self) -> headers.HeaderNames:
-        return names.HEADERS if self._on_platform else headers.DEFAULT_NAMES
+        return (
+            names.HEADERS
+            if self._uses_platform_interface
+            else headers.DEFAULT_NAMES
+        )
 
-    def _dialect(self) -> calls.Dialect:
-        beside = self._settings.beside
+    def _caller_conventions(self) -> calls.Dialect:
+        local_target = self._settings.beside
         return calls.Dialect(
             self._header_names,
-            beside.service if beside else "",
+            local_target.service if local_target else "",
             self._settings.once is settings.Once.TICKET,
         )
 
     def _build_membership(self, nodes: str) -> None:
-        """This node's record and its part in gossip.
+        """Builds this node's record and the parts that depend on gossip.
 
         Args:
-          nodes: the address bound for other nodes.
+          nodes: the address that is bound for other nodes.
         """
         config = self._settings
         self._self_record = view.NodeRecord(
@@ -327,14 +347,16 @@
         self._gossip = service.GossipService(
             config,
             self._self_record,
-            service.State(self._fleet, self._targets, self._hear),
+            service.State(self._fleet, self._targets, self._handle_peer_update),
             self._pool,
-            service.Entrance(self._directory, self._at_start, self._joined),
+            service.Entrance(
+                self._directory, self._initial_listing, self._record_join
+            ),
             self._clock,
             self._rng,
             self._traffic,
         )
-        self._quotas = quotas.QuotaPeer(
+        self._quota_peer = quotas.QuotaPeer(
             self._self_record,
             len(config.zones),
             self._gateway.workspaces.quota,
@@ -343,9 +365,9 @@
             self._clock,
             config.quota_tolerance.tolerance,
         )
-        self._proofs = proofs.ProofPeer(
+        self._proof_peer = proofs.ProofPeer(
             self._self_record,
-            self._proof,
+            self._freshness_tracker,
             self._fleet,
             self._pool,
             self._reader.prove,
@@ -354,48 +376,51 @@
             self._rng,
         )
 
-    async def answer(self, question: Any) -> Any:
-        """The answer to another node's question, both as frames."""
-        if question.quota_ask is not None:
-            return await self._quotas.answer(question.quota_ask)
-        return self._proofs.answer()
+    async def answer(self, query: Any) -> Any:
+        """Handles another node's query; query and response are frames."""
+        if query.quota_ask is not None:
+            return await self._quota_peer.answer(query.quota_ask)
+        return self._proof_peer.answer()
 
     def reload(self, config: settings.NodeSettings) -> None:
-        """Takes what can change in a running node; names the rest."""
-        given = config.model_dump()
-        before = self._settings.model_dump()
-        changed = {key for key in given if given[key] != before[key]}
-        taken = {
+        """Applies reloadable settings; logs those that need a restart."""
+        new_values = config.model_dump()
+        old_values = self._settings.model_dump()
+        changed = {
+            key for key in new_values if new_values[key] != old_values[key]
+        }
+        applied = {
             key: getattr(config, key) for key in changed & settings.RELOADED
         }
-        self._settings = self._settings.model_copy(update=taken)
+        self._settings = self._settings.model_copy(update=applied)
         self._platform.move(self._settings.platform)
-        self._listener.speak(self._dialect())
+        self._listener.speak(self._caller_conventions())
         self._listener.limit(self._settings.limits)
-        self._proof.limit(self._settings.revocation.bound)
+        self._freshness_tracker.limit(self._settings.revocation.bound)
         logging.getLogger().setLevel(self._settings.log_level.upper())
         fields = logs.fields(
-            taken=sorted(taken), left_until_restart=sorted(changed - set(taken))
+            taken=sorted(applied),
+            left_until_restart=sorted(changed - set(applied)),
         )
         log.info("settings reloaded", extra=fields)
 
     async def stop(self) -> None:
-        """Leaves as planned: work in flight ends before the process does."""
-        self._stopping = True
+        """Shuts down gracefully: requests in progress finish first."""
+        self._is_stopping = True
         log.info("stopping")
         if self._settings.beside is None:
-            # Its targets move to other homes, which takes a while.
+            # The targets move to other homes, which takes some time.
             self._targets.stop_taking()
-        departure = leaving.Departure(
+        shutdown = leaving.Departure(
             self._listener,
             self._dispatcher,
             self._link_server,
-            self._ticketing,
+            self._ticket_handler,
             datetime.timedelta(seconds=self._settings.limits.notice_seconds),
-            self._turn_away,
+            self._announce_leave,
         )
-        await departure.run(self._stop_limit())
-        await self._take_leave()
+        await shutdown.run(self._drain_timeout())
+        await self._leave_fleet()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -405,43 +430,45 @@
         await self._dispatcher.close()
         await self._session.close()
 
-    def _turn_away(self) -> None:
-        """Tells the fleet to send no more work to a target that can't move.
+    def _announce_leave(self) -> None:
+        """Tells the fleet to send no more requests to the local target.
 
-        Its announcements are still answered.
+        A local target cannot move to another home; its announcements are
+        still accepted.
         """
         if self._settings.beside is not None:
             self._gossip.announce_leave()
 
-    def _stop_limit(self) -> datetime.timedelta:
-        """How long work in flight may take."""
+    def _drain_timeout(self) -> datetime.timedelta:
+        """Returns how long requests in progress may take during shutdown."""
         limits = self._settings.limits
-        seconds = datetime.timedelta(seconds=limits.stop_seconds)
+        timeout = datetime.timedelta(seconds=limits.stop_seconds)
         if not limits.grace_seconds:
-            return seconds
+            return timeout
         grace = datetime.timedelta(seconds=limits.grace_seconds)
-        return min(seconds, max(grace - END_MARGIN, END_MARGIN))
+        return min(timeout, max(grace - END_MARGIN, END_MARGIN))
 
-    async def _take_leave(self) -> None:
-        """Tells the fleet, and waits until targets have moved.
+    async def _leave_fleet(self) -> None:
+        """Waits until the targets have moved, then leaves the fleet.
 
-        The node's object stays in the platform: the next start needs it, and
-        that of a node which has gone for good is removed by its zone.
+        The node's object stays in the platform: the next incarnation needs
+        it. The objects of nodes that do not return are removed by other nodes
+        of their zone.
         """
         if self._settings.beside is None:
             await self._gossip.targets_moved()
         await self._gossip.stop()
         if self._settings.audit is settings.Trail.PLATFORM:
-            await self._record_leaving()
+            await self._record_leave()
 
-    async def _record_leaving(self) -> None:
-        """Writes the last records, but waits no longer than one call."""
-        self._auditor.membership(audit.Action.LEAVE)
+    async def _record_leave(self) -> None:
+        """Writes the last records; waits at most as long as for one call."""
+        self._audit_recorder.membership(audit.Action.LEAVE)
         try:
             async with asyncio.timeout(client.CALL_TIMEOUT.total_seconds()):
-                await self._auditor.flush()
+                await self._audit_recorder.flush()
         except TimeoutError:
-            log.warning("the last audit records were not written")
+            log.warning("last audit records not written: platform timeout")
 
     async def run(
         self,
@@ -450,7 +477,7 @@
         head: exchange.RequestHead,
         body: exchange.RequestBody,
     ) -> links.AnswerResult:
-        """Runs a forwarded request, if it is meant for this start."""
+        """Runs a forwarded request if it is for this incarnation."""
         return await self._dispatcher.run_forwarded(
             target, home_incarnation, head, body
         )
@@ -462,13 +489,13 @@
         body: exchange.RequestBody,
         priority: str,
     ) -> links.AnswerResult:
-        """Runs a send of one of this node's tickets."""
-        return await self._ticketing.execute(
+        """Runs a request that carries a ticket which this node issued."""
+        return await self._ticket_handler.execute(
             head, body, objects.Priority(priority), incarnation
         )
 
     def gossiped(self, frame: Any) -> None:
-        """Takes a frame of another node's gossip."""
+        """Handles a gossip frame of another node."""
         self._gossip.frame(frame)
 
     async def _bind_links(self) -> str:
@@ -477,7 +504,7 @@
         return await self._link_server.bind(host, port, context)
 
     def _build_reports(self) -> None:
-        """What operators are told."""
+        """Builds the reports for operators."""
         self._reports = reports.Reports(
             reports.Parts(
                 self._settings.name,
@@ -485,7 +512,7 @@
                 self._configuration,
                 self._fleet,
                 self._targets,
-                self._judge,
+                self._outlier_monitor,
                 self._gateway.counts,
                 lambda: self._listener.in_flight,
                 self._pool,
@@ -510,7 +537,7 @@
         )
         if config.readiness is not None:
             await self._http.serve_application(
-                readiness.application(self._not_ready), config.readiness
+                readiness.application(self._not_ready_reason), config.readiness
             )
         operators_address = await self._http.serve_application(
             self._operator_application(), config.operators
@@ -518,53 +545,64 @@
         return Addresses(callers, targets, nodes, operators_address)
 
     def _target_application(self) -> web.Application:
-        taken = registration.Registration(
+        target_registration = registration.Registration(
             self._targets,
             self._services.slots,
-            self._targets_changed,
-            self._not_genuine,
+            self._publish_target_changes,
+            self._check_announcement,
         )
-        if not self._on_platform:
-            return api.TargetApi(taken).application()
+        if not self._uses_platform_interface:
+            return api.TargetApi(target_registration).application()
         return heartbeats.HeartbeatApi(
-            taken, self._heartbeat_ms, self._clock, self._settle
+            target_registration,
+            self._heartbeat_ms,
+            self._clock,
+            self._wait_for_peer_state,
         ).application()
 
-    async def _settle(self) -> None:
-        """Waits until peers have told what they remember of this home.
+    async def _wait_for_peer_state(self) -> None:
+        """Waits for the peers' state of this home, for a limited time.
 
-        They have within milliseconds; where all start at once nobody has
-        anything to tell, and targets are not kept waiting for long.
+        It usually arrives within milliseconds. If all nodes start at once, no
+        peer has any state, so the limit keeps the targets' wait short.
         """
         while self._gossip.not_ready() is not None:
-            if self._clock.monotonic() - self._began >= SETTLE_LIMIT:
+            if self._clock.monotonic() - self._created_at >= SETTLE_LIMIT:
                 return
             await asyncio.sleep(SETTLE_LOOK.total_seconds())
 
     def _heartbeat_ms(self) -> int:
-        beside = self._settings.beside
-        return round(1000 * beside.heartbeat_seconds) if beside else 1000
+        local_target = self._settings.beside
+        return (
+            round(1000 * local_target.heartbeat_seconds)
+            if local_target
+            else 1000
+        )
+
+    def _check_announcement(self, announcement: registry.Announcement) -> str:
+        """Returns why an announcement can't come from the local target.
 
-    def _not_genuine(self, announcement: registry.Announcement) -> str:
-        """Why an announcement can't be that of the target beside this node.
+        Failure: another process sends announcements, with a service that does
+        not exist or another address. Symptom: if accepted, such an
+        announcement replaces the target's own record until its next one, or
+        misroutes its requests.
 
-        Failure: something else sends announcements, with a service that does
-        not exist or another address. Symptom: taken, it would replace the
-        target's own record until the next one, or lead its work astray.
+        Returns:
+          The reason; empty if the announcement is acceptable.
         """
-        beside = self._settings.beside
-        if beside is None:
+        local_target = self._settings.beside
+        if local_target is None:
             return ""
-        if announcement.address != f"http://{beside.address}":
+        if announcement.address != f"http://{local_target.address}":
             return "no target of this node has that address"
-        known = self._services.is_known(announcement.service)
-        if not known and announcement.service != beside.service:
+        is_known = self._services.is_known(announcement.service)
+        if not is_known and announcement.service != local_target.service:
             return "no such service"
         return ""
 
     def _operator_application(self) -> web.Application:
         sources = http.Sources(
-            self._not_ready,
+            self._not_ready_reason,
             self._reports.status,
             self._reports.metrics_page,
             self._gossip.status,
@@ -577,59 +615,69 @@
         )
         return application
 
-    def _targets_changed(self) -> None:
+    def _publish_target_changes(self) -> None:
         self._gossip.targets_changed()
-        self._auditor.targets(self._targets.announced(), self._judge.causes)
-        held = [item.id for item in self._targets.announced()]
-        log.info("targets held", extra=logs.fields(targets=held))
+        self._audit_recorder.targets(
+            self._targets.announced(), self._outlier_monitor.causes
+        )
+        target_ids = [item.id for item in self._targets.announced()]
+        log.info("targets held", extra=logs.fields(targets=target_ids))
 
     def configuration(self, frame: Any) -> None:
-        """Takes what a peer tells of its configuration, or asks."""
+        """Handles a peer's frame with configuration or a query for it."""
         self._configuration_peer.frame(frame)
 
-    def _in_force(self, key: store.Key) -> None:
+    def _apply_configuration(self, key: store.Key) -> None:
         self._gateway.configure(key.kind, key.name)
 
-    def _joined(self) -> None:
-        """Takes note that this start is registered."""
-        self._auditor.membership(audit.Action.JOIN)
+    def _record_join(self) -> None:
+        """Records that this incarnation is registered."""
+        self._audit_recorder.membership(audit.Action.JOIN)
 
-    async def _expire(self) -> None:
+    async def _run_lease_checks(self) -> None:
         while True:
             await asyncio.sleep(EXPIRE_PERIOD.total_seconds())
-            gone = self._targets.expire()
-            if gone:
-                log.warning("leases ended", extra=logs.fields(targets=gone))
-                self._targets_changed()
+            expired = self._targets.expire()
+            if expired:
+                log.warning("leases ended", extra=logs.fields(targets=expired))
+                self._publish_target_changes()
 
-    async def _judge_often(self) -> None:
+    async def _run_target_checks(self) -> None:
         while True:
             await asyncio.sleep(judge.PERIOD.total_seconds())
-            self._judge.advance()
+            self._outlier_monitor.advance()
             self._dispatcher.look()
-            self._tell_zone()
+            self._publish_updates()
+
+    def _publish_updates(self) -> None:
+        """Sends target updates and more to the zone's nodes and this entry.
 
-    def _tell_zone(self) -> None:
-        """Lets this entry and the others of the zone know of sick targets."""
+        The updates tell the entry nodes of unhealthy targets, of the use of
+        retry budgets and of ingress routes.
+        """
         now = self._clock.monotonic()
-        states = [item.state(now) for item in self._targets.held()]
-        conditions = self._teller.due_updates(states, now)
-        for condition in conditions:
-            self._placement.hear(condition)
-        tallies = self._gateway.budgets.due()
-        ways = self._gateway.origins.due()
-        self._gossip.tell(peer_updates.PeerUpdate(conditions, tallies, ways))
-
-    def _hear(self, sender: str, news: peer_updates.PeerUpdate) -> None:
-        """Takes what another node of the zone tells."""
-        for condition in news.target_updates:
-            self._placement.hear(condition)
-        for tally in news.retry_usages:
-            self._gateway.budgets.hear(sender, tally)
-        for way in news.ingress_routes:
-            self._gateway.origins.hear(way)
-
-    def _not_ready(self) -> str | None:
-        if self._stopping:
+        snapshots = [item.state(now) for item in self._targets.held()]
+        target_updates = self._update_publisher.due_updates(snapshots, now)
+        for target_update in target_updates:
+            self._placement.hear(target_update)
+        retry_usages = self._gateway.budgets.due()
+        routes = self._gateway.origins.due()
+        self._gossip.tell(
+            peer_updates.PeerUpdate(target_updates, retry_usages, routes)
+        )
+
+    def _handle_peer_update(
+        self, sender: str, update: peer_updates.PeerUpdate
+    ) -> None:
+        """Applies the update of another node of the zone."""
+        for target_update in update.target_updates:
+            self._placement.hear(target_update)
+        for retry_usage in update.retry_usages:
+            self._gateway.budgets.hear(sender, retry_usage)
+        for route in update.ingress_routes:
+            self._gateway.origins.hear(route)
+
+    def _not_ready_reason(self) -> str | None:
+        if self._is_stopping:
             return "stopping"
         return self._configuration_peer.missing() or self._gossip.not_ready()
--- a/endivewind/operators/__init__.py
+++ b/endivewind/operators/__init__.py
@@ -1,7 +1,7 @@
-"""The side towards operators: configuration in a program, and status.
+"""The operators' interface: a configuration library, and HTTP pages.
 
 A program builds a `Firm`, adds services, routes and workspaces to it and
-prints it; `endivewind submit -` takes what it prints:
+prints it as YAML, which `endivewind submit -` reads:
 
     python examples/camerino_abierto.py | endivewind submit - --platform=URL
 """
--- a/endivewind/operators/builder.py
+++ b/endivewind/operators/builder.py
@@ -1,4 +1,4 @@
-"""Builds a configuration in a program, typed, and prints it as YAML."""
+"""Builds a configuration in an operator's program and prints it as YAML."""
 
 import collections.abc
 import datetime
@@ -22,8 +22,8 @@
 class Firm:
     """One firm's part of the configuration: services, routes, workspaces.
 
-    Its routes become one object of the platform and its workspaces another,
-    so that firms that submit at the same time do not meet.
+    The firm's routes become one object of the platform and its workspaces
+    another, so that firms that submit at the same time do not conflict.
     """
 
     def __init__(self, name: str) -> None:
@@ -54,20 +54,20 @@
 
         Args:
           name: the service's name.
-          profile: which error its ejections should rather make.
-          slots: requests that one target takes at once.
+          profile: whether ejections favor fast detection or capacity.
+          slots: concurrent requests per target.
           targets_per_region: targets that a region should have.
-          floor_targets: targets' worth of slots per region that ejection may
-            never go below.
-          timeout: deadline of a request that brings none.
-          queue_limit: requests that may wait for a slot at one entry.
+          floor_targets: the capacity floor: the number of targets per region
+            whose slots ejections must leave available.
+          timeout: deadline of a request without a deadline of its own.
+          queue_limit: requests that may wait for a slot at one entry node.
           retry_percent: retries allowed, as a share of recent requests.
 
         Returns:
           The name, for the service's routes.
         """
         if name in self._services:
-            raise exceptions.UsageError(f"service {name!r} is given twice")
+            raise exceptions.UsageError(f"service {name!r} is defined twice")
         values = {
             "profile": profile,
             "slots": slots,
@@ -77,7 +77,7 @@
             "queue_limit": queue_limit,
             "retry_percent": retry_percent,
         }
-        self._services[name] = _checked(objects.Service, name, values)
+        self._services[name] = _validate(objects.Service, name, values)
         return name
 
     def route(
@@ -90,7 +90,7 @@
         repeat: objects.Repeat = objects.Repeat.SAFE_METHODS,
         priority: objects.Priority = objects.Priority.NORMAL,
     ) -> None:
-        """Adds a way from a host and path prefix to a service."""
+        """Adds a route from a host and path prefix to a service."""
         values = {
             "service": service,
             "host": host,
@@ -99,8 +99,8 @@
             "repeat": repeat,
             "priority": priority,
         }
-        where = f"route {host}{prefix}"
-        self._routes.append(_checked(objects.Route, where, values))
+        place = f"route {host}{prefix}"
+        self._routes.append(_validate(objects.Route, place, values))
 
     def workspace(
         self,
@@ -114,62 +114,66 @@
         """Adds a workspace of this firm, with its share and its limits.
 
         Args:
-          name: as callers name it in the header Endivewind-Workspace, where
-            no workspace has a key.
+          name: the name; callers send it in the header Endivewind-Workspace
+            if no workspace has a key.
           weight: share under saturation, relative to other workspaces.
-          rate: requests a second over all nodes together; 0 is no limit.
-          burst: requests that may come at once above the rate.
-          keys: those that it holds, as callers send them; only their digests
+          rate: requests per second over all nodes; 0 means no limit.
+          burst: requests allowed at once above the rate.
+          keys: the workspace's keys, as callers send them; only their digests
             are printed.
 
         Returns:
           The name, for routes of this workspace alone.
         """
         if name in self._workspaces:
-            raise exceptions.UsageError(f"workspace {name!r} is given twice")
+            raise exceptions.UsageError(f"workspace {name!r} is defined twice")
         values = {
             "firm": self._name,
             "weight": weight,
             "rate": rate,
             "burst": burst,
         }
-        self._workspaces[name] = _checked(objects.Workspace, name, values)
+        self._workspaces[name] = _validate(objects.Workspace, name, values)
         for index, key in enumerate(keys):
-            self._hold(name, index, key)
+            self._add_key(name, index, key)
         return name
 
-    def _hold(self, workspace: str, index: int, key: str) -> None:
-        """Gives a key to a workspace; its place names it in an error."""
+    def _add_key(self, workspace: str, index: int, key: str) -> None:
+        """Adds a key to a workspace; errors give its index, not the key."""
         checked = caller_keys.checked_digest(key)
         place = f"workspace {workspace!r}, key {index}"
         if checked.is_error():
             raise exceptions.UsageError(f"{place}: {checked.error}")
         known = self._keys.setdefault(checked.ok, workspace)
         if known != workspace:
-            raise exceptions.UsageError(f"{place}: {known!r} holds it as well")
+            raise exceptions.UsageError(f"{place}: {known!r} has the same key")
 
     def configuration(self) -> objects.Configuration:
-        """The whole, checked as `endivewind validate` checks a file."""
-        loaded = base.load_text(self._text(), _SOURCE, objects.Configuration)
+        """Returns the configuration, checked as by `endivewind validate`."""
+        loaded = base.load_text(self._dump(), _SOURCE, objects.Configuration)
         if loaded.is_error():
             raise exceptions.InvalidFileError(loaded.error)
         return loaded.ok.model
 
     def to_yaml(self) -> str:
-        """The YAML that `endivewind submit -` takes; raises on findings."""
+        """Returns the YAML that `endivewind submit -` reads.
+
+        Raises:
+          InvalidFileError: the configuration is invalid.
+        """
         self.configuration()
-        return self._text()
+        return self._dump()
 
     def print(self) -> None:
-        """Prints the YAML, or the findings and exits with their code."""
+        """Prints the YAML; on errors prints these and exits with their code."""
         try:
             sys.stdout.write(self.to_yaml())
         except exceptions.EndivewindError as error:
             print(error, file=sys.stderr)
             sys.exit(error.exit_code)
 
-    def _text(self) -> str:
-        whole = objects.Configuration.model_construct(
+    def _dump(self) -> str:
+        configuration = objects.Configuration.model_construct(
             services=self._services,
             route_groups={
                 self._name: objects.RouteGroup(routes=tuple(self._routes))
@@ -180,17 +184,17 @@
                 )
             },
         )
-        value = whole.model_dump(mode="json", exclude_defaults=True)
+        value = configuration.model_dump(mode="json", exclude_defaults=True)
         return yaml.safe_dump(value, sort_keys=False, allow_unicode=True)
 
 
-def _checked(
+def _validate(
     model: type[ModelT],
-    where: str,
+    place: str,
     values: collections.abc.Mapping[str, object],
 ) -> ModelT:
     try:
         return model.model_validate(values)
     except pydantic.ValidationError as error:
-        found = base.findings_of(error, f"{_SOURCE} {where}", model)
-        raise exceptions.InvalidFileError(found) from error
+        findings = base.findings_of(error, f"{_SOURCE} {place}", model)
+        raise exceptions.InvalidFileError(findings) from error
--- a/endivewind/operators/configuration.py
+++ b/endivewind/operators/configuration.py
@@ -1,4 +1,8 @@
-"""`GET /v1/configuration`: what is in force on every node of the fleet."""
+"""`GET /v1/configuration`: the versions in force on every node of the fleet.
+
+Operators' commands use it to follow a change through the fleet. The node that
+is asked queries all others.
+"""
 
 import collections.abc
 import dataclasses
@@ -13,11 +17,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Members:
-    """What the answer tells of the fleet's nodes.
+    """What the response tells of the fleet's nodes.
 
     Attributes:
-      zones: all zones, where nodes register zone by zone.
-      left: nodes that have left as planned; their registrations may remain.
+      zones: all zones, if nodes register zone by zone.
+      departed_nodes: returns the nodes that have left as planned; their
+        registrations may remain.
     """
 
     zones: tuple[str, ...]
@@ -27,10 +32,10 @@
 def add_route(
     application: web.Application, fleet: asking.Asking, members: Members
 ) -> None:
-    """Adds the path; `?object=KIND/NAME` names each object asked about."""
+    """Adds the path; each `?object=KIND/NAME` names an object to query."""
 
     async def handle(request: web.Request) -> web.Response:
-        keys = [_key(item) for item in request.query.getall("object", [])]
+        keys = [_parse_key(item) for item in request.query.getall("object", [])]
         if not keys or None in keys or len(keys) > asking.MAX_KEYS:
             return web.json_response(
                 {
@@ -40,18 +45,18 @@
                 },
                 status=400,
             )
-        states = await fleet.ask([key for key in keys if key])
+        versions = await fleet.ask([key for key in keys if key])
         return web.json_response(
             {
-                "silent": states.silent,
+                "silent": versions.silent,
                 "zones": members.zones,
                 "left": members.left(),
                 "nodes": {
                     name: {
                         str(key): dataclasses.asdict(state)
-                        for key, state in found.items()
+                        for key, state in states.items()
                     }
-                    for name, found in states.nodes.items()
+                    for name, states in versions.nodes.items()
                 },
             }
         )
@@ -59,7 +64,7 @@
     application.router.add_get(PATH, handle)
 
 
-def _key(text: str) -> store.Key | None:
+def _parse_key(text: str) -> store.Key | None:
     kind, slash, name = text.partition("/")
     if kind not in store.KINDS or not slash or not name:
         return None
--- a/endivewind/operators/explaining.py
+++ b/endivewind/operators/explaining.py
@@ -1,9 +1,10 @@
-"""Puts a request's life together from the log lines of several nodes.
+"""Reconstructs the trace of a request from the log lines of several nodes.
 
-Nodes do not share a clock. A call that a target makes while it works on a
-request is logged by another node under an id that begins with the request's;
-it began after the request was handed over and ended before its answer, which
-tells how far that node's clock is off at least.
+The command `endivewind explain` uses it. Nodes' clocks differ. A call that a
+target makes while it runs a request is logged by another node, under an id
+that begins with the request's. The call started after the request was sent to
+the target and ended before the target's response, which gives a lower bound
+of the difference between the clocks.
 """
 
 import collections.abc
@@ -12,12 +13,13 @@
 import json
 from typing import Any
 
-# What was believed of targets and nodes is looked for this long before the
-# request's end: verdicts last for seconds to a minute.
+# How long before a request's end lines on the status of its targets and nodes
+# are included: ejections last for seconds to a minute.
 LOOK_BACK = datetime.timedelta(minutes=1)
-# Other requests at the same targets, before and after.
+# How long before and after a request other requests to its targets are
+# included.
 AROUND = datetime.timedelta(seconds=10)
-# Between a request's id and the number of a call that it made.
+# Separates a request's id from the number of a call that it made.
 CALL_MARK = "."
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
@@ -27,10 +29,10 @@
     """One log line.
 
     Attributes:
-      node: who wrote it.
-      time: by that node's clock.
-      message: what kind of line it is.
-      fields: its other keys.
+      node: the node that wrote it.
+      time: its time by that node's clock.
+      message: the message, which tells the kind of line.
+      fields: the other keys.
     """
 
     node: str
@@ -41,14 +43,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """One attempt at a target.
+    """One attempt of a request at a target.
 
     Attributes:
       target: the target's id.
-      home: the node that handed the request over to it.
-      start: since the request came.
-      duration: until the answer, or until it was given up.
-      suspicion: how likely the entry took the target to be sick.
+      home: the home node, which sent the request to the target.
+      start: time from the request's arrival to the attempt's start.
+      duration: time until the response, or until the attempt was abandoned.
+      suspicion: the entry node's probability that the target was unhealthy.
       result: a status, or a reason and an outcome.
     """
 
@@ -61,18 +63,19 @@
 
     @property
     def succeeded(self) -> bool:
-        """Whether the target answered, and not by an error of its own."""
+        """Whether the target responded without a server error."""
         return self.result.isdigit() and int(self.result) < 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A request as its entry has logged it.
+    """A request as its entry node logged it.
 
     Attributes:
-      line: the entry's line, written when the request ended.
-      attempts: in order.
-      clock_offset: what to add to the node's clock to get the first entry's.
+      line: the entry node's line, written when the request ended.
+      attempts: the attempts in the order of their starts.
+      clock_offset: the offset to add to the node's clock to get the clock of
+        the original request's entry node.
     """
 
     line: Line
@@ -81,26 +84,27 @@
 
     @property
     def end(self) -> datetime.datetime:
-        """When it ended, by the clock of the first entry."""
+        """Its end by the clock of the original request's entry node."""
         return self.line.time + self.clock_offset
 
     @property
     def start(self) -> datetime.datetime:
-        """When it came, by the clock of the first entry."""
+        """Its arrival by the clock of the original request's entry node."""
         return self.end - self.line.fields["milliseconds"] * _MILLISECOND
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Story:
-    """All that the lines tell of one request.
+    """Everything that the log lines tell of one request.
 
     Attributes:
       request: the request itself.
-      calls: calls that its target made while it ran, in order.
-      refusals: the system's own answers to it.
-      beliefs: latest lines on its targets and homes before it ended.
-      others: how attempts of other requests went at its targets around then,
-        by target.
+      calls: the calls that its target made while it ran, in order.
+      refusals: the lines of its refusals by the fleet.
+      status_lines: the latest lines on the status of its targets and home
+        nodes before its end.
+      other_attempts: attempts of other requests at its targets at about the
+        same time, by target.
     """
 
     request: Request
@@ -113,69 +117,74 @@
 def parse(
     text: collections.abc.Iterable[str], node: str
 ) -> collections.abc.Iterator[Line]:
-    """The log lines in a text; what is none is passed over.
+    """Parses the log lines in a text and skips everything else.
 
     Args:
-      text: lines; words before the JSON object are taken for the writer's
-        name, the last of them, as collectors of logs put it there.
-      node: the writer where a line does not name it.
+      text: the lines; the last word before a line's JSON object is the name
+        of its node, where log collectors add it.
+      node: the node of lines that do not name it.
+
+    Yields:
+      The log lines.
     """
-    for raw in text:
-        before, brace, rest = raw.partition("{")
+    for text_line in text:
+        prefix, brace, rest = text_line.partition("{")
         try:
             fields = json.loads(brace + rest)
             time = datetime.datetime.fromisoformat(fields.pop("time"))
             message = str(fields.pop("message"))
         except (ValueError, KeyError, TypeError):
             continue
-        words = before.split()
+        words = prefix.split()
         yield Line(words[-1] if words else node, time, message, fields)
 
 
 def explain(
     lines: collections.abc.Iterable[Line], request_id: str
 ) -> Story | None:
-    """The story of a request; None where no line tells of it.
+    """Builds the trace of a request; returns None if no line mentions it.
 
-    A request that took one plain answer writes no line.
+    A request that succeeded at its first attempt is not logged.
     """
-    known = list(lines)
+    all_lines = list(lines)
     requests = [
-        _request(line)
-        for line in known
-        if line.message == "request" and _is_whole(line)
+        _decode_request(line)
+        for line in all_lines
+        if line.message == "request" and _is_complete(line)
+    ]
+    matching = [
+        item for item in requests if _request_id(item.line) == request_id
     ]
-    own = [item for item in requests if _id(item.line) == request_id]
-    if not own:
+    if not matching:
         return None
-    request = own[0]
+    request = matching[0]
     calls = [
-        _reconciled(item, request)
+        _adjust_clock(item, request)
         for item in requests
-        if _id(item.line).startswith(request_id + CALL_MARK)
+        if _request_id(item.line).startswith(request_id + CALL_MARK)
     ]
     return Story(
         request,
         tuple(sorted(calls, key=lambda item: item.start)),
         tuple(
             line
-            for line in known
-            if line.message == "refused" and _id(line) == request_id
+            for line in all_lines
+            if line.message == "refused" and _request_id(line) == request_id
         ),
-        tuple(_beliefs(known, request)),
-        _others(requests, request),
+        tuple(_status_lines(all_lines, request)),
+        _other_attempts(requests, request),
     )
 
 
-def _id(line: Line) -> str:
+def _request_id(line: Line) -> str:
     return str(line.fields.get("request_id", ""))
 
 
-def _is_whole(line: Line) -> bool:
+def _is_complete(line: Line) -> bool:
     return {"request_id", "milliseconds", "tries"} <= line.fields.keys()
 
 
-def _request(line: Line) -> Request:
+def _decode_request(line: Line) -> Request:
     attempts = tuple(
         Attempt(
             str(item["target"]),
@@ -185,39 +194,39 @@
             float(item["suspicion"]),
             str(item["result"]),
         )
-        for item in sorted(line.fields["tries"], key=_after)
+        for item in sorted(line.fields["tries"], key=_start_ms)
     )
     return Request(line, attempts)
 
 
-def _after(item: dict[str, Any]) -> int:
-    """Attempts are logged in the order of their ends."""
+def _start_ms(item: dict[str, Any]) -> int:
+    """Returns the sort key; attempts are logged in the order of their ends."""
     return int(item["after_ms"])
 
 
-def _reconciled(call: Request, request: Request) -> Request:
-    """The call, with its node's clock moved so that it lies within its cause.
+def _adjust_clock(call: Request, request: Request) -> Request:
+    """Corrects a call's clock so that it lies within the request causing it.
 
-    By the least that is needed: within an attempt at the call's own node, or
-    within the whole request where no attempt went there.
+    The offset is the smallest that moves the call into the attempt at the
+    call's own node, or into the whole request if no attempt went there.
     """
-    begin, end = request.start, request.end
+    start, end = request.start, request.end
     for attempt in request.attempts:
         if attempt.home == call.line.node:
-            begin = request.start + attempt.start
-            end = begin + attempt.duration
+            start = request.start + attempt.start
+            end = start + attempt.duration
     offset = datetime.timedelta()
     if call.end > end:
         offset = end - call.end
-    elif call.start < begin:
-        offset = begin - call.start
+    elif call.start < start:
+        offset = start - call.start
     return dataclasses.replace(call, clock_offset=offset)
 
 
-def _beliefs(
+def _status_lines(
     lines: list[Line], request: Request
 ) -> collections.abc.Iterator[Line]:
-    """The latest line of each kind on each target and home of a request."""
+    """Yields the latest line of each kind on each target and home node."""
     targets = {item.target for item in request.attempts}
     homes = {item.home for item in request.attempts}
     latest: dict[tuple[str, str], Line] = {}
@@ -240,16 +249,19 @@
     yield from in_force[-1:]
 
 
-def _others(
+def _other_attempts(
     requests: list[Request], request: Request
 ) -> dict[str, tuple[Attempt, ...]]:
-    found: dict[str, list[Attempt]] = {
+    attempts_by_target: dict[str, list[Attempt]] = {
         item.target: [] for item in request.attempts
     }
     for other in requests:
         if other is request or abs(other.end - request.end) > AROUND:
             continue
         for attempt in other.attempts:
-            if attempt.target in found:
-                found[attempt.target].append(attempt)
-    return {target: tuple(attempts) for target, attempts in found.items()}
+            if attempt.target in attempts_by_target:
+                attempts_by_target[attempt.target].append(attempt)
+    return {
+        target: tuple(attempts)
+        for target, attempts in attempts_by_target.items()
+    }
--- a/endivewind/operators/http.py
+++ b/endivewind/operators/http.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP address of a node: health, metrics and status."""
+"""A node's HTTP API for operators: health, readiness, metrics and status."""
 
 import collections.abc
 import dataclasses
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Page:
-    """A page in whatever format its maker has written it."""
+    """A rendered page with its content type."""
 
     body: bytes
     content_type: str
@@ -16,13 +16,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sources:
-    """Where the answers come from.
+    """The sources of the responses.
 
     Attributes:
-      ready: None when ready, else what is missing.
-      status: the node's status as JSON.
-      metrics: the node's metrics in Prometheus' text format.
-      members: what the node knows of the fleet, in counts.
+      not_ready_reason: returns None if the node is ready, else why it is not.
+      status: returns the node's status, which can be encoded as JSON.
+      metrics: renders the node's metrics in Prometheus' text format.
+      members: returns the numbers of known nodes by state.
     """
 
     ready: collections.abc.Callable[[], str | None]
@@ -32,13 +32,13 @@
 
 
 class OperatorApi:
-    """`/healthz`, `/readyz`, `/metrics`, `/v1/status`, `/v1/members`."""
+    """Serves /healthz, /readyz, /metrics, /v1/status and /v1/members."""
 
     def __init__(self, sources: Sources) -> None:
         self._sources = sources
 
     def application(self) -> web.Application:
-        """The routes of the API."""
+        """Makes the web application with the routes of the API."""
         app = web.Application()
         app.router.add_get("/healthz", self._health)
         app.router.add_get("/readyz", self._ready)
@@ -51,9 +51,9 @@
         return web.Response(text="ok\n")
 
     async def _ready(self, request: web.Request) -> web.Response:
-        missing = self._sources.ready()
-        if missing:
-            return web.Response(status=503, text=missing + "\n")
+        reason = self._sources.ready()
+        if reason:
+            return web.Response(status=503, text=reason + "\n")
         return web.Response(text="ready\n")
 
     async def _metrics(self, request: web.Request) -> web.Response:
--- a/endivewind/reading.py
+++ b/endivewind/reading.py
@@ -1,4 +1,9 @@
-"""What a node reads of the configuration in the platform, and when."""
+"""Reads the configuration from the platform for this node and its peers.
+
+A node watches the platform while it is one of the few watchers, lists if its
+peers tell it nothing, and reads on demand to prove that the configuration in
+force is the newest.
+"""
 
 import asyncio
 import collections.abc
@@ -25,135 +30,142 @@
 
 
 def kinds_of(interface: settings.Interface) -> tuple[str, ...]:
-    """The kinds of objects that hold the configuration."""
+    """Returns the kinds of objects that hold the configuration."""
     if interface is settings.Interface.PLATFORM:
         return (names.CONFIGURATION_KIND,)
     return store.KINDS
 
 
 class ConfigurationReader:
-    """Reads what no peer tells, and watches where it is this node's turn."""
+    """Reads and watches the configuration, as the node's role requires."""
 
     def __init__(
         self,
         config: collections.abc.Callable[[], settings.NodeSettings],
         platform: client.PlatformClient,
         peer: configuration.ConfigurationPeer,
-        is_settled: collections.abc.Callable[[], bool],
-        proof: freshness.Freshness,
+        has_complete_view: collections.abc.Callable[[], bool],
+        freshness_tracker: freshness.Freshness,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
         """Builds a reader.
 
         Args:
-          config: the settings in force.
-          platform: where the configuration is.
-          peer: takes what is read, and passes it on.
-          is_settled: whether this node knows those that started before it, so
-            that it can tell whether to watch.
-          proof: takes that what was read is the newest.
-          clock: counts time asleep as well.
-          rng: spreads calls that are repeated.
+          config: returns the settings in force.
+          platform: the store that holds the configuration.
+          peer: applies the objects read and forwards them to peers.
+          has_complete_view: whether this node knows the nodes that started
+            before it, so that it can tell whether it is a watcher.
+          freshness_tracker: records that the configuration read is the newest.
+          clock: its boot time includes the time that the VM is suspended.
+          rng: adds jitter to repeated calls.
         """
         self._config = config
         self._platform = platform
         self._peer = peer
-        self._is_settled = is_settled
-        self._proof = proof
+        self._has_complete_view = has_complete_view
+        self._freshness_tracker = freshness_tracker
         self._clock = clock
-        # What the platform held when it was last read whole.
+        # The configuration at the last whole read.
         self._newest: _Newest | None = None
         self._rng = rng
 
     def watchers(self) -> list[watcher.Watcher]:
-        """One for each kind of object."""
-        return [self._watcher(kind) for kind in kinds_of(self._interface)]
+        """Makes a watcher for each kind of object."""
+        return [self._make_watcher(kind) for kind in kinds_of(self._interface)]
 
     @property
     def _interface(self) -> settings.Interface:
         return self._config().interface
 
-    def _watcher(self, kind: str) -> watcher.Watcher:
-        seen: collections.abc.Callable[[messages.StoredObject], object]
-        seen, listed = self._peer.seen, self._peer.listed
-        lists: watcher.List | None = None
+    def _make_watcher(self, kind: str) -> watcher.Watcher:
+        on_object: collections.abc.Callable[[messages.StoredObject], object]
+        on_object, on_listed = self._peer.seen, self._peer.listed
+        list_objects: watcher.List | None = None
         if kind == names.CONFIGURATION_KIND:
-            seen, listed = self._operator_wrote, _not_by_listing
-            lists = self._list
+            on_object, on_listed = self._apply, _ignore_listing
+            list_objects = self._list
         return watcher.Watcher(
-            self._platform, kind, seen, self._rng, listed, self._role, lists
+            self._platform,
+            kind,
+            on_object,
+            self._rng,
+            on_listed,
+            self._read_mode,
+            list_objects,
         )
 
     async def _list(
         self, stale: bool
     ) -> expression.Result[messages.Listing, messages.PlatformError]:
-        """Lists the operator's configuration; a fresh listing is a proof.
+        """Lists the operators' configuration; a fresh listing is a proof.
 
-        A node that starts and needs proofs has one by its first reading.
+        A starting node that needs proofs of freshness gets the first one from
+        its first listing.
         """
-        if stale and self._proof.bound is None:
+        if stale and self._freshness_tracker.bound is None:
             return await self._platform.list(
                 names.CONFIGURATION_KIND, stale=True
             )
-        return await self._read_whole()
+        return await self._read_fresh()
 
-    async def prove(self, limit: datetime.timedelta) -> bool:
-        """Reads whether what is in force is the newest.
+    async def prove(self, timeout: datetime.timedelta) -> bool:
+        """Reads from the platform whether the newest version is in force.
 
         Args:
-          limit: how long the platform may take.
+          timeout: how long the platform may take.
 
         Returns:
-          Whether it has answered.
+          Whether the platform has responded.
         """
         try:
-            async with asyncio.timeout(limit.total_seconds()):
+            async with asyncio.timeout(timeout.total_seconds()):
                 if await self._is_unchanged():
                     return True
-                return (await self._read_whole()).is_ok()
+                return (await self._read_fresh()).is_ok()
         except TimeoutError:
-            log.warning("the platform gives no proof in time")
+            log.warning("no proof of freshness from the platform in time")
             return False
 
     async def _is_unchanged(self) -> bool:
         if self._newest is None:
             return False
-        began = self._clock.boot_time()
-        found = await self._platform.revision(names.CONFIGURATION_KIND)
-        if found.is_error() or found.ok != self._newest.revision:
+        started_at = self._clock.boot_time()
+        result = await self._platform.revision(names.CONFIGURATION_KIND)
+        if result.is_error() or result.ok != self._newest.revision:
             return False
-        self._proof.proved(self._newest.version, began)
+        self._freshness_tracker.proved(self._newest.version, started_at)
         return True
 
-    async def _read_whole(
+    async def _read_fresh(
         self,
     ) -> expression.Result[messages.Listing, messages.PlatformError]:
-        began = self._clock.boot_time()
-        listed = await self._platform.list(names.CONFIGURATION_KIND)
-        if listed.is_error():
-            log.warning("platform: %s", listed.error)
-            return listed
-        for stored in listed.ok.objects:
-            version = self._operator_wrote(stored)
+        started_at = self._clock.boot_time()
+        result = await self._platform.list(names.CONFIGURATION_KIND)
+        if result.is_error():
+            log.warning("platform: %s", result.error)
+            return result
+        for stored in result.ok.objects:
+            version = self._apply(stored)
             if version is not None:
-                self._newest = _Newest(listed.ok.revision, version)
-                self._proof.proved(version, began)
-        return listed
+                self._newest = _Newest(result.ok.revision, version)
+                self._freshness_tracker.proved(version, started_at)
+        return result
 
-    def _role(self) -> watcher.Role:
-        """What this node has to read now."""
-        if self._is_settled() and self._peer.is_watcher:
+    def _read_mode(self) -> watcher.Role:
+        """Returns what this node has to read now."""
+        if self._has_complete_view() and self._peer.is_watcher:
             return watcher.Role.ALWAYS
         if self._peer.lacks_peers:
             return watcher.Role.ONCE
         return watcher.Role.NOTHING
 
-    def _operator_wrote(self, stored: messages.StoredObject) -> int | None:
-        """Takes the configuration that the platform's operator has written.
+    def _apply(self, stored: messages.StoredObject) -> int | None:
+        """Applies the configuration that the platform's operators wrote.
 
         Returns:
-          Its version; None where it is another object or can't be read.
+          Its version; None if it is another object or invalid.
         """
         if stored.name != names.CONFIGURATION_NAME or not stored.value:
             return None
@@ -161,11 +173,11 @@
         decoded = operator_configuration.decode(stored, defaults)
         if decoded.is_error():
             fields = logs.fields(revision=stored.version, problem=decoded.error)
-            log.error("configuration that can't be read", extra=fields)
+            log.error("invalid configuration", extra=fields)
             return None
         self._peer.seen(decoded.ok)
-        # The first one is written some time after the nodes have started;
-        # a listing without it says nothing.
+        # Operators may write the first configuration after the nodes have
+        # started, so a listing without it is not complete.
         self._peer.listed(stored.kind)
         return store.stamp_of(decoded.ok.version, decoded.ok.value).version
 
@@ -178,5 +190,5 @@
     version: int
 
 
-def _not_by_listing(kind: str) -> None:
-    """A listing alone does not make this kind whole."""
+def _ignore_listing(kind: str) -> None:
+    """Ignores a listing; _apply() tells when this kind is complete."""
--- a/endivewind/reports.py
+++ b/endivewind/reports.py
@@ -1,4 +1,4 @@
-"""What a node tells its operators: status, metrics and regular log lines."""
+"""A node's reports to its operators: status, metrics and periodic log lines."""
 
 import asyncio
 import collections.abc
@@ -34,17 +34,17 @@
 
     Attributes:
       name: the node's name.
-      incarnation: this start of it.
-      configuration: what is in force.
-      fleet: nodes and targets that it knows.
-      targets: its own targets.
-      judge: verdicts on these.
-      requests: what callers asked.
-      in_flight: callers' requests being served now.
-      pool: links to other nodes.
-      traffic: bytes to other nodes.
-      platform: calls to the platform.
-      members: nodes by state.
+      incarnation: the node's incarnation.
+      configuration: the configuration in force.
+      fleet: the known nodes and targets.
+      targets: the targets of this home.
+      outlier_monitor: the outlier detection of these targets.
+      requests: the metrics of callers' requests.
+      in_flight: returns the number of callers' requests in progress.
+      pool: the links to other nodes.
+      traffic: the bytes sent to other nodes.
+      platform: the client, for its counts of calls.
+      members: returns the numbers of nodes by state.
     """
 
     name: str
@@ -62,14 +62,14 @@
 
 
 class Reports:
-    """Status and metrics on demand, and a line now and then."""
+    """Renders status and metrics on demand, and logs traffic periodically."""
 
     def __init__(self, parts: Parts) -> None:
         self._parts = parts
         self._metrics: metrics.NodeMetrics | None = None
 
     def status(self) -> dict[str, object]:
-        """The node's status as JSON."""
+        """Returns the node's status, which can be encoded as JSON."""
         parts = self._parts
         return {
             "node": parts.name,
@@ -88,10 +88,10 @@
         }
 
     def metrics_page(self) -> http.Page:
-        """The metrics; what they need is loaded when they are first asked for.
+        """Renders the metrics and loads their SDK at the first call.
 
         The SDK takes a fifteenth of a node's memory and of the processor time
-        of its start, and many nodes are scraped by nobody.
+        of its start, and many nodes are never scraped.
         """
         module = importlib.import_module("endivewind.metrics")
         if self._metrics is None:
@@ -99,7 +99,7 @@
         return http.Page(self._metrics.render(), module.CONTENT_TYPE)
 
     async def log_traffic(self) -> None:
-        """Says now and then what this node has sent and called, by kind."""
+        """Logs bytes sent and calls made by kind, until cancelled."""
         while True:
             await asyncio.sleep(TRAFFIC_PERIOD.total_seconds())
             sent = self._parts.traffic.by_kind()
--- a/endivewind/tests/durable/auditor_tests.py
+++ b/endivewind/tests/durable/audit_recorder_tests.py
@@ -1,4 +1,4 @@
-"""What a node records in the audit trail."""
+"""Tests of what a node records in the audit trail."""
 
 import dataclasses
 import random
@@ -38,7 +38,7 @@
             random.Random(1),
         )
 
-    def _turns(self, **fields):
+    def _change_target(self, **fields):
         changed = dataclasses.replace(TARGET, **fields)
         self.auditor.targets([changed], {"riders-1": "errors"})
 
@@ -46,14 +46,14 @@
         found = await audit.read(self.platform.client)
         return [item.action.value for item in found.ok]
 
-    async def test_verdicts_drains_and_membership_are_recorded_once(self):
+    async def test_ejections_drains_and_membership_are_recorded_once(self):
         self.auditor.membership(audit.Action.JOIN)
         for _ in range(2):
-            self._turns()
-            self._turns(health=records.Health.EJECTED)
-            self._turns(health=records.Health.EJECTED)
-            self._turns(health=records.Health.TRIAL)
-        self._turns(state=records.State.DRAINING)
+            self._change_target()
+            self._change_target(health=records.Health.EJECTED)
+            self._change_target(health=records.Health.EJECTED)
+            self._change_target(health=records.Health.TRIAL)
+        self._change_target(state=records.State.DRAINING)
 
         await self.auditor.flush()
         await self.auditor.flush()
@@ -64,19 +64,19 @@
         )
 
     async def test_a_drain_is_recorded(self):
-        self._turns()
-        self._turns(state=records.State.DRAINING)
+        self._change_target()
+        self._change_target(state=records.State.DRAINING)
 
         await self.auditor.flush()
 
         self.assertEqual(["drain"], await self._trail())
 
-    async def test_records_wait_for_the_platform(self):
-        """The platform is away when a target is ejected.
+    async def test_records_stay_pending_during_an_outage(self):
+        """The platform is unavailable when a target is ejected.
 
-        The record must not be lost, and the verdict must not wait for it.
+        The record must not be lost, and the ejection must not wait for it.
         """
-        self._turns(health=records.Health.EJECTED)
+        self._change_target(health=records.Health.EJECTED)
         self.platform.standin.set_faults(
             faults.Fault(mode=faults.Mode.RATE_LIMIT, per_second=0)
         )
--- a/endivewind/tests/durable/audit_tests.py
+++ b/endivewind/tests/durable/audit_tests.py
@@ -1,4 +1,4 @@
-"""The audit trail: races, lost answers and its bound."""
+"""Tests of the audit trail: races, lost responses and its bound."""
 
 import asyncio
 import datetime
@@ -41,14 +41,14 @@
         found = await audit.read(self.platform.client)
         return [item.operation for item in found.ok]
 
-    async def test_racing_writers_lose_no_record(self):
+    async def test_concurrent_writers_lose_no_record(self):
         await asyncio.gather(*(self._append(_record(n)) for n in range(4)))
 
         self.assertEqual(
             [f"op-{n}" for n in range(4)], await self._operations()
         )
 
-    async def test_a_lost_answer_adds_no_second_record(self):
+    async def test_a_lost_response_adds_no_second_record(self):
         self.platform.standin.set_faults(
             faults.Fault(
                 mode=faults.Mode.ANSWER_LOST, count=1, methods=("POST", "PUT")
@@ -69,7 +69,7 @@
         self.assertEqual(audit.RECORDS_PER_SHARD, len(found))
         self.assertEqual(many[-1].operation, found[-1])
 
-    async def test_the_outcome_takes_the_place_of_the_intention(self):
+    async def test_the_outcome_replaces_the_intended_record(self):
         await self._append(_record(1, outcome=audit.Outcome.INTENDED))
         later = _record(1, time=START + datetime.timedelta(minutes=1))
         await self._append(later)
--- a/endivewind/tests/durable/watcher_tests.py
+++ b/endivewind/tests/durable/watcher_tests.py
@@ -1,4 +1,4 @@
-"""What a node reads of the platform's objects, in virtual time."""
+"""Tests of how a node reads the platform's objects, in virtual time."""
 
 import asyncio
 import random
@@ -15,22 +15,22 @@
 
 
 class _Platform:
-    """Answers with one object at a revision; a watch waits."""
+    """Returns one object at a revision; a watch without changes waits."""
 
     def __init__(self):
         self.calls = []
-        self.forgotten = 0
+        self.compacted_before = 0
         self.revision = 9
-        self.behind = 0
+        self.stale_lag = 0
 
     async def list(self, kind, *, stale=False):
         self.calls.append("stale list" if stale else "list")
-        revision = self.revision - (self.behind if stale else 0)
+        revision = self.revision - (self.stale_lag if stale else 0)
         return expression.Ok(_listing(kind, revision))
 
     async def watch(self, kind, revision):
         self.calls.append(f"watch {revision}")
-        if revision < self.forgotten:
+        if revision < self.compacted_before:
             return expression.Error(COMPACTED)
         if revision == self.revision:
             await asyncio.sleep(WATCH_SECONDS)
@@ -49,14 +49,14 @@
         self.loop = virtual.VirtualLoop()
         self.addCleanup(self.loop.close)
         self.platform = _Platform()
-        self.role = watcher.Role.NOTHING
-        self.seen = []
+        self.read_mode = watcher.Role.NOTHING
+        self.versions = []
         self.watcher = watcher.Watcher(
             self.platform,
             "config",
-            lambda stored: self.seen.append(stored.version),
+            lambda stored: self.versions.append(stored.version),
             random.Random(1),
-            role=lambda: self.role,
+            read_mode=lambda: self.read_mode,
         )
         task = self.loop.create_task(self.watcher.run())
         self.addCleanup(
@@ -68,18 +68,18 @@
     def run_for(self, seconds):
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
-    def test_a_node_whose_peers_tell_it_reads_nothing(self):
+    def test_a_node_in_mode_none_reads_nothing(self):
         self.run_for(3600)
 
         self.assertEqual([], self.platform.calls)
 
-    def test_a_node_that_nobody_tells_reads_again_and_again(self):
-        """No peer is there, and the operator has not written yet.
+    def test_a_node_in_mode_list_repeats_the_listing(self):
+        """There are no peers, and operators have not written anything yet.
 
-        Callers wait for the first configuration; the pauses grow, since each
-        reading is paid for.
+        Callers wait for the first configuration, so that the node lists soon
+        again. The intervals grow, as the platform bills each listing.
         """
-        self.role = watcher.Role.ONCE
+        self.read_mode = watcher.Role.ONCE
         self.run_for(4)
         self.assertGreaterEqual(len(self.platform.calls), 2)
 
@@ -88,30 +88,30 @@
         self.assertEqual({"stale list"}, set(self.platform.calls))
         self.assertLess(len(self.platform.calls), 20)
 
-    def test_a_watch_catches_up_with_what_a_stale_listing_missed(self):
-        self.platform.behind = 4
-        self.role = watcher.Role.ALWAYS
+    def test_a_watch_reports_what_a_stale_listing_missed(self):
+        self.platform.stale_lag = 4
+        self.read_mode = watcher.Role.ALWAYS
 
         self.run_for(1)
 
         self.assertEqual(
             ["stale list", "watch 5", "watch 9"], self.platform.calls
         )
-        self.assertEqual([5, 9], self.seen)
+        self.assertEqual([5, 9], self.versions)
 
-    def test_what_the_platform_has_forgotten_is_listed_fresh(self):
-        """Changes are made while watches hear nothing, and then forgotten.
+    def test_compacted_changes_are_read_by_a_fresh_listing(self):
+        """Changes are missed by the watch and then compacted.
 
-        A stale listing would not have them for seconds, and the watch after
-        it would be refused again.
+        A stale listing would not include them for some seconds, and the watch
+        after it would fail as compacted again.
         """
-        self.platform.behind = 4
-        self.platform.forgotten = 8
-        self.role = watcher.Role.ALWAYS
+        self.platform.stale_lag = 4
+        self.platform.compacted_before = 8
+        self.read_mode = watcher.Role.ALWAYS
 
         self.run_for(1)
 
         self.assertEqual(
             ["stale list", "watch 5", "list", "watch 9"], self.platform.calls
         )
-        self.assertEqual(9, self.seen[-1])
+        self.assertEqual(9, self.versions[-1])
--- a/endivewind/tests/logs_tests.py
+++ b/endivewind/tests/logs_tests.py
@@ -1,4 +1,4 @@
-"""Logs: JSON lines with request ids, without bodies and secrets."""
+"""Tests of logs: JSON lines with request ids, without bodies and secrets."""
 
 import io
 import json
@@ -15,9 +15,9 @@
 
 
 class FormatTest(unittest.TestCase):
-    """One line each, whatever is logged."""
+    """Every record is one line."""
 
-    def test_line_breaks_and_exceptions_stay_in_one_line(self):
+    def test_line_breaks_and_exceptions_are_kept_in_one_line(self):
         stream = io.StringIO()
         handler = logging.StreamHandler(stream)
         handler.setFormatter(logs.JsonFormatter())
@@ -37,9 +37,9 @@
 
 
 class NodeLogsTest(unittest.IsolatedAsyncioTestCase):
-    """What a node logs at its most talkative."""
+    """The log of a node in a separate process."""
 
-    async def test_refusal_has_its_request_id_and_nothing_secret(self):
+    async def test_refusal_is_logged_with_request_id_without_secrets(self):
         async with processes.Fleet() as fleet:
             node = await fleet.node("node-a", gossip_key="GOSSIP-KEY-7" * 4)
             await fleet.target("riders-1", "riders", [node])
@@ -49,34 +49,34 @@
                 node, "/riders/1", "kept-id", {"Standin-Fault": "close"}
             )
             await _send(node, "/nowhere", "lost-id")
-            lost = await node.message(
+            refusal = await node.message(
                 "refused", request_id="lost-id", reason="no-route"
             )
             await node.stop()
 
-        self.assertEqual("not-run", lost["outcome"])
-        whole = json.dumps(node.seen)
-        self.assertIn("kept-id", whole)
+        self.assertEqual("not-run", refusal["outcome"])
+        log_text = json.dumps(node.seen)
+        self.assertIn("kept-id", log_text)
         for secret in _SECRETS:
-            self.assertNotIn(secret, whole)
+            self.assertNotIn(secret, log_text)
 
 
 async def _send(
-    node: processes.Process, path: str, request_id: str, more=None
+    node: processes.Process, path: str, request_id: str, extra_headers=None
 ) -> None:
-    fields = {
+    headers = {
         "Host": "camerino.example",
         "Endivewind-Request-Id": request_id,
         "Authorization": "AUTHORIZATION-7",
         "Cookie": "COOKIE-7",
-        **(more or {}),
+        **(extra_headers or {}),
     }
     url = f"http://{node.listening['callers']}{path}"
     reason = "not-ready"
     async with aiohttp.ClientSession() as session:
         while reason == "not-ready":
             async with session.get(
-                url, headers=fields, data=b"BODY-7"
+                url, headers=headers, data=b"BODY-7"
             ) as response:
                 await response.read()
                 reason = response.headers.get("Endivewind-Reason")
--- a/endivewind/tests/metrics_tests.py
+++ b/endivewind/tests/metrics_tests.py
@@ -1,4 +1,4 @@
-"""Metrics: what is scraped, and that the page lists just that."""
+"""Tests of the scraped metrics, and of the operators' page that lists them."""
 
 import datetime
 import pathlib
@@ -37,14 +37,16 @@
     )
 
 
-def _scraped() -> str:
+def _scrape() -> str:
     clock = clocks.ManualClock()
     requests = counts.RequestCounts(clock)
-    started = requests.started()
+    started_at = requests.started()
     requests.placed("riders", 1)
     requests.placed("riders", 2)
     clock.advance(datetime.timedelta(milliseconds=3))
-    requests.ended(started, "riders", expression.Ok(exchange.Response(200, ())))
+    requests.ended(
+        started_at, "riders", expression.Ok(exchange.Response(200, ()))
+    )
     sources = metrics.Sources(
         requests=requests,
         health_changes={("riders", "ejected"): 2},
@@ -59,10 +61,10 @@
 
 
 class ScrapeTest(unittest.TestCase):
-    """What Prometheus reads from /metrics."""
+    """The values and names that Prometheus reads from /metrics."""
 
     def test_values(self):
-        lines = _scraped().splitlines()
+        lines = _scrape().splitlines()
 
         for line in (
             'endivewind_requests_total{outcome="answered",reason="",service="riders"} 1.0',
@@ -84,10 +86,10 @@
             self.assertIn(line, lines)
 
     def test_two_nodes_in_one_process_do_not_mix(self):
-        self.assertEqual(_scraped(), _scraped())
+        self.assertEqual(_scrape(), _scrape())
 
-    def test_names_are_scraped_as_listed(self):
-        scraped = re.findall(r"^# TYPE (\S+)", _scraped(), re.MULTILINE)
+    def test_all_instruments_are_scraped_under_their_names(self):
+        scraped = re.findall(r"^# TYPE (\S+)", _scrape(), re.MULTILINE)
 
         self.assertEqual(
             sorted(item.scraped_name for item in metrics.INSTRUMENTS),
@@ -96,7 +98,7 @@
 
 
 class PageTest(unittest.TestCase):
-    """The operators' page names every metric with kind and unit."""
+    """The operators' page lists every metric with kind and unit."""
 
     def test_page_and_code_agree(self):
         listed = {
--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -197,7 +197,7 @@
     Mutant(
         "the end of a planned stop waits for nothing",
         "node.py",
-        "        await departure.run(self._stop_limit())\n",
+        "        await shutdown.run(self._drain_timeout())\n",
         "",
         "proofs.stop_tests",
     ),
@@ -339,9 +339,9 @@
     Mutant(
         "a late leave removes the object of a later start",
         "platform/client.py",
-        "        path = _object(kind, name, revision=expected)\n"
+        "        path = _object_path(kind, name, revision=expected)\n"
         '        return await self._call("DELETE", path, lambda body: None)\n',
-        "        path = _object(kind, name)\n"
+        "        path = _object_path(kind, name)\n"
         '        return await self._call("DELETE", path, lambda body: None)\n',
         "durable.membership_tests",
     ),
--- a/endivewind/tests/node_tests.py
+++ b/endivewind/tests/node_tests.py
@@ -1,4 +1,4 @@
-"""A node's start and stop, in this process."""
+"""Tests of a node's start and stop, in this process."""
 
 import asyncio
 import random
@@ -18,43 +18,44 @@
 
 
 class StartTest(unittest.IsolatedAsyncioTestCase):
-    async def test_links_are_taken_before_the_fleet_is_asked(self):
-        """Callers of a node that has just started were refused for seconds.
+    async def test_links_are_accepted_before_gossip_starts(self):
+        """Guards against refusals in the first seconds after a start.
 
-        Gossip asks a peer for the fleet's state with its first datagram. The
-        peer answers over a link within a millisecond; one that is not
-        accepted is lost, and the state is asked for again three seconds on.
+        Gossip requests the fleet's state from a peer with its first datagram.
+        The peer sends it over a link within a millisecond. If the link is not
+        accepted the state is lost, and it is requested again only three
+        seconds later.
         """
-        taken = []
+        accepted = []
 
         async def start(gossip: service.GossipService, address: str) -> None:
             host, _, port = address.rpartition(":")
             _, writer = await asyncio.open_connection(host, int(port))
             writer.close()
-            taken.append(address)
+            accepted.append(address)
 
-        member = self._member()
+        tested_node = self._make_node()
         with mock.patch.object(service.GossipService, "start", start):
-            addresses = await member.start()
-        self.addAsyncCleanup(self._end, member)
+            addresses = await tested_node.start()
+        self.addAsyncCleanup(self._stop, tested_node)
 
-        self.assertEqual([addresses.nodes], taken)
+        self.assertEqual([addresses.nodes], accepted)
 
-    async def test_a_route_that_does_not_exist_is_told_once_that_is_known(self):
-        """The configuration is here; the list of other nodes is not yet.
+    async def test_an_unknown_route_is_refused_before_the_node_is_ready(self):
+        """The node has its configuration but no list of the other nodes yet.
 
-        Which nodes there are says nothing of routes: a caller that is asked
-        to come back would ask for the same again.
+        That list does not affect routes, so the caller must not be asked to
+        retry: the same request would fail again.
         """
-        member = self._member()
+        tested_node = self._make_node()
         peer, gossip = configuration.ConfigurationPeer, service.GossipService
         with (
             mock.patch.object(gossip, "start", mock.AsyncMock()),
             mock.patch.object(gossip, "not_ready", lambda _: "no list yet"),
             mock.patch.object(peer, "missing", lambda _: None),
         ):
-            addresses = await member.start()
-            self.addAsyncCleanup(self._end, member)
+            addresses = await tested_node.start()
+            self.addAsyncCleanup(self._stop, tested_node)
             url = f"http://{addresses.callers}/nowhere"
             async with (
                 aiohttp.ClientSession() as session,
@@ -62,7 +63,7 @@
             ):
                 self.assertEqual(404, response.status)
 
-    def _member(self) -> node.Node:
+    def _make_node(self) -> node.Node:
         config = settings.NodeSettings(
             name="node-a",
             region="andina",
@@ -74,10 +75,10 @@
             config, clocks.SystemClock(), random.Random(1)
         )
 
-    async def _end(self, member: node.Node) -> None:
-        """Cancels what the node runs; its gossip has never started."""
+    async def _stop(self, tested_node: node.Node) -> None:
+        """Stops the node; its gossip has never started."""
         with mock.patch.object(service.GossipService, "stop", mock.AsyncMock()):
-            await member.stop()
+            await tested_node.stop()
 
 
 if __name__ == "__main__":
--- a/endivewind/tests/operators/builder_tests.py
+++ b/endivewind/tests/operators/builder_tests.py
@@ -1,4 +1,4 @@
-"""The operators' library, and the two examples that use it."""
+"""Tests of the operators' library and of the two examples that use it."""
 
 import datetime
 import pathlib
@@ -33,9 +33,9 @@
 
 
 class FirmTest(unittest.TestCase):
-    """What a program builds is what the file would say."""
+    """A program's configuration equals that of a file."""
 
-    def test_yaml_is_read_back_as_the_same_configuration(self):
+    def test_yaml_is_loaded_as_the_same_configuration(self):
         firm = operators.Firm("camerino")
         riders = _service(firm)
         firm.workspace("crew", weight=2, rate=10, burst=5)
@@ -60,17 +60,17 @@
         self.assertEqual({caller_keys.digest(key): "crew"}, shard.keys)
         self.assertNotIn(key, printed)
 
-    def test_keys_that_can_not_be_told_apart_are_refused(self):
+    def test_duplicate_and_invalid_keys_are_rejected(self):
         firm = operators.Firm("camerino")
         key = "gjqnirth5mgjy5rcpihh"
         firm.workspace("crew", keys=[key])
-        for wrong in ([key], ["short"], [""]):
+        for keys in ([key], ["short"], [""]):
             with self.assertRaises(exceptions.UsageError) as caught:
-                firm.workspace(f"venue-{len(wrong[0])}", keys=wrong)
+                firm.workspace(f"venue-{len(keys[0])}", keys=keys)
             self.assertIn("key 0", str(caught.exception))
             self.assertNotIn(key, str(caught.exception))
 
-    def test_wrong_value_is_found_where_it_is_given(self):
+    def test_invalid_values_are_reported_with_their_names(self):
         firm = operators.Firm("camerino")
 
         with self.assertRaises(exceptions.InvalidFileError) as caught:
@@ -91,7 +91,7 @@
 
         self.assertIn("did you mean 'riders'?", str(caught.exception))
 
-    def test_names_given_twice(self):
+    def test_duplicate_names_are_rejected(self):
         firm = operators.Firm("camerino")
         _service(firm)
         firm.workspace("crew")
@@ -103,7 +103,7 @@
 
 
 class ExamplesTest(unittest.TestCase):
-    """The examples hold their firms' services and sizes."""
+    """The examples define their firms' services and sizes."""
 
     def test_examples_are_valid_without_warnings(self):
         for name, services in _SERVICES.items():
@@ -124,7 +124,7 @@
                         ),
                     )
 
-    def test_program_prints_what_validate_takes(self):
+    def test_validate_accepts_the_output_of_a_program(self):
         printed = subprocess.run(
             [sys.executable, str(_EXAMPLES / "camerino_abierto.py")],
             capture_output=True,
--- a/endivewind/tests/operators/explaining_tests.py
+++ b/endivewind/tests/operators/request_trace_tests.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, by the lines that nodes have written."""
+"""Tests of the traces of requests, built from the log lines of nodes."""
 
 import contextlib
 import datetime
@@ -15,8 +15,8 @@
 
 
 @contextlib.contextmanager
-def _recorded():
-    """The log of what runs within, as text."""
+def _captured_log():
+    """Captures the gateway's log as text."""
     stream = io.StringIO()
     handler = logging.StreamHandler(stream)
     handler.setFormatter(logs.JsonFormatter())
@@ -33,66 +33,66 @@
         logger.propagate = before[1]
 
 
-def _story(stream, wanted, first=""):
-    """The story of the first request with that result, and first target."""
+def _find_trace(stream, result, first_target=""):
+    """Returns the trace of the first request with a result and target."""
     lines = list(explaining.parse(stream.getvalue().splitlines(), "entry"))
     for line in lines:
-        if line.fields["result"] != wanted or not line.fields["tries"]:
+        if line.fields["result"] != result or not line.fields["tries"]:
             continue
-        story = explaining.explain(lines, line.fields["request_id"])
-        if first in ("", story.request.attempts[0].target):
-            return story
-    raise AssertionError(f"no request was {wanted}")
+        trace = explaining.explain(lines, line.fields["request_id"])
+        if first_target in ("", trace.request.attempts[0].target):
+            return trace
+    raise AssertionError(f"no request with the result {result}")
 
 
-class RecordedTest(unittest.TestCase):
-    """Requests of a played fleet that ended badly, or late."""
+class SimulatedFleetTest(unittest.TestCase):
+    """Requests of a simulated fleet that failed, or took long."""
 
-    def test_refused_under_load(self):
-        """Three times the work that the targets can do.
+    def test_request_is_refused_under_overload(self):
+        """The load is three times the capacity of the targets.
 
-        The homes have no slots; the request is refused and has not run.
+        The homes have no free slots; the request is refused and has not run.
         """
-        played = fleet.Fleet()
-        with _recorded() as stream:
-            played.play(4, (fleet.ORDER, fleet.LOOKUP), scale=3)
+        simulated = fleet.Fleet()
+        with _captured_log() as stream:
+            simulated.play(4, (fleet.ORDER, fleet.LOOKUP), scale=3)
 
-        story = _story(stream, "busy (not-run)")
+        trace = _find_trace(stream, "busy (not-run)")
 
-        self.assertFalse(any(a.succeeded for a in story.request.attempts))
-        self.assertIn("busy (not-run)", explain.text(story))
+        self.assertFalse(any(a.succeeded for a in trace.request.attempts))
+        self.assertIn("busy (not-run)", explain.text(trace))
 
-    def test_unknown_after_a_lost_answer(self):
-        """The target breaks the connection off; nobody can tell if it ran."""
-        played = fleet.Fleet()
-        played.targets["a-x-0"].request = _breaks
-        with _recorded() as stream:
-            played.play(4, (fleet.ORDER,))
+    def test_outcome_is_unknown_after_a_lost_response(self):
+        """The target breaks the connection; whether it ran is unknown."""
+        simulated = fleet.Fleet()
+        simulated.targets["a-x-0"].request = _break_connection
+        with _captured_log() as stream:
+            simulated.play(4, (fleet.ORDER,))
 
-        story = _story(stream, "target-lost (unknown)")
+        trace = _find_trace(stream, "target-lost (unknown)")
 
-        (attempt,) = story.request.attempts
+        (attempt,) = trace.request.attempts
         self.assertEqual("a-x-0", attempt.target)
-        self.assertIn("must not repeat", explain.text(story))
-        # Other callers lost theirs at the same target.
-        self.assertIn("a-x-0", story.others)
+        self.assertIn("must not repeat", explain.text(trace))
+        # Other callers' requests were lost at the same target.
+        self.assertIn("a-x-0", trace.others)
 
-    def test_late_because_of_a_target_that_hangs(self):
-        """The first target says nothing, and a second is asked."""
-        played = fleet.Fleet()
-        played.targets["a-x-0"].hangs = 1.0
-        with _recorded() as stream:
-            played.play(4, (fleet.LOOKUP,), zones=("a-x",))
+    def test_request_is_late_after_a_target_hangs(self):
+        """The first target does not respond, so a second attempt is made."""
+        simulated = fleet.Fleet()
+        simulated.targets["a-x-0"].hangs = 1.0
+        with _captured_log() as stream:
+            simulated.play(4, (fleet.LOOKUP,), zones=("a-x",))
 
-        story = _story(stream, "200", first="a-x-0")
+        trace = _find_trace(stream, "200", first_target="a-x-0")
 
-        first, second = story.request.attempts
+        first, second = trace.request.attempts
         self.assertEqual("a-x-0", first.target)
         self.assertGreater(second.start, datetime.timedelta(seconds=0.5))
         self.assertTrue(second.succeeded)
 
 
-async def _breaks(method, url, *, headers, trace_request_ctx, **_):
+async def _break_connection(method, url, *, headers, trace_request_ctx, **_):
     trace_request_ctx.connected = True
     raise connections.HandOverLostError("the connection broke")
 
@@ -103,7 +103,7 @@
     return f"  {second} {writer} {json.dumps(line)}"
 
 
-def _try(home, after_ms, for_ms, result="200"):
+def _attempt(home, after_ms, for_ms, result="200"):
     return {
         "target": f"t-{home}",
         "home": home,
@@ -114,8 +114,8 @@
     }
 
 
-class ReconciledTest(unittest.TestCase):
-    """Lines of several nodes, whose clocks differ."""
+class ClockOffsetTest(unittest.TestCase):
+    """Log lines of several nodes whose clocks differ."""
 
     def setUp(self):
         parent = _line(
@@ -125,7 +125,7 @@
             request_id="r1",
             milliseconds=500,
             result="500",
-            tries=[_try("n2", 0, 500, "500")],
+            tries=[_attempt("n2", 0, 500, "500")],
         )
         call = _line(
             "n2",
@@ -134,7 +134,7 @@
             request_id="r1.c1",
             milliseconds=100,
             result="deadline (unknown)",
-            tries=[_try("n3", 0, 100, "deadline (unknown)")],
+            tries=[_attempt("n3", 0, 100, "deadline (unknown)")],
         )
         self.lines = [
             "not a log line",
@@ -160,14 +160,14 @@
         self.assertEqual(datetime.timedelta(seconds=-3), call.clock_offset)
         self.assertIn("clock moved by -3000 ms", explain.text(self.explain()))
 
-    def test_what_was_believed_then_and_not_later(self):
-        beliefs = [line.fields for line in self.explain().beliefs]
+    def test_status_lines_are_the_latest_before_the_end(self):
+        status_fields = [line.fields for line in self.explain().beliefs]
 
-        self.assertEqual("ejected", beliefs[0]["health"])
-        self.assertEqual("suspect", beliefs[1]["state"])
-        self.assertEqual(2, len(beliefs))
+        self.assertEqual("ejected", status_fields[0]["health"])
+        self.assertEqual("suspect", status_fields[1]["state"])
+        self.assertEqual(2, len(status_fields))
 
-    def test_a_request_without_a_line_has_no_story(self):
+    def test_a_request_without_a_line_has_no_trace(self):
         self.assertIsNone(self.explain("r2"))
 
 
--- a/endivewind/tests/platform/client_tests.py
+++ b/endivewind/tests/platform/client_tests.py
@@ -1,4 +1,4 @@
-"""The platform's client against a stand-in with faults."""
+"""Tests of the platform's client against a stand-in with faults."""
 
 import datetime
 import random
@@ -13,10 +13,10 @@
 from endivewind.tests.platform import platforms
 
 Mode = faults.Mode
-# aiohttp sends a call of an idempotent method again, once and unseen, when
-# the connection breaks; a fault must outlast that to reach our own retry.
-HIDDEN = 2
-WRITES = ("POST", "PUT")
+# aiohttp itself repeats a call of an idempotent method once if the connection
+# breaks, so a fault must occur twice to reach the project's own retry.
+FAULTS_PER_VISIBLE_FAILURE = 2
+WRITE_METHODS = ("POST", "PUT")
 SECOND = datetime.timedelta(seconds=1)
 
 
@@ -35,9 +35,9 @@
 
 
 class CountedCallsTest(_PlatformCase):
-    """Each call is paid for, also one that is refused."""
+    """The platform bills every call, including rejected ones."""
 
-    async def test_calls_are_told_apart(self):
+    async def test_calls_are_counted_by_operation_and_kind(self):
         self.platform.put("riders", {"a": 1})
         await self.client.get("service", "riders")
         await self.client.list("service")
@@ -54,8 +54,8 @@
         )
 
 
-class FaultyAnswerTest(_PlatformCase):
-    async def test_each_bad_answer_is_an_error_of_its_kind(self):
+class FaultyResponseTest(_PlatformCase):
+    async def test_each_faulty_response_is_an_error_of_its_kind(self):
         self.platform.put("riders", {"a": 1})
         cases = (
             (Mode.OUTAGE, messages.Failure.UNAVAILABLE),
@@ -69,7 +69,7 @@
                 found = await self.client.get("service", "riders")
                 self.assertIs(failure, found.error.failure)
 
-    async def test_a_slow_answer_is_waited_for(self):
+    async def test_a_slow_response_is_awaited(self):
         self.platform.put("riders", {"a": 1})
         self.fault(Mode.SLOW, delay_ms=20)
 
@@ -77,7 +77,7 @@
 
         self.assertEqual({"a": 1}, found.ok.value)
 
-    async def test_rate_limit_tells_when_to_come_back(self):
+    async def test_rate_limit_error_has_the_retry_after(self):
         self.fault(Mode.RATE_LIMIT, per_second=0)
 
         found = await self.client.get("service", "riders")
@@ -85,7 +85,7 @@
         self.assertIs(messages.Failure.THROTTLED, found.error.failure)
         self.assertEqual(SECOND, found.error.retry_after)
 
-    async def test_watch_of_a_compacted_revision_asks_for_a_listing(self):
+    async def test_watch_of_a_compacted_revision_fails_as_compacted(self):
         self.platform.put("riders", {"a": 1})
         self.platform.put("riders", {"a": 2})
         self.platform.store.compact(2)
@@ -94,7 +94,7 @@
 
         self.assertIs(messages.Failure.COMPACTED, found.error.failure)
 
-    async def test_watch_of_a_store_that_has_lost_its_writes(self):
+    async def test_watch_of_a_store_that_lost_writes_fails_as_compacted(self):
         self.platform.put("riders", {"a": 1})
 
         found = await self.client.watch("service", 900)
@@ -103,10 +103,11 @@
 
 
 class ReadTest(_PlatformCase):
-    async def test_a_listing_of_many_parts_is_read_whole(self):
-        """A kind has more objects than one answer holds.
+    async def test_all_pages_of_a_listing_are_read(self):
+        """A kind has more objects than fit in one page.
 
-        Without following the parts a node would take the rest for removed.
+        If only the first page were read, the objects of further pages would
+        count as removed.
         """
         names = {f"service-{number:04d}" for number in range(1_201)}
         for name in names:
@@ -116,36 +117,38 @@
 
         self.assertEqual(names, {item.name for item in found.ok.objects})
 
-    async def test_a_change_during_the_listing_is_watched_afterwards(self):
+    async def test_a_watch_reports_a_change_made_during_the_listing(self):
         for number in range(501):
             self.platform.put(f"service-{number:04d}", {"a": 1})
-        answers = []
+        responses = []
 
         async def call(*arguments, **options):
-            answers.append(await original(*arguments, **options))
-            if len(answers) == 1:
+            responses.append(await original(*arguments, **options))
+            if len(responses) == 1:
                 self.platform.put("service-0000", {"a": 2})
-            return answers[-1]
+            return responses[-1]
 
         original = self.client._call
         self.client._call = call
         found = await self.client.list("service")
         self.client._call = original
-        told = await self.client.watch("service", found.ok.revision)
+        watched = await self.client.watch("service", found.ok.revision)
 
-        self.assertEqual([{"a": 2}], [item.value for item in told.ok.objects])
+        self.assertEqual(
+            [{"a": 2}], [item.value for item in watched.ok.objects]
+        )
 
-    async def test_a_removal_is_told_as_an_object_without_a_value(self):
+    async def test_a_watch_reports_a_removed_object_without_a_value(self):
         self.platform.put("riders", {"a": 1})
         await self.client.delete("service", "riders", 1)
 
-        told = await self.client.watch("service", 1)
+        watched = await self.client.watch("service", 1)
 
-        removed = [(item.name, item.value) for item in told.ok.objects]
+        removed = [(item.name, item.value) for item in watched.ok.objects]
         self.assertEqual([("riders", {})], removed)
 
     async def test_objects_of_other_writers_are_no_error(self):
-        """Somebody writes an object whose value is no mapping."""
+        """Another writer stores an object whose value is not a mapping."""
         self.platform.put("riders", {"a": 1})
         stored = self.platform.store.get("service", "riders")
         body = wire.bytes_out(wire.object_out("odd", [1, 2], 5))
@@ -166,85 +169,99 @@
             sleep or self.platform.sleep,
         )
 
-    async def test_answer_lost_after_the_write_writes_once(self):
-        """The write takes effect and its answer is lost; the retry conflicts.
+    async def test_lost_response_after_the_write_writes_once(self):
+        """The write takes effect, its response is lost, the retry conflicts.
 
-        Without the operation id the submitter would take its own write for
+        Without the operation id the submitter would treat its own write as
         another operator's, or write a second time.
         """
-        self.fault(Mode.ANSWER_LOST, count=HIDDEN, methods=WRITES)
+        self.fault(
+            Mode.ANSWER_LOST,
+            count=FAULTS_PER_VISIBLE_FAILURE,
+            methods=WRITE_METHODS,
+        )
 
-        ended = await self._write(_value("mine"))
+        result = await self._write(_value("mine"))
 
-        self.assertIs(writing.Ending.WRITTEN, ended.ending)
+        self.assertIs(writing.Ending.WRITTEN, result.ending)
         self.assertEqual(1, self.platform.store.revision)
 
-    async def test_answer_lost_and_another_write_followed(self):
-        self.fault(Mode.ANSWER_LOST, count=HIDDEN, methods=WRITES)
+    async def test_lost_response_and_another_write_followed(self):
+        self.fault(
+            Mode.ANSWER_LOST,
+            count=FAULTS_PER_VISIBLE_FAILURE,
+            methods=WRITE_METHODS,
+        )
 
         async def sleep(seconds):
             self.platform.put("riders", _value("theirs", "mine"))
 
-        ended = await self._write(_value("mine"), sleep=sleep)
+        result = await self._write(_value("mine"), sleep=sleep)
 
-        self.assertIs(writing.Ending.WRITTEN, ended.ending)
-        self.assertTrue(ended.followed)
+        self.assertIs(writing.Ending.WRITTEN, result.ending)
+        self.assertTrue(result.followed)
 
     async def test_lost_before_the_write_and_another_came_first(self):
-        self.fault(Mode.OUTAGE, count=HIDDEN, methods=WRITES)
+        self.fault(
+            Mode.OUTAGE, count=FAULTS_PER_VISIBLE_FAILURE, methods=WRITE_METHODS
+        )
 
         async def sleep(seconds):
             self.platform.put("riders", _value("theirs", ""))
 
-        ended = await self._write(_value("mine"), sleep=sleep)
+        result = await self._write(_value("mine"), sleep=sleep)
 
-        self.assertIs(writing.Ending.CONFLICT, ended.ending)
+        self.assertIs(writing.Ending.CONFLICT, result.ending)
 
-    async def test_what_cannot_be_known_is_said_so(self):
-        self.fault(Mode.ANSWER_LOST, count=HIDDEN, methods=WRITES)
+    async def test_outcome_is_unknown_after_several_other_writes(self):
+        self.fault(
+            Mode.ANSWER_LOST,
+            count=FAULTS_PER_VISIBLE_FAILURE,
+            methods=WRITE_METHODS,
+        )
 
         async def sleep(seconds):
             self.platform.put("riders", _value("second", "mine"))
             self.platform.put("riders", _value("third", "second"))
 
-        ended = await self._write(_value("mine"), sleep=sleep)
+        result = await self._write(_value("mine"), sleep=sleep)
 
-        self.assertIs(writing.Ending.UNKNOWN, ended.ending)
+        self.assertIs(writing.Ending.UNKNOWN, result.ending)
 
-    async def test_an_outage_that_lasts_leaves_it_unknown(self):
+    async def test_outcome_is_unknown_after_a_long_outage(self):
         self.platform.standin.set_faults(
             faults.Fault(mode=Mode.ANSWER_LOST, count=1),
             faults.Fault(mode=Mode.OUTAGE, count=0),
         )
 
-        ended = await self._write(_value("mine"))
+        result = await self._write(_value("mine"))
 
-        self.assertIs(writing.Ending.UNKNOWN, ended.ending)
-        self.assertEqual(writing.ATTEMPTS, len(self.platform.slept))
+        self.assertIs(writing.Ending.UNKNOWN, result.ending)
+        self.assertEqual(writing.ATTEMPTS, len(self.platform.sleeps))
 
-    async def test_a_limit_on_rates_leaves_it_unwritten(self):
+    async def test_rate_limited_write_is_not_written(self):
         self.fault(Mode.RATE_LIMIT, per_second=0)
 
-        ended = await self._write(_value("mine"))
+        result = await self._write(_value("mine"))
 
-        self.assertIs(writing.Ending.UNWRITTEN, ended.ending)
-        self.assertGreater(min(self.platform.slept), 1)
+        self.assertIs(writing.Ending.UNWRITTEN, result.ending)
+        self.assertGreater(min(self.platform.sleeps), 1)
 
-    async def test_garbage_after_the_write_is_resolved_as_well(self):
-        self.fault(Mode.PARTIAL, count=1, methods=WRITES)
+    async def test_truncated_response_after_the_write_writes_once(self):
+        self.fault(Mode.PARTIAL, count=1, methods=WRITE_METHODS)
 
-        ended = await self._write(_value("mine"))
+        result = await self._write(_value("mine"))
 
-        self.assertIs(writing.Ending.WRITTEN, ended.ending)
+        self.assertIs(writing.Ending.WRITTEN, result.ending)
         self.assertEqual(1, self.platform.store.revision)
 
 
 class CallBudgetTest(unittest.TestCase):
     def test_the_whole_fleet_stays_within_its_rate(self):
-        """760 nodes come back at once after an outage.
+        """760 nodes return at once after an outage.
 
-        Each calls as often as its budget allows, for a minute; operators'
-        writes must still find room in the platform's rates.
+        Each calls as often as its budget allows for a minute. The platform's
+        rate limits must still leave room for operators' writes.
         """
         budget = retries.CallBudget()
         budget.set_nodes(760)
@@ -254,8 +271,8 @@
                 calls += 1
                 budget.end()
 
-        fleet = (calls - budget.BURST_CALLS) * 760 / 60
-        self.assertLessEqual(fleet, 1.1 * budget.FLEET_CALLS_PER_SECOND)
+        fleet_rate = (calls - budget.BURST_CALLS) * 760 / 60
+        self.assertLessEqual(fleet_rate, 1.1 * budget.FLEET_CALLS_PER_SECOND)
 
     def test_a_waiting_watch_is_a_call_in_progress(self):
         budget = retries.CallBudget()
--- a/endivewind/tests/platform/configuration_tests.py
+++ b/endivewind/tests/platform/configuration_tests.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, decoded into the project's document."""
+"""Tests of decoding the operators' configuration into a document."""
 
 import copy
 import unittest
@@ -73,17 +73,17 @@
 
 
 class DecodeTest(unittest.TestCase):
-    """What the operator writes is in force in the project's own words."""
+    """The decoded document can be applied and holds the operators' values."""
 
     def setUp(self):
         self.store = store.ConfigurationStore()
 
     def _take(self, value):
         decoded = _decode(value).ok
-        taken = self.store.apply(
+        applied = self.store.apply(
             decoded.kind, decoded.name, decoded.version, decoded.value
         )
-        self.assertTrue(taken.is_ok(), taken)
+        self.assertTrue(applied.is_ok(), applied)
         return self.store.document("main")
 
     def test_routes_services_and_limits(self):
@@ -111,8 +111,8 @@
             ),
         )
 
-    def test_a_download_may_run_again_whatever_its_method(self):
-        """Only its answer is large; an order stays what runs once."""
+    def test_a_download_is_idempotent_whatever_its_method(self):
+        """A download is a read; other routes keep their own policy."""
         given = copy.deepcopy(GIVEN)
         given["resources"][1]["spec"]["route_type"] = "download"
 
@@ -121,7 +121,7 @@
         self.assertIs(objects.Repeat.NEVER, orders.repeat)
         self.assertIs(objects.Repeat.ALWAYS, downloads.repeat)
 
-    def test_the_operators_version_orders_and_never_goes_back(self):
+    def test_an_older_version_of_the_operators_is_not_applied(self):
         """An older object arrives late, at a higher revision of the store."""
         self._take(GIVEN)
         older = copy.deepcopy(GIVEN)
@@ -134,25 +134,25 @@
         self.assertEqual(12, self.store.version)
         self.assertEqual(2, len(self.store.document("main").routes))
 
-    def test_a_kind_of_resource_that_is_not_known_is_passed_over(self):
+    def test_an_unknown_resource_type_is_ignored(self):
         later = copy.deepcopy(GIVEN)
         later["resources"].append({"resource_type": "quotas", "spec": {"a": 1}})
 
         self.assertEqual(2, len(self._take(later).routes))
 
-    def test_what_cannot_be_read_is_refused_with_its_place(self):
-        broken = copy.deepcopy(GIVEN)
-        del broken["version"]
-        nowhere = copy.deepcopy(GIVEN)
-        del nowhere["resources"][0]["spec"]["service"]
+    def test_the_error_of_an_invalid_object_names_the_place(self):
+        unversioned = copy.deepcopy(GIVEN)
+        del unversioned["version"]
+        unrouted = copy.deepcopy(GIVEN)
+        del unrouted["resources"][0]["spec"]["service"]
 
-        self.assertIn("version", _decode(broken).error)
-        self.assertIn("/orders/", _decode(nowhere).error)
+        self.assertIn("version", _decode(unversioned).error)
+        self.assertIn("/orders/", _decode(unrouted).error)
         self.assertTrue(_decode({}).is_error())
 
 
 class WorkspacesTest(unittest.TestCase):
-    """Workspaces come with digests of their keys; no key is passed on."""
+    """Decoded workspaces hold the digests of their keys, never the keys."""
 
     def given(self, **tenants):
         value = copy.deepcopy(GIVEN)
@@ -184,21 +184,21 @@
         held = {caller_keys.digest(key): "crew" for key in (KEY, OTHER_KEY)}
         self.assertEqual(held, found.keys)
 
-    def test_no_key_is_passed_on(self):
-        """Guards against keys in gossip, logs and what operators are shown."""
+    def test_the_document_holds_no_key(self):
+        """Guards against keys in gossip, logs and operators' output."""
         decoded = _decode(self.given(crew={"api_keys": [KEY]})).ok
 
         self.assertNotIn(KEY, repr(decoded))
 
-    def test_a_workspace_without_a_key_is_kept(self):
+    def test_a_workspace_without_a_key_is_decoded(self):
         found = self.document(self.given(crew={}))
 
         self.assertEqual(0, found.workspaces["crew"].rate)
         self.assertEqual({}, found.keys)
 
-    def test_keys_that_can_not_be_told_apart_are_refused_with_their_place(self):
+    def test_duplicate_and_invalid_keys_are_rejected_with_their_place(self):
         given = {
-            "tenants.venue.api_keys.1: crew holds it": [OTHER_KEY, KEY],
+            "tenants.venue.api_keys.1: crew has the same key": [OTHER_KEY, KEY],
             "tenants.venue.api_keys.0: a key is empty": [""],
             "tenants.venue.api_keys.0: a key has 5 characters": ["short"],
         }
--- a/endivewind/tests/platform/heartbeats_tests.py
+++ b/endivewind/tests/platform/heartbeats_tests.py
@@ -1,4 +1,4 @@
-"""Heartbeats and deregistrations as targets of the platform send them."""
+"""Tests of the API for heartbeats and deregistrations of targets."""
 
 import datetime
 import unittest
@@ -33,20 +33,22 @@
         home = registry.HomeIdentity("node-a", 1, "andina", "andina-a")
         self.targets = registry.TargetRegistry(home, clocks.ManualClock())
         self.changes = 0
-        taken = registration.Registration(
-            self.targets, lambda service: 1, self._changed, self._refusal
+        target_registration = registration.Registration(
+            self.targets, lambda service: 1, self._count_change, self._refusal
         )
-        # Later than all starts of these tests.
+        # Later than the start times of all targets in these tests.
         clock = clocks.ManualClock()
         clock.advance(datetime.timedelta(minutes=1))
-        served = heartbeats.HeartbeatApi(taken, lambda: 1500, clock)
+        heartbeat_api = heartbeats.HeartbeatApi(
+            target_registration, lambda: 1500, clock
+        )
         self.client = test_utils.TestClient(
-            test_utils.TestServer(served.application())
+            test_utils.TestServer(heartbeat_api.application())
         )
         await self.client.start_server()
         self.addAsyncCleanup(self.client.close)
 
-    def _changed(self):
+    def _count_change(self):
         self.changes += 1
 
     def _refusal(self, announcement):
@@ -82,16 +84,17 @@
         )
         self.assertEqual(f"http://{ADDRESS}", self.targets.get("i-1").address)
 
-    async def test_a_cold_start_is_seen(self):
+    async def test_a_target_in_its_cold_start_is_cold(self):
         status = {"state": "ready", "sequence": 1, "cold_remaining_s": 2.5}
         await self.beat(status=status)
 
         self.assertEqual({"i-1": "cold"}, self.states())
 
-    async def test_a_late_heartbeat_does_not_undo_the_draining(self):
-        """The target says that it leaves; an earlier heartbeat comes after.
+    async def test_a_late_heartbeat_does_not_end_draining(self):
+        """A target announces that it drains; an older heartbeat arrives later.
 
-        Taken at its word it would get new work again, past its drain time.
+        If the older one were applied, the target would receive new requests
+        after its drain time.
         """
         await self.beat(sequence=5, state="draining")
 
@@ -100,7 +103,7 @@
         self.assertEqual(200, late)
         self.assertEqual({"i-1": "draining"}, self.states())
 
-    async def test_a_late_heartbeat_brings_back_none_that_has_left(self):
+    async def test_a_late_heartbeat_does_not_restore_a_departed_target(self):
         await self.beat(sequence=5)
         await self.leave(born=1000)
 
@@ -109,14 +112,15 @@
         self.assertEqual(409, late)
         self.assertEqual({}, self.states())
 
-    async def test_a_leave_that_names_no_start_binds_a_home_that_knows_none(
+    async def test_a_departure_without_start_time_is_kept_after_a_restart(
         self,
     ):
-        """Requests reach a target three seconds after it has said it leaves.
+        """Requests are sent to a target three seconds after its departure.
 
-        Its home has just been restarted and knows no target. The leave says
-        nothing of the start that leaves; an announcement which was held up
-        comes three seconds later. Only a start after the leave is another.
+        The home has just restarted and knows no target. A deregistration
+        without a start time is followed by a delayed announcement, three
+        seconds later. Only an incarnation that started after the departure
+        may be accepted.
         """
         async with self.client.post("/Instances.Deregister/i-1") as response:
             self.assertEqual(200, response.status)
@@ -127,36 +131,36 @@
         later = 10 * 365 * 86_400_000 * 10
         self.assertEqual(200, await self.beat(sequence=1, born=later))
 
-    async def test_a_new_start_at_the_same_address_takes_its_place(self):
-        """The sender of a held-up heartbeat has crashed meanwhile."""
+    async def test_a_later_target_at_the_same_address_replaces_the_first(self):
+        """A heartbeat of a crashed target arrives after its successor's."""
         await self.beat("i-1", born=1000)
         await self.beat("i-2", born=2000, sequence=1)
 
-        held_up = await self.beat("i-1", born=1000, sequence=9)
+        delayed = await self.beat("i-1", born=1000, sequence=9)
 
-        self.assertEqual(409, held_up)
+        self.assertEqual(409, delayed)
         self.assertEqual({"i-2": "ready"}, self.states())
 
-    async def test_a_start_under_the_same_id_begins_its_counts_anew(self):
+    async def test_a_new_incarnation_starts_its_own_sequence(self):
         await self.beat(sequence=50, state="draining", born=1000)
 
-        again = await self.beat(sequence=1, born=2000)
+        restarted = await self.beat(sequence=1, born=2000)
 
-        self.assertEqual(200, again)
+        self.assertEqual(200, restarted)
         self.assertEqual({"i-1": "ready"}, self.states())
 
-    async def test_an_earlier_starts_leave_does_not_end_a_later_one(self):
+    async def test_an_earlier_incarnations_departure_keeps_the_later_one(self):
         await self.beat(born=2000)
 
         await self.leave(born=1000)
 
         self.assertEqual({"i-1": "ready"}, self.states())
 
-    async def test_what_cannot_be_read_changes_nothing(self):
-        """Another writer sends fields of other types, or no JSON at all."""
+    async def test_an_invalid_heartbeat_changes_nothing(self):
+        """Another sender sends fields of wrong types, or no JSON at all."""
         await self.beat()
         before = self.states()
-        bad = (
+        invalid = (
             b"\x00\xff",
             b"[]",
             b"null",
@@ -168,12 +172,12 @@
             _beat(status=None),
         )
 
-        answers = [await self.beat(body=body) for body in bad]
+        statuses = [await self.beat(body=body) for body in invalid]
 
-        self.assertEqual([400] * len(bad), answers)
+        self.assertEqual([400] * len(invalid), statuses)
         self.assertEqual(before, self.states())
 
-    async def test_a_service_that_does_not_exist_replaces_nothing(self):
+    async def test_an_unknown_service_does_not_replace_the_record(self):
         await self.beat()
 
         forged = await self.beat(
@@ -185,7 +189,7 @@
             ["riders"], [item.service for item in self.targets.announced()]
         )
 
-    async def test_the_fleet_hears_of_changes_only(self):
+    async def test_only_changes_are_published(self):
         for sequence in range(5):
             await self.beat(sequence=sequence)
 
--- a/endivewind/tests/platform/platforms.py
+++ b/endivewind/tests/platform/platforms.py
@@ -1,4 +1,4 @@
-"""A platform stand-in on a port of its own, and a client of it."""
+"""Runs a platform stand-in on its own port, and makes clients of it."""
 
 import random
 from typing import Any
@@ -19,7 +19,7 @@
         self.store = platform.ObjectStore()
         self.standin = platform.PlatformStandin(self.store)
         self.clock = clocks.ManualClock()
-        self.slept: list[float] = []
+        self.sleeps: list[float] = []
         self.client: client.PlatformClient
         self.url = ""
         self._session: aiohttp.ClientSession
@@ -42,23 +42,23 @@
 
     @property
     def backoff(self) -> retries.Backoff:
-        """A back-off with a fixed seed."""
+        """A backoff with a fixed seed."""
         return retries.Backoff(random.Random(1))
 
     def new_client(self) -> client.PlatformClient:
-        """A client that has seen nothing yet."""
-        # The clock of these tests stands still: without a larger burst the
-        # budget would never fill again.
-        made = client.PlatformClient(self.url, self._session, self.clock)
-        made.budget.refill(10_000)
-        return made
+        """Makes a new client."""
+        # The clock of these tests does not advance, so that the budget is
+        # never refilled; the larger burst makes up for that.
+        new_client = client.PlatformClient(self.url, self._session, self.clock)
+        new_client.budget.refill(10_000)
+        return new_client
 
     async def sleep(self, seconds: float) -> None:
-        """Stands in for sleeping; remembers how long."""
-        self.slept.append(seconds)
+        """Records the duration instead of sleeping."""
+        self.sleeps.append(seconds)
 
     def put(self, name: str, value: dict[str, Any]) -> None:
-        """Writes past the API."""
+        """Writes to the store directly, not through the API."""
         current = self.store.get("service", name)
         version = current.version if current else 0
         self.store.put("service", name, value, version)
--- a/endivewind/tls.py
+++ b/endivewind/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts from settings: for the listener and for links."""
+"""TLS contexts from the settings, for the listener and for links."""
 
 import ssl
 
@@ -7,7 +7,10 @@
 
 
 def server_context(tls: settings.Tls | None) -> ssl.SSLContext | None:
-    """Context of a listener; an authority makes a certificate a must."""
+    """Makes a listener's context; returns None if TLS is not configured.
+
+    If an authority is set, clients must present a certificate of it.
+    """
     if tls is None:
         return None
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
@@ -19,10 +22,10 @@
 
 
 def link_context(tls: settings.Tls | None) -> ssl.SSLContext | None:
-    """Context of the connecting end of a link between nodes.
+    """Makes the context of the connecting side of a link between nodes.
 
-    Nodes are called by IP number, and one authority signs nodes only, so the
-    certificate's chain is checked and its host name is not.
+    Nodes connect by IP address, and the authority signs only nodes'
+    certificates, so the certificate chain is verified but not the host name.
     """
     if tls is None:
         return None
@@ -34,7 +37,7 @@
 
 
 def _load(context: ssl.SSLContext, tls: settings.Tls) -> None:
-    """Reads the files; the errors of ssl do not say which file is meant."""
+    """Loads the files and names them in errors, which ssl leaves out."""
     try:
         context.load_cert_chain(tls.certificate, tls.key)
         if tls.authority:
