--- a/endivewind/platform/configuration.py
+++ b/endivewind/platform/configuration.py
@@ -144,7 +144,7 @@
         unrouted = [item for item in document.routes if not _has_service(item)]
         if unrouted:
             return expression.Error(
-                f"route {unrouted[0].prefix} names no service"
+                f"{unrouted[0].prefix}: the route names no service"
             )
         keys = _decode_keys(decoded.resources)
         if keys.is_error():
