--- a/endivewind/tests/durable/audit_recorder_tests.py
+++ b/endivewind/tests/durable/audit_recorder_tests.py
@@ -43,8 +43,8 @@
         self.auditor.targets([changed], {"riders-1": "errors"})
 
     async def _trail(self):
-        found = await audit.read(self.platform.client)
-        return [item.action.value for item in found.ok]
+        trail = await audit.read(self.platform.client)
+        return [item.action.value for item in trail.ok]
 
     async def test_ejections_drains_and_membership_are_recorded_once(self):
         self.auditor.membership(audit.Action.JOIN)
--- a/endivewind/tests/platform/client_tests.py
+++ b/endivewind/tests/platform/client_tests.py
@@ -66,40 +66,40 @@
         for mode, failure in cases:
             with self.subTest(mode):
                 self.fault(mode)
-                found = await self.client.get("service", "riders")
-                self.assertIs(failure, found.error.failure)
+                result = await self.client.get("service", "riders")
+                self.assertIs(failure, result.error.failure)
 
     async def test_a_slow_response_is_awaited(self):
         self.platform.put("riders", {"a": 1})
         self.fault(Mode.SLOW, delay_ms=20)
 
-        found = await self.client.get("service", "riders")
+        result = await self.client.get("service", "riders")
 
-        self.assertEqual({"a": 1}, found.ok.value)
+        self.assertEqual({"a": 1}, result.ok.value)
 
     async def test_rate_limit_error_has_the_retry_after(self):
         self.fault(Mode.RATE_LIMIT, per_second=0)
 
-        found = await self.client.get("service", "riders")
+        result = await self.client.get("service", "riders")
 
-        self.assertIs(messages.Failure.THROTTLED, found.error.failure)
-        self.assertEqual(SECOND, found.error.retry_after)
+        self.assertIs(messages.Failure.THROTTLED, result.error.failure)
+        self.assertEqual(SECOND, result.error.retry_after)
 
     async def test_watch_of_a_compacted_revision_fails_as_compacted(self):
         self.platform.put("riders", {"a": 1})
         self.platform.put("riders", {"a": 2})
         self.platform.store.compact(2)
 
-        found = await self.client.watch("service", 1)
+        result = await self.client.watch("service", 1)
 
-        self.assertIs(messages.Failure.COMPACTED, found.error.failure)
+        self.assertIs(messages.Failure.COMPACTED, result.error.failure)
 
     async def test_watch_of_a_store_that_lost_writes_fails_as_compacted(self):
         self.platform.put("riders", {"a": 1})
 
-        found = await self.client.watch("service", 900)
+        result = await self.client.watch("service", 900)
 
-        self.assertIs(messages.Failure.COMPACTED, found.error.failure)
+        self.assertIs(messages.Failure.COMPACTED, result.error.failure)
 
 
 class ReadTest(_PlatformCase):
@@ -113,9 +113,9 @@
         for name in names:
             self.platform.put(name, {"a": 1})
 
-        found = await self.client.list("service")
+        result = await self.client.list("service")
 
-        self.assertEqual(names, {item.name for item in found.ok.objects})
+        self.assertEqual(names, {item.name for item in result.ok.objects})
 
     async def test_a_watch_reports_a_change_made_during_the_listing(self):
         for number in range(501):
@@ -130,9 +130,9 @@
 
         original = self.client._call
         self.client._call = call
-        found = await self.client.list("service")
+        result = await self.client.list("service")
         self.client._call = original
-        watched = await self.client.watch("service", found.ok.revision)
+        watched = await self.client.watch("service", result.ok.revision)
 
         self.assertEqual(
             [{"a": 2}], [item.value for item in watched.ok.objects]
--- a/endivewind/tests/platform/configuration_tests.py
+++ b/endivewind/tests/platform/configuration_tests.py
@@ -9,7 +9,7 @@
 from endivewind.platform import configuration
 from endivewind.platform import messages
 
-GIVEN = {
+OPERATOR_CONFIGURATION = {
     "version": "0000000c",
     "base_version": "0000000b",
     "resources": [
@@ -78,7 +78,7 @@
     def setUp(self):
         self.store = store.ConfigurationStore()
 
-    def _take(self, value):
+    def _apply(self, value):
         decoded = _decode(value).ok
         applied = self.store.apply(
             decoded.kind, decoded.name, decoded.version, decoded.value
@@ -87,7 +87,7 @@
         return self.store.document("main")
 
     def test_routes_services_and_limits(self):
-        document = self._take(GIVEN)
+        document = self._apply(OPERATOR_CONFIGURATION)
         orders, views = document.routes
 
         self.assertIs(objects.Repeat.NEVER, orders.repeat)
@@ -113,18 +113,18 @@
 
     def test_a_download_is_idempotent_whatever_its_method(self):
         """A download is a read; other routes keep their own policy."""
-        given = copy.deepcopy(GIVEN)
-        given["resources"][1]["spec"]["route_type"] = "download"
+        changed = copy.deepcopy(OPERATOR_CONFIGURATION)
+        changed["resources"][1]["spec"]["route_type"] = "download"
 
-        orders, downloads = self._take(given).routes
+        orders, downloads = self._apply(changed).routes
 
         self.assertIs(objects.Repeat.NEVER, orders.repeat)
         self.assertIs(objects.Repeat.ALWAYS, downloads.repeat)
 
     def test_an_older_version_of_the_operators_is_not_applied(self):
         """An older object arrives late, at a higher revision of the store."""
-        self._take(GIVEN)
-        older = copy.deepcopy(GIVEN)
+        self._apply(OPERATOR_CONFIGURATION)
+        older = copy.deepcopy(OPERATOR_CONFIGURATION)
         older["version"] = "0000000a"
         older["resources"] = []
         decoded = _decode(older).ok
@@ -135,15 +135,15 @@
         self.assertEqual(2, len(self.store.document("main").routes))
 
     def test_an_unknown_resource_type_is_ignored(self):
-        later = copy.deepcopy(GIVEN)
+        later = copy.deepcopy(OPERATOR_CONFIGURATION)
         later["resources"].append({"resource_type": "quotas", "spec": {"a": 1}})
 
-        self.assertEqual(2, len(self._take(later).routes))
+        self.assertEqual(2, len(self._apply(later).routes))
 
     def test_the_error_of_an_invalid_object_names_the_place(self):
-        unversioned = copy.deepcopy(GIVEN)
+        unversioned = copy.deepcopy(OPERATOR_CONFIGURATION)
         del unversioned["version"]
-        unrouted = copy.deepcopy(GIVEN)
+        unrouted = copy.deepcopy(OPERATOR_CONFIGURATION)
         del unrouted["resources"][0]["spec"]["service"]
 
         self.assertIn("version", _decode(unversioned).error)
@@ -154,8 +154,8 @@
 class WorkspacesTest(unittest.TestCase):
     """Decoded workspaces hold the digests of their keys, never the keys."""
 
-    def given(self, **tenants):
-        value = copy.deepcopy(GIVEN)
+    def make_configuration(self, **tenants):
+        value = copy.deepcopy(OPERATOR_CONFIGURATION)
         for name, spec in tenants.items():
             item = {
                 "resource_type": "tenants",
@@ -165,7 +165,7 @@
             value["resources"].append(item)
         return value
 
-    def document(self, value):
+    def decode_document(self, value):
         decoded = _decode(value).ok
         return objects.Document.model_validate(decoded.value["spec"])
 
@@ -177,48 +177,48 @@
             "burst": 70,
         }
 
-        found = self.document(self.given(crew=spec))
+        document = self.decode_document(self.make_configuration(crew=spec))
 
         expected = objects.Workspace(firm="crew", rate=68, burst=70, rank=1)
-        self.assertEqual({"crew": expected}, found.workspaces)
-        held = {caller_keys.digest(key): "crew" for key in (KEY, OTHER_KEY)}
-        self.assertEqual(held, found.keys)
+        self.assertEqual({"crew": expected}, document.workspaces)
+        keys = {caller_keys.digest(key): "crew" for key in (KEY, OTHER_KEY)}
+        self.assertEqual(keys, document.keys)
 
     def test_the_document_holds_no_key(self):
         """Guards against keys in gossip, logs and operators' output."""
-        decoded = _decode(self.given(crew={"api_keys": [KEY]})).ok
+        decoded = _decode(self.make_configuration(crew={"api_keys": [KEY]})).ok
 
         self.assertNotIn(KEY, repr(decoded))
 
     def test_a_workspace_without_a_key_is_decoded(self):
-        found = self.document(self.given(crew={}))
+        document = self.decode_document(self.make_configuration(crew={}))
 
-        self.assertEqual(0, found.workspaces["crew"].rate)
-        self.assertEqual({}, found.keys)
+        self.assertEqual(0, document.workspaces["crew"].rate)
+        self.assertEqual({}, document.keys)
 
     def test_duplicate_and_invalid_keys_are_rejected_with_their_place(self):
-        given = {
+        keys_by_problem = {
             "tenants.venue.api_keys.1: crew has the same key": [OTHER_KEY, KEY],
             "tenants.venue.api_keys.0: a key is empty": [""],
             "tenants.venue.api_keys.0: a key has 5 characters": ["short"],
         }
-        for problem, keys in given.items():
+        for problem, keys in keys_by_problem.items():
             with self.subTest(problem):
-                value = self.given(
+                value = self.make_configuration(
                     crew={"api_keys": [KEY]}, venue={"api_keys": keys}
                 )
 
-                found = _decode(value)
+                decoded = _decode(value)
 
-                self.assertIn(problem, found.error)
-                self.assertNotIn(KEY, found.error)
+                self.assertIn(problem, decoded.error)
+                self.assertNotIn(KEY, decoded.error)
 
     def test_an_anonymous_route(self):
-        value = copy.deepcopy(GIVEN)
+        value = copy.deepcopy(OPERATOR_CONFIGURATION)
         value["resources"][0]["spec"]["anonymous"] = True
 
-        found = self.document(value)
+        document = self.decode_document(value)
 
         self.assertEqual(
-            [True, False], [item.anonymous for item in found.routes]
+            [True, False], [item.anonymous for item in document.routes]
         )
