--- a/endivewind/callers/hedging.py
+++ b/endivewind/callers/hedging.py
@@ -1,4 +1,8 @@
-"""Attempts of one request at two targets at once: whose answer counts."""
+"""Hedged requests: picks the response of several concurrent attempts.
+
+The gateway sends a slow request to a second target and uses the first
+successful response.
+"""
 
 import asyncio
 
@@ -8,22 +12,22 @@
 async def first_good(
     tasks: set[asyncio.Task[routed.AnswerResult]],
 ) -> routed.AnswerResult:
-    """The first result that is no failure; the last one if all are."""
-    waiting = set(tasks)
+    """Returns the first successful result, or the last one if all failed."""
+    pending = set(tasks)
     while True:
-        ended, waiting = await asyncio.wait(
-            waiting, return_when=asyncio.FIRST_COMPLETED
+        done, pending = await asyncio.wait(
+            pending, return_when=asyncio.FIRST_COMPLETED
         )
-        results = [task.result() for task in ended]
+        results = [task.result() for task in done]
         for result in results:
             if result.is_ok() and result.ok.status not in routed.FAILED_STATUS:
                 return result
-        if not waiting:
+        if not pending:
             return results[-1]
 
 
 async def end(tasks: set[asyncio.Task[routed.AnswerResult]]) -> None:
-    """Cancels what still runs, so that its target stops as well."""
+    """Cancels the attempts still running, so that their targets stop too."""
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
--- a/endivewind/commands/__init__.py
+++ b/endivewind/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Command lines: one module for each binary and each command."""
+"""The command line: one module for each binary and each command."""
--- a/endivewind/commands/audit.py
+++ b/endivewind/commands/audit.py
@@ -1,8 +1,9 @@
-"""endivewind audit: who changed what, when, from which version.
+"""endivewind audit: lists who changed what, when and from which version.
 
-One line for each change of the configuration, and for ejections, returns,
-drains and membership as nodes have recorded them, oldest first. "intended"
-means that the outcome was never recorded: compare with `endivewind get`.
+Prints one line for each configuration change and for each ejection, return to
+service, drain and membership change that nodes recorded, oldest first. The
+outcome "intended" means that no final outcome was recorded; check the current
+state with `endivewind get`.
 """
 
 from absl import flags
@@ -17,18 +18,20 @@
 
 USAGE = "audit --platform=URL [--subject=KIND/NAME] [--operation=ID]"
 
-_SUBJECT = flags.DEFINE_string("subject", "", "Only changes of this.")
-_OPERATION = flags.DEFINE_string("operation", "", "Only this operation.")
+_SUBJECT = flags.DEFINE_string(
+    "subject", "", "Show only changes of this object."
+)
+_OPERATION = flags.DEFINE_string("operation", "", "Show only this operation.")
 flags.declare_key_flag("platform")
 flags.declare_key_flag("format")
 
 
 def main(arguments: list[str]) -> int:
-    """Prints the records."""
+    """Prints the audit records."""
     if arguments:
         raise exceptions.UsageError(f"usage: endivewind {USAGE}")
 
-    async def work(platform: client.PlatformClient) -> int:
+    async def run(platform: client.PlatformClient) -> int:
         records = await submissions.read(
             lambda: audit.read(platform), "the audit trail"
         )
@@ -39,14 +42,15 @@
             and _OPERATION.value in ("", item.operation)
         ]
         options.show(
-            [item.model_dump(mode="json") for item in shown], _text(shown)
+            [item.model_dump(mode="json") for item in shown],
+            _format_records(shown),
         )
         return 0
 
-    return running.loop(options.with_platform(work))
+    return running.loop(options.with_platform(run))
 
 
-def _text(records: list[audit.Record]) -> str:
+def _format_records(records: list[audit.Record]) -> str:
     return tables.table(
         ("TIME", "ACTOR", "ACTION", "SUBJECT", "FROM", "TO", "OUTCOME")
         + ("OPERATION", "DETAIL"),
--- a/endivewind/commands/demo.py
+++ b/endivewind/commands/demo.py
@@ -1,12 +1,13 @@
-"""endivewind demo: a small fleet in one process, with one gray target.
-
-Starts the platform's stand-in, two nodes and six targets on loopback. All six
-answer their health check; one of them fails part of its real work. Callers
-send work for some seconds. Printed are what callers saw, what each target ran,
-which targets were ejected or avoided, and what a workspace with a key and a
-quota got. Exits 0 if every caller was answered or told that its work was not
-run, the gray target alone lost its work, and only the key in force was served,
-within its quota.
+"""endivewind demo: runs a small fleet with one target that has a gray failure.
+
+Starts a platform stand-in, two nodes and six targets in one process, on the
+loopback interface. All targets pass their health checks, but one of them fails
+part of its requests. Sends requests for some seconds, then prints the
+responses to callers, the responses of each target, the ejected and avoided
+targets, and the results of a workspace with a key and a quota. The exit code
+is 0 if every caller got a response or a refusal that says its request did not
+run, if only the failing target lost its traffic, and if only the valid key was
+accepted, within its quota.
 """
 
 import asyncio
@@ -41,10 +42,10 @@
 
 USAGE = "demo [--duration=8] [--format=json]"
 
-_SECONDS = flags.DEFINE_float(
+_DURATION_SECONDS = flags.DEFINE_float(
     "duration",
     8,
-    "Seconds that callers send work.",
+    "How long callers send requests, in seconds.",
     lower_bound=1,
     upper_bound=20,
 )
@@ -55,33 +56,35 @@
 _HOST = "camerino.example"
 _NODES = (("node-a", "andina-a"), ("node-b", "andina-b"))
 _TARGETS = tuple(f"riders-{number}" for number in range(1, 7))
-_GRAY = "riders-3"
-_GRAY_SHARE = 0.5
-_RATE = 100
-_START_SECONDS = 10
-# A target in doubt gets a question now and then; the least used of the others
-# gave one in three of the mean.
+_GRAY_TARGET = "riders-3"
+_GRAY_ERROR_SHARE = 0.5
+_REQUESTS_PER_SECOND = 100
+_START_TIMEOUT_SECONDS = 10
+# A target counts as avoided below this share of the mean number of responses. A
+# suspect target still gets occasional requests; the least used healthy target
+# had a third of the mean.
 AVOIDED_SHARE = 0.2
-# The key whose digest the configuration holds, and the object that does.
-_KEY = "demo-key-of-the-crew"
-_SHARD = store.Key(store.WORKSPACE_SHARD, "camerino")
-# Requests that the workspace sends at once, several times its quota.
-_BURST = 80
-_REVOKED_SECONDS = 5
+# The key whose digest is in the configuration, and the object that holds it.
+_WORKSPACE_KEY = "demo-key-of-the-crew"
+_SHARD_KEY = store.Key(store.WORKSPACE_SHARD, "camerino")
+# Concurrent requests of the workspace, several times its quota.
+_BURST_REQUESTS = 80
+_REVOCATION_TIMEOUT_SECONDS = 5
 _UNAUTHORIZED = 401
-_TOO_MANY = 429
+_TOO_MANY_REQUESTS = 429
 
 
 @dataclasses.dataclass(slots=True)
 class Seen:
-    """What callers saw, counted.
+    """Counts of what callers received.
 
     Attributes:
-      whole: whole answers with status 200.
-      failed: answers of a target that failed the work.
+      complete: complete responses with status 200.
+      failed: error responses of a target.
+      failed_in_first_half: error responses to requests that were sent in the
+        first half of the run.
       refused: refusals by outcome and reason.
-      by_target: whole answers by target.
-      first_half_failed: failed answers in the first half of the time.
+      complete_by_target: complete responses by target.
     """
 
     whole: int = 0
@@ -95,7 +98,7 @@
     )
 
     def as_json(self) -> dict[str, Any]:
-        """The counts as plain JSON values."""
+        """Returns the counts as JSON values."""
         return {
             "whole": self.whole,
             "failed": self.failed,
@@ -106,7 +109,7 @@
 
     @property
     def avoided(self) -> list[str]:
-        """Targets that gave callers far fewer answers than the others."""
+        """Targets that served far fewer responses than the others."""
         mean = self.whole / len(_TARGETS)
         return [
             name
@@ -116,7 +119,7 @@
 
     @property
     def unclear(self) -> int:
-        """Callers who were not told whether their work ran."""
+        """Number of callers not told whether their request ran."""
         return sum(
             count
             for reason, count in self.refused.items()
@@ -126,14 +129,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Keyed:
-    """What a workspace with a key and a quota got, as HTTP statuses.
+    """Results of requests of a workspace with a key and a quota.
 
     Attributes:
-      without_key: of a request that bears none.
-      with_key: of one that bears it.
-      served: of many at once, at both nodes, those that were not refused.
-      over_quota: of these, those that were.
-      revoked: of one with the key after it was taken away.
+      without_key: HTTP status of a request without a key.
+      with_key: HTTP status of a request with the key.
+      served: number of concurrent requests, at both nodes, that were not
+        refused over quota.
+      over_quota: number of them that were.
+      revoked: HTTP status of a request with the key after its revocation.
     """
 
     without_key: int
@@ -144,67 +148,74 @@
 
     @property
     def is_right(self) -> bool:
-        """Whether only the key in force was served, within its quota."""
+        """Whether only the valid key was accepted, within its quota."""
         refused = self.without_key == self.revoked == _UNAUTHORIZED
         served = self.with_key != _UNAUTHORIZED and self.served > 0
         return refused and served and self.over_quota > 0
 
     def as_table(self) -> str:
-        """The same for people."""
+        """Formats the results for text output."""
         rows = [
             ("without a key", self.without_key),
-            ("with its key", self.with_key),
-            (f"{_BURST} at once: served", self.served),
-            (f"{_BURST} at once: {_TOO_MANY}", self.over_quota),
-            ("after the key was taken away", self.revoked),
+            ("with the key", self.with_key),
+            (f"{_BURST_REQUESTS} concurrent: served", self.served),
+            (
+                f"{_BURST_REQUESTS} concurrent: status {_TOO_MANY_REQUESTS}",
+                self.over_quota,
+            ),
+            ("after the key was revoked", self.revoked),
         ]
         return tables.table(("WORKSPACE", "STATUS OR COUNT"), rows)
 
 
 def main(arguments: list[str]) -> int:
-    """Runs the demo and prints what came of it."""
+    """Runs the demo and prints its results."""
     if arguments:
         raise exceptions.UsageError(f"usage: endivewind {USAGE}")
     logs.configure("critical")
-    return running.loop(_demo())
+    return running.loop(_run_demo())
 
 
-async def _demo() -> int:
+async def _run_demo() -> int:
     async with contextlib.AsyncExitStack() as stack:
         api = platform.PlatformStandin(platform.ObjectStore())
-        url = "http://" + await _serve(stack, api.application())
-        nodes = await _start(stack, url)
-        seen = Seen()
-        await _call(nodes, seen)
-        ejected = await _ejected(nodes)
-        keyed = await _keyed(nodes, url)
+        url = "http://" + await _serve_application(stack, api.application())
+        nodes = await _start_fleet(stack, url)
+        results = Seen()
+        await _send_requests(nodes, results)
+        ejected = await _find_ejected(nodes)
+        keyed = await _try_workspace_key(nodes, url)
     value = {
-        "callers": seen.as_json(),
-        "gray_target": _GRAY,
+        "callers": results.as_json(),
+        "gray_target": _GRAY_TARGET,
         "ejected": ejected,
-        "avoided": seen.avoided,
+        "avoided": results.avoided,
         "workspace": dataclasses.asdict(keyed),
     }
-    options.show(value, text(seen, ejected) + "\n\n" + keyed.as_table())
-    without_work = set(ejected) | set(seen.avoided)
-    well = not seen.unclear and without_work == {_GRAY} and keyed.is_right
-    return 0 if well else 1
+    options.show(value, text(results, ejected) + "\n\n" + keyed.as_table())
+    without_traffic = set(ejected) | set(results.avoided)
+    passed = (
+        not results.unclear
+        and without_traffic == {_GRAY_TARGET}
+        and keyed.is_right
+    )
+    return 0 if passed else 1
 
 
-async def _start(
+async def _start_fleet(
     stack: contextlib.AsyncExitStack, url: str
 ) -> list[node.Addresses]:
-    await _submit(url)
-    members = [_node(name, zone, url) for name, zone in _NODES]
+    await _submit_configuration(url)
+    members = [_make_node(name, zone, url) for name, zone in _NODES]
     nodes = [await member.start() for member in members]
-    stack.push_async_callback(_stop, members)
+    stack.push_async_callback(_stop_nodes, members)
     for number, name in enumerate(_TARGETS):
-        await _target(stack, name, nodes[number % len(nodes)].targets)
-    await _until_known(nodes)
+        await _start_target(stack, name, nodes[number % len(nodes)].targets)
+    await _wait_for_targets(nodes)
     return nodes
 
 
-async def _serve(
+async def _serve_application(
     stack: contextlib.AsyncExitStack, application: web.Application
 ) -> str:
     runner = web.AppRunner(application, access_log=None, shutdown_timeout=1)
@@ -214,7 +225,7 @@
     return f"127.0.0.1:{runner.addresses[0][1]}"
 
 
-async def _submit(url: str) -> None:
+async def _submit_configuration(url: str) -> None:
     loaded = base.load_file(str(_CONFIGURATION), objects.Configuration)
     async with aiohttp.ClientSession() as session:
         api = client.PlatformClient(url, session)
@@ -225,7 +236,7 @@
                 raise exceptions.UnavailableError(str(written.error))
 
 
-def _node(name: str, zone: str, url: str) -> node.Node:
+def _make_node(name: str, zone: str, url: str) -> node.Node:
     config = settings.NodeSettings(
         name=name, region="andina", zone=zone, platform=url
     )
@@ -234,118 +245,131 @@
     )
 
 
-async def _stop(members: list[node.Node]) -> None:
+async def _stop_nodes(members: list[node.Node]) -> None:
     await asyncio.gather(*(member.stop() for member in members))
 
 
-async def _target(
+async def _start_target(
     stack: contextlib.AsyncExitStack, name: str, home: str
 ) -> None:
     standin = target.TargetStandin(name, _SERVICE, [home])
-    address = await _serve(stack, standin.application())
-    if name == _GRAY:
+    address = await _serve_application(stack, standin.application())
+    if name == _GRAY_TARGET:
         async with aiohttp.ClientSession() as session:
-            fault = {"errors": _GRAY_SHARE}
+            fault = {"errors": _GRAY_ERROR_SHARE}
             url = f"http://{address}{target.FAULT_PATH}"
             async with session.put(url, json=fault) as response:
                 response.raise_for_status()
     task = asyncio.create_task(standin.announce(address))
-    stack.push_async_callback(_cancel, task)
+    stack.push_async_callback(_cancel_task, task)
 
 
-async def _cancel(task: asyncio.Task[None]) -> None:
+async def _cancel_task(task: asyncio.Task[None]) -> None:
     task.cancel()
     with contextlib.suppress(asyncio.CancelledError):
         await task
 
 
-async def _until_known(nodes: list[node.Addresses]) -> None:
+async def _wait_for_targets(nodes: list[node.Addresses]) -> None:
     try:
-        async with asyncio.timeout(_START_SECONDS):
+        async with asyncio.timeout(_START_TIMEOUT_SECONDS):
             while True:
-                known = [await _status(item) for item in nodes]
+                known = [await _get_status(item) for item in nodes]
                 if all(len(item["targets"]) == len(_TARGETS) for item in known):
                     return
                 await asyncio.sleep(0.05)
     except TimeoutError:
-        raise exceptions.EndivewindError("the fleet did not start") from None
+        raise exceptions.EndivewindError(
+            "the fleet did not start in time"
+        ) from None
 
 
-async def _status(addresses: node.Addresses) -> dict[str, Any]:
+async def _get_status(addresses: node.Addresses) -> dict[str, Any]:
     url = f"http://{addresses.operators}/v1/status"
     async with aiohttp.ClientSession() as session, session.get(url) as response:
         status: dict[str, Any] = await response.json()
         return status
 
 
-async def _call(nodes: list[node.Addresses], seen: Seen) -> None:
-    """Sends work at a fixed rate, to the nodes in turn."""
+async def _send_requests(nodes: list[node.Addresses], results: Seen) -> None:
+    """Sends requests at a fixed rate, alternating between the nodes."""
     start = time.monotonic()
-    total = int(_RATE * _SECONDS.value)
+    total = int(_REQUESTS_PER_SECOND * _DURATION_SECONDS.value)
     calls = []
     async with aiohttp.ClientSession() as session:
         for number in range(total):
-            await asyncio.sleep(start + number / _RATE - time.monotonic())
+            await asyncio.sleep(
+                start + number / _REQUESTS_PER_SECOND - time.monotonic()
+            )
             address = nodes[number % len(nodes)].callers
             early = number < total // 2
             calls.append(
-                asyncio.create_task(_one(session, address, seen, early))
+                asyncio.create_task(
+                    _send_request(session, address, results, early)
+                )
             )
         await asyncio.gather(*calls)
 
 
-async def _one(
-    session: aiohttp.ClientSession, address: str, seen: Seen, early: bool
+async def _send_request(
+    session: aiohttp.ClientSession, address: str, results: Seen, early: bool
 ) -> None:
     url = f"http://{address}/riders/42"
     async with session.get(url, headers={"Host": _HOST}) as response:
         outcome = response.headers.get(headers.OUTCOME, "")
         reason = response.headers.get(headers.REASON)
         if reason:
-            seen.refused[f"{outcome} {reason}"] += 1
+            results.refused[f"{outcome} {reason}"] += 1
         elif response.status == 200:
-            seen.whole += 1
-            answer = await response.json()
-            seen.by_target[answer["target"]] += 1
+            results.whole += 1
+            body = await response.json()
+            results.by_target[body["target"]] += 1
         else:
-            seen.failed += 1
-            seen.first_half_failed += early
+            results.failed += 1
+            results.first_half_failed += early
 
 
-async def _keyed(nodes: list[node.Addresses], url: str) -> Keyed:
-    """Uses a key at both nodes, and takes it away."""
+async def _try_workspace_key(nodes: list[node.Addresses], url: str) -> Keyed:
+    """Sends requests with and without a key, then revokes the key."""
     async with aiohttp.ClientSession() as session:
-        without = await _plan(session, nodes[0], "")
-        with_key = await _plan(session, nodes[0], _KEY)
-        many = await asyncio.gather(
+        without_key = await _request_plan(session, nodes[0], "")
+        with_key = await _request_plan(session, nodes[0], _WORKSPACE_KEY)
+        burst = await asyncio.gather(
             *(
-                _plan(session, nodes[number % len(nodes)], _KEY)
-                for number in range(_BURST)
+                _request_plan(
+                    session, nodes[number % len(nodes)], _WORKSPACE_KEY
+                )
+                for number in range(_BURST_REQUESTS)
             )
         )
-        await _revoke(url, session)
-        revoked = await _after_removal(session, nodes)
-    over = many.count(_TOO_MANY)
-    return Keyed(without, with_key, len(many) - over, over, revoked)
+        await _revoke_key(url, session)
+        revoked = await _wait_for_revocation(session, nodes)
+    over_quota = burst.count(_TOO_MANY_REQUESTS)
+    return Keyed(
+        without_key, with_key, len(burst) - over_quota, over_quota, revoked
+    )
 
 
-async def _after_removal(
+async def _wait_for_revocation(
     session: aiohttp.ClientSession, nodes: list[node.Addresses]
 ) -> int:
-    """The status that all nodes come to within the time of a change."""
+    """Returns 401 once all nodes reject the key, else a status still seen."""
     found: set[int] = set()
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(_REVOKED_SECONDS):
+        async with asyncio.timeout(_REVOCATION_TIMEOUT_SECONDS):
             while found != {_UNAUTHORIZED}:
                 await asyncio.sleep(0.1)
-                found = {await _plan(session, item, _KEY) for item in nodes}
+                found = {
+                    await _request_plan(session, item, _WORKSPACE_KEY)
+                    for item in nodes
+                }
     return min(found - {_UNAUTHORIZED}, default=_UNAUTHORIZED)
 
 
-async def _plan(
+async def _request_plan(
     session: aiohttp.ClientSession, addresses: node.Addresses, key: str
 ) -> int:
-    """The status of one request that needs a key."""
+    """Returns the status of a request to a route that requires a key."""
     fields = {"Host": _HOST}
     if key:
         fields[headers.AUTHORIZATION] = f"Bearer {key}"
@@ -354,60 +378,67 @@
         return response.status
 
 
-async def _revoke(url: str, session: aiohttp.ClientSession) -> None:
-    """Submits the workspaces without their key."""
+async def _revoke_key(url: str, session: aiohttp.ClientSession) -> None:
+    """Submits the workspace shard without its keys."""
     api = client.PlatformClient(url, session)
-    found = await api.get(*_SHARD)
+    found = await api.get(*_SHARD_KEY)
     if found.is_error():
         raise exceptions.UnavailableError(str(found.error))
     spec = {**found.ok.value["spec"], "keys": {}, "keyed": True}
     value = {"spec": spec, "operation": "revoke", "author": "demo"}
-    written = await api.put(*_SHARD, value, found.ok.version)
+    written = await api.put(*_SHARD_KEY, value, found.ok.version)
     if written.is_error():
         raise exceptions.UnavailableError(str(written.error))
 
 
-async def _ejected(nodes: list[node.Addresses]) -> dict[str, str]:
-    """Ejected targets by id, each with the reason that its home gives."""
+async def _find_ejected(nodes: list[node.Addresses]) -> dict[str, str]:
+    """Returns ejected targets by id, with the reason given by their home."""
     ejected: dict[str, str] = {}
     for addresses in nodes:
-        status = await _status(addresses)
+        status = await _get_status(addresses)
         for item in status["targets"]:
             if item["health"] != "normal" and item["home"] == status["node"]:
                 ejected[item["id"]] = item.get("reason") or item["health"]
     return ejected
 
 
-def text(seen: Seen, ejected: dict[str, str]) -> str:
-    """The demo's outcome for people."""
-    second_half = seen.failed - seen.first_half_failed
+def text(results: Seen, ejected: dict[str, str]) -> str:
+    """Formats the results of callers and targets for text output."""
+    second_half = results.failed - results.first_half_failed
     rows = [
-        ("whole answers", seen.whole),
-        ("failed answers, first half", seen.first_half_failed),
-        ("failed answers, second half", second_half),
-        *((f"refused: {name}", n) for name, n in sorted(seen.refused.items())),
+        ("complete responses", results.whole),
+        ("failed responses, first half", results.first_half_failed),
+        ("failed responses, second half", second_half),
+        *(
+            (f"refused: {name}", n)
+            for name, n in sorted(results.refused.items())
+        ),
     ]
     lines = [
-        f"Six targets; {_GRAY} fails {_GRAY_SHARE:.0%} of its work and still "
-        "answers its health check.",
+        f"Six targets; {_GRAY_TARGET} fails {_GRAY_ERROR_SHARE:.0%} of its "
+        "requests but passes its health checks.",
         "",
-        tables.table(("WHAT CALLERS SAW", "COUNT"), rows),
+        tables.table(("RESULT", "COUNT"), rows),
         "",
         tables.table(
-            ("TARGET", "WHOLE ANSWERS", "STATE"),
+            ("TARGET", "COMPLETE RESPONSES", "STATE"),
             [
-                (name, seen.by_target[name], _state(name, seen, ejected))
+                (
+                    name,
+                    results.by_target[name],
+                    _format_state(name, results, ejected),
+                )
                 for name in _TARGETS
             ],
         ),
         "",
         "Ejected: " + (", ".join(sorted(ejected)) or "none"),
-        "Avoided: " + (", ".join(seen.avoided) or "none"),
+        "Avoided: " + (", ".join(results.avoided) or "none"),
     ]
     return "\n".join(lines)
 
 
-def _state(name: str, seen: Seen, ejected: dict[str, str]) -> str:
+def _format_state(name: str, results: Seen, ejected: dict[str, str]) -> str:
     if name in ejected:
         return ejected[name]
-    return "avoided" if name in seen.avoided else "in service"
+    return "avoided" if name in results.avoided else "in service"
--- a/endivewind/commands/diff.py
+++ b/endivewind/commands/diff.py
@@ -1,10 +1,10 @@
-"""endivewind diff: what submitting a file would change.
+"""endivewind diff: shows what submitting a file would change.
 
-Objects that the file holds in an earlier state are shown as "kept": another
-operator has changed them since, and submit leaves them as they are. With
---base=FILE, the state that the file was edited from, an object that both
-have changed is shown as "refused" with both changes. Exit code 1 if
-anything differs, 0 if nothing does.
+An object that the file holds in an earlier state is shown as "kept": another
+operator has changed it since, and submit leaves it as it is. With
+--base=FILE, the file as it was before editing, an object that both operators
+changed is shown as "refused", with both changes. The exit code is 1 if
+anything differs and 0 otherwise.
 """
 
 from absl import flags
@@ -25,13 +25,13 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Prints each object that differs."""
+    """Prints each object that differs between file and platform."""
     if len(arguments) != 1:
         raise exceptions.UsageError(f"usage: endivewind {USAGE}")
 
-    async def work(platform: client.PlatformClient) -> int:
-        held = await submissions.current(platform)
-        steps = submissions.steps(arguments[0], held)
+    async def run(platform: client.PlatformClient) -> int:
+        stored = await submissions.current(platform)
+        steps = submissions.steps(arguments[0], stored)
         shown = [
             step for step in steps if step.action is not planning.Action.SAME
         ]
@@ -40,8 +40,8 @@
         ]
         options.show(
             [submissions.step_json(step) for step in shown],
-            "\n".join(lines) or "no difference",
+            "\n".join(lines) or "no differences",
         )
         return 1 if shown else 0
 
-    return running.loop(options.with_platform(work))
+    return running.loop(options.with_platform(run))
--- a/endivewind/commands/explain.py
+++ b/endivewind/commands/explain.py
@@ -1,9 +1,10 @@
-"""endivewind explain: what happened to one request, from logs of nodes.
+"""endivewind explain: traces one request through the logs of nodes.
 
-Give the logs of the nodes that may have had it, at best of all of them; each
-file is one node's, named after it, unless its lines begin with the node's
-name. Exit code 1 if no line tells of the request: it took one plain answer,
-or its entry's log is not among the files.
+Pass the logs of all nodes that may have handled the request, preferably of
+the whole fleet. Each file holds the log of the node it is named after, unless
+its lines begin with a node's name. The exit code is 1 if no line mentions the
+request: a request with a single ordinary response is not logged, or the log
+of its entry node is missing.
 """
 
 import collections.abc
@@ -26,20 +27,20 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Prints the request's life in order."""
+    """Prints the request's attempts and related events in order."""
     if len(arguments) < 2:
         raise exceptions.UsageError(f"usage: endivewind {USAGE}")
     request_id, *files = arguments
-    lines = [line for file in files for line in _read(file)]
-    story = explaining.explain(lines, request_id)
-    if story is None:
-        print(f"no line tells of request {request_id}", file=sys.stderr)
+    lines = [line for file in files for line in _read_lines(file)]
+    trace = explaining.explain(lines, request_id)
+    if trace is None:
+        print(f"no log line mentions request {request_id}", file=sys.stderr)
         return 1
-    options.show(_json(story), text(story))
+    options.show(_to_json(trace), text(trace))
     return 0
 
 
-def _read(file: str) -> collections.abc.Iterator[explaining.Line]:
+def _read_lines(file: str) -> collections.abc.Iterator[explaining.Line]:
     if file == "-":
         yield from explaining.parse(sys.stdin, "-")
         return
@@ -53,46 +54,47 @@
         ) from error
 
 
-def text(story: explaining.Story) -> str:
-    """The story for people."""
-    request = story.request
+def text(trace: explaining.Story) -> str:
+    """Formats the trace of a request for text output."""
+    request = trace.request
     fields = request.line.fields
-    kind = "must not repeat" if fields.get("once") else "may repeat"
+    retry_note = "must not repeat" if fields.get("once") else "may repeat"
     parts = [
         f"request {fields['request_id']} at {request.line.node}: "
-        f"service {fields.get('service')}, route {fields.get('prefix')}, {kind}",
-        f"came {_clock(request.start)}, ended {_clock(request.end)} after "
+        f"service {fields.get('service')}, route {fields.get('prefix')}, {retry_note}",
+        f"received {_format_time(request.start)}, ended {_format_time(request.end)} after "
         f"{fields['milliseconds']} ms: {fields.get('result')}",
-        _attempts(request),
+        _format_attempts(request),
     ]
-    for line in story.refusals:
+    for line in trace.refusals:
         parts.append(
-            f"told the caller: {line.fields.get('reason')} "
+            f"refusal sent to the caller: {line.fields.get('reason')} "
             f"({line.fields.get('outcome')}): {line.fields.get('detail')}"
         )
-    for call in story.calls:
-        parts.append(_call(call))
-    if story.beliefs:
-        parts.append("believed then:")
-        parts += [f"  {_belief(line)}" for line in story.beliefs]
+    for call in trace.calls:
+        parts.append(_format_call(call))
+    if trace.beliefs:
+        parts.append("target status at that time:")
+        parts += [f"  {_format_status(line)}" for line in trace.beliefs]
     parts += [
-        _other(target, attempts) for target, attempts in story.others.items()
+        _format_other_attempts(target, attempts)
+        for target, attempts in trace.others.items()
     ]
     return "\n".join(parts)
 
 
-def _attempts(request: explaining.Request) -> str:
+def _format_attempts(request: explaining.Request) -> str:
     if not request.attempts:
-        return "no target was asked: it was refused at its entry"
+        return "no target was tried: the request was refused at its entry node"
     return tables.table(
         ("AT", "TARGET", "HOME", "SUSPICION", "TOOK", "RESULT"),
         [
             (
-                f"+{_ms(item.start)} ms",
+                f"+{_milliseconds(item.start)} ms",
                 item.target,
                 item.home,
                 f"{item.suspicion:.2f}",
-                f"{_ms(item.duration)} ms",
+                f"{_milliseconds(item.duration)} ms",
                 item.result,
             )
             for item in request.attempts
@@ -100,69 +102,71 @@
     )
 
 
-def _call(call: explaining.Request) -> str:
+def _format_call(call: explaining.Request) -> str:
     fields = call.line.fields
-    moved = ""
+    clock_note = ""
     if call.clock_offset:
-        moved = f" (clock moved by {_ms(call.clock_offset)} ms)"
+        clock_note = f" (clock moved by {_milliseconds(call.clock_offset)} ms)"
     results = ", ".join(
         f"{item.target} {item.result}" for item in call.attempts
     )
     return (
-        f"its call {fields['request_id']} at {call.line.node}{moved}: "
-        f"{_clock(call.start)} to {_clock(call.end)}, service "
+        f"nested call {fields['request_id']} at {call.line.node}{clock_note}: "
+        f"{_format_time(call.start)} to {_format_time(call.end)}, service "
         f"{fields.get('service')}: {fields.get('result')} ({results})"
     )
 
 
-def _belief(line: explaining.Line) -> str:
+def _format_status(line: explaining.Line) -> str:
     details = ", ".join(
         f"{key}={value}"
         for key, value in line.fields.items()
         if key not in ("level", "logger")
     )
-    return f"{_clock(line.time)} {line.node}: {line.message}: {details}"
+    return f"{_format_time(line.time)} {line.node}: {line.message}: {details}"
 
 
-def _other(target: str, attempts: tuple[explaining.Attempt, ...]) -> str:
+def _format_other_attempts(
+    target: str, attempts: tuple[explaining.Attempt, ...]
+) -> str:
     if not attempts:
-        return f"no other request at {target} left a line around then"
+        return f"no other requests at {target} were logged around that time"
     failed = sum(not item.succeeded for item in attempts)
     return (
-        f"of {len(attempts)} other attempts at {target} that left a line "
-        f"around then, {failed} failed"
+        f"of {len(attempts)} other attempts at {target} logged around "
+        f"that time, {failed} failed"
     )
 
 
-def _clock(time: datetime.datetime) -> str:
+def _format_time(time: datetime.datetime) -> str:
     return time.strftime("%H:%M:%S.%f")[:-3]
 
 
-def _ms(span: datetime.timedelta) -> int:
+def _milliseconds(span: datetime.timedelta) -> int:
     return span // _MILLISECOND
 
 
-def _json(story: explaining.Story) -> dict[str, object]:
+def _to_json(trace: explaining.Story) -> dict[str, object]:
     return {
-        "request": story.request.line.fields,
-        "entry": story.request.line.node,
-        "came": story.request.start.isoformat(),
-        "ended": story.request.end.isoformat(),
-        "refusals": [line.fields for line in story.refusals],
+        "request": trace.request.line.fields,
+        "entry": trace.request.line.node,
+        "came": trace.request.start.isoformat(),
+        "ended": trace.request.end.isoformat(),
+        "refusals": [line.fields for line in trace.refusals],
         "calls": [
             {
                 "node": call.line.node,
-                "clock_offset_ms": _ms(call.clock_offset),
+                "clock_offset_ms": _milliseconds(call.clock_offset),
                 **call.line.fields,
             }
-            for call in story.calls
+            for call in trace.calls
         ],
         "believed": [
             {"node": line.node, "message": line.message, **line.fields}
-            for line in story.beliefs
+            for line in trace.beliefs
         ],
         "others": {
             target: [item.result for item in attempts]
-            for target, attempts in story.others.items()
+            for target, attempts in trace.others.items()
         },
     }
--- a/endivewind/commands/get.py
+++ b/endivewind/commands/get.py
@@ -16,12 +16,12 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Prints the object with its version."""
+    """Prints the configuration object with its version."""
     if len(arguments) != 2:
         raise exceptions.UsageError(f"usage: endivewind {USAGE}")
     kind, name = arguments
 
-    async def work(platform: client.PlatformClient) -> int:
+    async def run(platform: client.PlatformClient) -> int:
         found = await platform.get(kind, name)
         if found.is_error():
             raise exceptions.UnavailableError(f"{kind}/{name}: {found.error}")
@@ -29,4 +29,4 @@
         options.show(value, json.dumps(value, indent=2))
         return 0
 
-    return running.loop(options.with_platform(work))
+    return running.loop(options.with_platform(run))
--- a/endivewind/commands/main.py
+++ b/endivewind/commands/main.py
@@ -1,4 +1,4 @@
-"""The binary endivewind: one module for each command beside this one."""
+"""The endivewind binary; each command is a module of this package."""
 
 from endivewind.commands import running
 
@@ -16,7 +16,7 @@
 
 BINARY = running.Binary(
     name="endivewind",
-    summary="endivewind: configures and shows a fleet of endivewind nodes.",
+    summary="endivewind: configures and inspects a fleet of endivewind nodes.",
     prefix="endivewind.commands.",
     commands=COMMANDS,
 )
--- a/endivewind/commands/node.py
+++ b/endivewind/commands/node.py
@@ -1,9 +1,9 @@
-"""endivewind-node: the entry for callers and the home of targets.
+"""endivewind-node: runs a node, which serves callers and manages targets.
 
-Runs until SIGTERM or SIGINT, which begin a planned stop: work in flight ends
-before the process does. SIGHUP, or a change of the settings file, makes it
-take new settings. Logs are JSON lines on standard output; the line
-"listening" names the addresses that were bound.
+SIGTERM or SIGINT starts a graceful shutdown: requests in flight complete
+before the process exits. SIGHUP, or a change of the settings file, reloads
+the settings. Logs are JSON lines on standard output; the message "listening"
+lists the bound addresses.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 log = logging.getLogger(__name__)
 
 _SETTINGS = flags.DEFINE_string(
-    "settings", None, "YAML file with the settings of this node."
+    "settings", None, "YAML file with this node's settings."
 )
 
 
@@ -39,31 +39,31 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Runs a node until a planned stop."""
+    """Runs a node until it is told to shut down."""
     if arguments or _SETTINGS.value is None:
         raise exceptions.UsageError(f"usage: {USAGE}")
     loaded = base.load_file(_SETTINGS.value, settings.NodeSettings)
     if loaded.is_error():
         raise exceptions.InvalidFileError(loaded.error)
-    return running.loop(_run(_SETTINGS.value, loaded.ok.model))
+    return running.loop(_run_node(_SETTINGS.value, loaded.ok.model))
 
 
-async def _run(path: str, config: settings.NodeSettings) -> int:
-    logs.configure(config.log_level, never_block=True)
-    member = node.Node.from_settings(
-        config, clocks.SystemClock(), random.Random()
+async def _run_node(path: str, node_settings: settings.NodeSettings) -> int:
+    logs.configure(node_settings.log_level, never_block=True)
+    running_node = node.Node.from_settings(
+        node_settings, clocks.SystemClock(), random.Random()
     )
     try:
-        addresses = await member.start()
+        addresses = await running_node.start()
     except OSError as error:
         raise exceptions.EndivewindError(f"can't listen: {error}") from error
     log.info("listening", extra=logs.fields(**dataclasses.asdict(addresses)))
-    follower = following.SettingsFollower(path, member.reload)
-    running.on_hangup(follower.look_now)
-    following_task = asyncio.create_task(follower.run())
+    reloader = following.SettingsFollower(path, running_node.reload)
+    running.on_hangup(reloader.look_now)
+    reload_task = asyncio.create_task(reloader.run())
     await running.until_signal()
-    following_task.cancel()
-    await member.stop()
+    reload_task.cancel()
+    await running_node.stop()
     log.info("stopped")
     return 0
 
--- a/endivewind/commands/options.py
+++ b/endivewind/commands/options.py
@@ -1,4 +1,4 @@
-"""Flags and helpers that several commands share."""
+"""Flags, file loading and output shared by several commands."""
 
 import collections.abc
 import json
@@ -18,7 +18,7 @@
     "platform", "", "URL of the platform's object API."
 )
 OPERATORS = flags.DEFINE_list(
-    "operators", [], "Operators' addresses of the nodes to ask."
+    "operators", [], "Operator addresses of the nodes to query."
 )
 FORMAT = flags.DEFINE_enum("format", "text", ["text", "json"], "Output format.")
 
@@ -32,9 +32,16 @@
 
 
 async def with_platform(work: PlatformWork) -> int:
-    """Runs work with a client of the platform that --platform names."""
+    """Runs a command with a client of the platform given by --platform.
+
+    Args:
+      work: takes the client and returns the exit code.
+
+    Raises:
+      UsageError: --platform is missing or is not an HTTP URL.
+    """
     if not PLATFORM.value:
-        raise exceptions.UsageError("needs --platform=URL")
+        raise exceptions.UsageError("--platform=URL is required")
     if not PLATFORM.value.startswith(("http://", "https://")):
         raise exceptions.UsageError(
             f"--platform={PLATFORM.value}: must start with http:// or https://"
@@ -44,7 +51,11 @@
 
 
 def load(file: str, model: type[ModelT]) -> base.Loaded[ModelT]:
-    """Reads a YAML file into a model, "-" for standard input."""
+    """Loads a YAML file, or standard input for "-", into a model.
+
+    Raises:
+      InvalidFileError: the file can't be read or is invalid.
+    """
     if file == "-":
         loaded = base.load_bytes(sys.stdin.buffer.read(), STDIN, model)
     else:
@@ -55,7 +66,7 @@
 
 
 def load_configuration(file: str) -> objects.Configuration:
-    """Reads a configuration file; its warnings go to standard error."""
+    """Loads a configuration file and prints its warnings to stderr."""
     loaded = load(file, objects.Configuration)
     for warning in loaded.warnings:
         print(warning, file=sys.stderr)
@@ -63,5 +74,10 @@
 
 
 def show(value: object, text: str) -> None:
-    """Prints the value in the format that --format names."""
+    """Prints a result in the format chosen by --format.
+
+    Args:
+      value: the result for JSON output.
+      text: the result for text output.
+    """
     print(json.dumps(value, default=str) if FORMAT.value == "json" else text)
--- a/endivewind/commands/running.py
+++ b/endivewind/commands/running.py
@@ -1,4 +1,8 @@
-"""What every binary does around its work: flags, help, event loop, errors."""
+"""Shared parts of the binaries: flags, help, event loop and error output.
+
+A binary is either a `Binary`, with one module for each command, or a single
+command started by `run_single_command`.
+"""
 
 import asyncio
 import collections.abc
@@ -16,16 +20,16 @@
 from endivewind import names
 
 EXIT_CODES = """exit codes:
-  0  done
-  1  failed: what was asked for did not come about
-  2  the command line or an input file is wrong; nothing was done
-  3  the platform or a node did not answer"""
+  0  success
+  1  the command failed
+  2  the command line or an input file is invalid; nothing was changed
+  3  the platform or a node did not respond"""
 
 _HELP = frozenset({"-h", "-help", "--help"})
 
 
 class Command(Protocol):
-    """What a command's module offers; its docstring is the help text."""
+    """Interface of a command's module; its docstring is the help text."""
 
     USAGE: str
     __doc__: str | None
@@ -39,13 +43,13 @@
 class Binary:
     """A console script with one module for each command.
 
-    A command's module is imported only when it is asked for, so that no
-    command takes the flags of another.
+    A command's module is imported only when it is needed, so that a command
+    does not accept the flags of another one.
 
     Attributes:
-      name: as it is called.
+      name: name of the script.
       summary: one sentence for --help.
-      prefix: module path of a command without the command's name.
+      module_prefix: module path of the commands, up to the command's name.
       commands: names of the commands.
     """
 
@@ -59,74 +63,85 @@
         sys.exit(self.main(sys.argv[1:]))
 
     def main(self, arguments: list[str]) -> int:
-        """Runs the command that the arguments name; returns the exit code."""
-        return guarded(lambda: self._main(arguments))
+        """Runs the command named in the arguments; returns the exit code."""
+        return guarded(lambda: self._dispatch(arguments))
 
-    def _main(self, arguments: list[str]) -> int:
+    def _dispatch(self, arguments: list[str]) -> int:
         command = next(
             (item for item in arguments if not item.startswith("-")), None
         )
         if command is None and _HELP & set(arguments):
-            print(self._help())
+            print(self._format_overview())
             return 0
         if command is None:
-            raise exceptions.UsageError("no command\n" + self._usage())
+            raise exceptions.UsageError(
+                "no command given\n" + self._usage_line()
+            )
         if command not in self.commands:
             hint = names.suggest(command, self.commands)
             raise exceptions.UsageError(
-                f"unknown command {command!r}{hint}\n{self._usage()}"
+                f"unknown command {command!r}{hint}\n{self._usage_line()}"
             )
-        module = self._module(command)
+        module = self._load_module(command)
         if _HELP & set(arguments):
             print(help_text(f"{self.name} {module.USAGE}", module))
             return 0
-        rest = parse(f"{self.name} {command}", arguments)
-        rest.remove(command)
-        return module.main(rest)
+        remaining = parse(f"{self.name} {command}", arguments)
+        remaining.remove(command)
+        return module.main(remaining)
 
-    def _module(self, command: str) -> Command:
+    def _load_module(self, command: str) -> Command:
         found: Command = importlib.import_module(self.prefix + command)
         return found
 
-    def _usage(self) -> str:
+    def _usage_line(self) -> str:
         commands = "|".join(self.commands)
-        return f"usage: {self.name} {commands} ... (--help tells more)"
+        return f"usage: {self.name} {commands} ... (see --help)"
 
-    def _help(self) -> str:
+    def _format_overview(self) -> str:
         lines = [self.summary, "", "commands:"]
         for command in self.commands:
-            module = self._module(command)
+            module = self._load_module(command)
             lines.append(f"  {self.name} {module.USAGE}")
-            lines.append(f"      {_summary(module)}")
+            lines.append(f"      {_summary_line(module)}")
         lines.append("")
-        lines.append(f"{self.name} COMMAND --help shows a command's flags.")
+        lines.append(
+            f"{self.name} COMMAND --help lists the flags of a command."
+        )
         return "\n".join([*lines, "", EXIT_CODES])
 
 
 def single(usage: str, module: Command) -> None:
-    """Entry point of a binary whose flags are all in one module."""
+    """Entry point of a binary that consists of a single command."""
     arguments = sys.argv[1:]
 
-    def work() -> int:
+    def run() -> int:
         if _HELP & set(arguments):
             print(help_text(usage, module))
             return 0
         return module.main(parse(usage.split()[0], arguments))
 
-    sys.exit(guarded(work))
+    sys.exit(guarded(run))
 
 
-def guarded(work: collections.abc.Callable[[], int]) -> int:
-    """Runs work; an EndivewindError prints without a traceback."""
+def guarded(action: collections.abc.Callable[[], int]) -> int:
+    """Runs an action and returns the exit code.
+
+    An EndivewindError is printed without a traceback.
+    """
     try:
-        return work()
+        return action()
     except exceptions.EndivewindError as error:
-        _report(error)
+        _print_error(error)
         return error.exit_code
 
 
 def parse(name: str, arguments: list[str]) -> list[str]:
-    """Sets the flags and returns the arguments that are none."""
+    """Sets the flags and returns the positional arguments.
+
+    Raises:
+      UsageError: a flag is unknown or its value is not allowed.
+    """
     try:
         return list(flags.FLAGS([name, *arguments]))[1:]
     except flags.Error as error:
@@ -137,7 +152,7 @@
 
 
 def help_text(usage: str, module: Command) -> str:
-    """Usage, description, flags and exit codes of a command."""
+    """Returns usage, description, flags and exit codes of a command."""
     lines = [f"usage: {usage}", "", (module.__doc__ or "").strip()]
     key_flags = flags.FLAGS.get_key_flags_for_module(module.__name__)
     if key_flags:
@@ -148,31 +163,31 @@
     return "\n".join([*lines, "", EXIT_CODES])
 
 
-def loop(work: collections.abc.Coroutine[object, object, int]) -> int:
-    """Runs a coroutine on uvloop."""
-    return uvloop.run(work)
+def loop(coroutine: collections.abc.Coroutine[object, object, int]) -> int:
+    """Runs a coroutine on uvloop and returns its exit code."""
+    return uvloop.run(coroutine)
 
 
 async def until_signal() -> None:
-    """Waits for SIGTERM or SIGINT: a planned stop."""
+    """Waits for SIGTERM or SIGINT, which start a graceful shutdown."""
     stop = asyncio.Event()
-    running = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        running.add_signal_handler(number, stop.set)
+    event_loop = asyncio.get_running_loop()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        event_loop.add_signal_handler(signal_number, stop.set)
     await stop.wait()
 
 
 def on_hangup(call: collections.abc.Callable[[], None]) -> None:
-    """Calls back on SIGHUP, which would else end the process."""
+    """Calls back on SIGHUP, which by default ends the process."""
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, call)
 
 
-def _summary(module: Command) -> str:
+def _summary_line(module: Command) -> str:
     first = (module.__doc__ or "").strip().splitlines()[0]
     return first.partition(": ")[2] or first
 
 
-def _report(error: exceptions.EndivewindError) -> None:
+def _print_error(error: exceptions.EndivewindError) -> None:
     if "format" in flags.FLAGS and flags.FLAGS["format"].value == "json":
         value = {
             "error": str(error),
--- a/endivewind/commands/status.py
+++ b/endivewind/commands/status.py
@@ -1,6 +1,6 @@
-"""endivewind status: shows nodes, versions in force and targets.
+"""endivewind status: shows nodes, their configuration versions and targets.
 
-Asks each node at its operators' address. A node that does not answer is
+Queries each node at its operator address. Nodes that do not respond are
 listed with the reason, and the exit code is then 3.
 """
 
@@ -21,43 +21,47 @@
 flags.declare_key_flag("operators")
 flags.declare_key_flag("format")
 
-_TIMEOUT_SECONDS = 3
-_UNREACHABLE = exceptions.UnavailableError.exit_code
+_QUERY_TIMEOUT_SECONDS = 3
+_UNAVAILABLE_EXIT_CODE = exceptions.UnavailableError.exit_code
 
 Status = dict[str, Any]
 
 
 def main(arguments: list[str]) -> int:
-    """Prints the status of every node asked."""
+    """Prints the status of each node given by --operators."""
     if arguments or not options.OPERATORS.value:
         raise exceptions.UsageError(f"usage: endivewind {USAGE}")
-    return running.loop(_status(options.OPERATORS.value))
+    return running.loop(_print_status(options.OPERATORS.value))
 
 
-async def _status(addresses: list[str]) -> int:
-    timeout = aiohttp.ClientTimeout(total=_TIMEOUT_SECONDS)
+async def _print_status(addresses: list[str]) -> int:
+    timeout = aiohttp.ClientTimeout(total=_QUERY_TIMEOUT_SECONDS)
     async with aiohttp.ClientSession(timeout=timeout) as session:
-        found = await asyncio.gather(
-            *(_ask(session, address) for address in addresses)
+        statuses = await asyncio.gather(
+            *(_query_node(session, address) for address in addresses)
         )
-    options.show(found, text(found))
-    return _UNREACHABLE if any("error" in item for item in found) else 0
+    options.show(statuses, text(statuses))
+    return (
+        _UNAVAILABLE_EXIT_CODE
+        if any("error" in item for item in statuses)
+        else 0
+    )
 
 
-async def _ask(session: aiohttp.ClientSession, address: str) -> Status:
+async def _query_node(session: aiohttp.ClientSession, address: str) -> Status:
     try:
         async with session.get(f"http://{address}/v1/status") as response:
             response.raise_for_status()
             status: Status = await response.json()
             return {"operators": address, **status}
     except (TimeoutError, aiohttp.ClientError, ValueError) as error:
-        reason = str(error) or "no answer in time"
+        reason = str(error) or "timed out"
         return {"operators": address, "error": reason}
 
 
-def text(found: collections.abc.Sequence[Status]) -> str:
-    """The status of nodes for people."""
-    answered = [item for item in found if "error" not in item]
+def text(statuses: collections.abc.Sequence[Status]) -> str:
+    """Formats the status of nodes for text output."""
+    responding = [item for item in statuses if "error" not in item]
     lines = [
         tables.table(
             ("NODE", "VERSION", "IN FLIGHT", "KNOWS NODES", "KNOWS TARGETS"),
@@ -69,36 +73,40 @@
                     len(item["nodes"]),
                     len(item["targets"]),
                 )
-                for item in answered
+                for item in responding
             ],
         )
     ]
-    targets = _own_targets(answered)
+    targets = _merge_targets(responding)
     if targets:
-        lines += ["", _targets_table(targets)]
+        lines += ["", _format_targets(targets)]
     lines += [
-        f"{item['operators']} did not answer: {item['error']}"
-        for item in found
+        f"{item['operators']} did not respond: {item['error']}"
+        for item in statuses
         if "error" in item
     ]
     return "\n".join(lines)
 
 
-def _own_targets(
-    answered: collections.abc.Sequence[Status],
+def _merge_targets(
+    responding: collections.abc.Sequence[Status],
 ) -> list[Status]:
-    """Each target once, as its home tells of it where the home was asked."""
-    chosen: dict[str, Status] = {}
-    for item in answered:
+    """Returns each target once, sorted by id.
+
+    A target's home node has its current state, so the home's entry is
+    preferred where the home was queried.
+    """
+    targets_by_id: dict[str, Status] = {}
+    for item in responding:
         for target in item["targets"]:
             if target["home"] == item["node"]:
-                chosen[target["id"]] = target
+                targets_by_id[target["id"]] = target
             else:
-                chosen.setdefault(target["id"], target)
-    return [chosen[name] for name in sorted(chosen)]
+                targets_by_id.setdefault(target["id"], target)
+    return [targets_by_id[name] for name in sorted(targets_by_id)]
 
 
-def _targets_table(targets: list[Status]) -> str:
+def _format_targets(targets: list[Status]) -> str:
     return tables.table(
         ("TARGET", "SERVICE", "HOME", "ZONE", "SLOTS", "STATE", "HEALTH")
         + ("REASON",),
--- a/endivewind/commands/submissions.py
+++ b/endivewind/commands/submissions.py
@@ -1,4 +1,8 @@
-"""What submit and diff share: reading the platform and showing steps."""
+"""Reads the platform's configuration and plans and formats submissions.
+
+Used by the commands that read or write configuration objects: submit, diff,
+watch and audit.
+"""
 
 import asyncio
 import collections.abc
@@ -18,9 +22,7 @@
 from endivewind.platform import client
 from endivewind.platform import messages
 
-BASE = flags.DEFINE_string(
-    "base", "", "File that was edited, as it was before."
-)
+BASE = flags.DEFINE_string("base", "", "The file as it was before editing.")
 REMOVE = flags.DEFINE_list("remove", [], "Objects to remove, as KIND/NAME.")
 READ_ATTEMPTS = 5
 
@@ -34,41 +36,49 @@
 
 
 async def read(call: Read[ResultT], what: str) -> ResultT:
-    """Reads from the platform, again where that may help."""
+    """Reads from the platform, with backoff between attempts.
+
+    Args:
+      call: makes one attempt.
+      what: names what is read, for the error message.
+
+    Raises:
+      UnavailableError: all attempts failed.
+    """
     backoff = retries.Backoff(random.Random())
     problem = ""
     for _ in range(READ_ATTEMPTS):
-        found = await call()
-        if found.is_ok():
-            return found.ok
-        problem = f"{found.error.failure.value}: {found.error.detail}"
-        await asyncio.sleep(backoff.next_seconds(found.error))
+        result = await call()
+        if result.is_ok():
+            return result.ok
+        problem = f"{result.error.failure.value}: {result.error.detail}"
+        await asyncio.sleep(backoff.next_seconds(result.error))
     raise exceptions.UnavailableError(f"{what}: {problem}")
 
 
 async def current(
     platform: client.PlatformClient,
 ) -> dict[store.Key, planning.Current]:
-    """Every configuration object of the platform."""
-    held: dict[store.Key, planning.Current] = {}
+    """Returns all configuration objects of the platform."""
+    stored: dict[store.Key, planning.Current] = {}
     for kind in store.KINDS:
         listing = await listed(platform, kind)
         for item in listing.objects:
-            held[store.Key(item.kind, item.name)] = current_of(item)
-    return held
+            stored[store.Key(item.kind, item.name)] = current_of(item)
+    return stored
 
 
 async def listed(
     platform: client.PlatformClient, kind: str
 ) -> messages.Listing:
-    """Every object of one kind of the configuration."""
+    """Lists the configuration objects of one kind."""
     return await read(
         lambda: platform.list(kind), "the platform's configuration"
     )
 
 
 def current_of(stored: messages.StoredObject) -> planning.Current:
-    """An object as the platform holds it."""
+    """Decodes an object; its envelope is None if it can't be read."""
     try:
         envelope = store.Envelope.model_validate(stored.value)
     except pydantic.ValidationError:
@@ -78,33 +88,39 @@
 
 def steps(
     file: str,
-    held: collections.abc.Mapping[store.Key, planning.Current],
+    stored: collections.abc.Mapping[store.Key, planning.Current],
 ) -> list[planning.Step]:
-    """Plans the submission of a file with --base and --remove."""
-    wanted = dict(planning.specs(options.load_configuration(file)))
+    """Plans the submission of a file, using --base and --remove.
+
+    Raises:
+      UsageError: an object of --remove is invalid or is also in the file.
+    """
+    specs = dict(planning.specs(options.load_configuration(file)))
     for text in REMOVE.value:
-        key = _key(text)
-        if key in wanted:
-            raise exceptions.UsageError(f"{key} is in {file} and in --remove")
-        wanted[key] = None
-    origin = None
+        key = _parse_key(text)
+        if key in specs:
+            raise exceptions.UsageError(
+                f"{key} is both in {file} and in --remove"
+            )
+        specs[key] = None
+    base_specs = None
     if BASE.value:
-        origin = planning.specs(options.load_configuration(BASE.value))
-    return planning.plan(wanted, held, origin)
+        base_specs = planning.specs(options.load_configuration(BASE.value))
+    return planning.plan(specs, stored, base_specs)
 
 
-def _key(text: str) -> store.Key:
-    kind, slash, name = text.partition("/")
-    if kind not in store.KINDS or not slash or not name:
+def _parse_key(text: str) -> store.Key:
+    kind, separator, name = text.partition("/")
+    if kind not in store.KINDS or not separator or not name:
         kinds = ", ".join(store.KINDS)
         raise exceptions.UsageError(
-            f"--remove={text}: must be KIND/NAME, with one of {kinds}"
+            f"--remove={text}: must be KIND/NAME, where KIND is one of {kinds}"
         )
     return store.Key(kind, name)
 
 
 def step_json(step: planning.Step) -> dict[str, Any]:
-    """A step as JSON."""
+    """Returns a step of the plan as JSON values."""
     return {
         "object": str(step.key),
         "action": step.action.value,
@@ -122,18 +138,18 @@
 
 
 def step_lines(step: planning.Step) -> list[str]:
-    """A step for people."""
+    """Formats a step of the plan for text output."""
     verb = "remove" if step.spec is None else "write"
-    by = ""
-    if step.current.envelope and step.action in _OTHERS:
+    change_note = ""
+    if step.current.envelope and step.action in _CHANGED_BY_OTHERS:
         envelope = step.current.envelope
-        by = (
+        change_note = (
             f", changed by {envelope.author or 'unknown'} at "
             f"{envelope.time or 'an unknown time'} "
             f"(operation {envelope.operation})"
         )
     action = verb if step.action is planning.Action.WRITE else step.action.value
-    lines = [f"{step.key}: {action}{by}"]
+    lines = [f"{step.key}: {action}{change_note}"]
     if step.action is planning.Action.REFUSED:
         lines += [f"    theirs  {item}" for item in step.theirs]
         lines += [f"    yours   {item}" for item in step.differences]
@@ -142,7 +158,7 @@
     return lines
 
 
-_OTHERS = (planning.Action.KEPT, planning.Action.REFUSED)
+_CHANGED_BY_OTHERS = (planning.Action.KEPT, planning.Action.REFUSED)
 
 
 def _difference_json(item: planning.Difference) -> dict[str, Any]:
--- a/endivewind/commands/tables.py
+++ b/endivewind/commands/tables.py
@@ -1,4 +1,4 @@
-"""Plain text tables for people."""
+"""Plain-text tables for terminal output."""
 
 import collections.abc
 
@@ -7,7 +7,7 @@
     titles: collections.abc.Sequence[str],
     rows: collections.abc.Iterable[collections.abc.Sequence[object]],
 ) -> str:
-    """Rows in columns as wide as their widest cell."""
+    """Formats rows in columns, each as wide as its widest cell."""
     cells = [list(titles), *([str(cell) for cell in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     return "\n".join(
--- a/endivewind/commands/validate.py
+++ b/endivewind/commands/validate.py
@@ -1,9 +1,9 @@
-"""endivewind validate: checks a file and reports everything it finds.
+"""endivewind validate: checks a file and reports all errors and warnings.
 
-FILE is a configuration as `endivewind submit` takes it, or with
---kind=settings the settings of a node; "-" is standard input. Each finding
-names the file, the line, the path of the key, the value seen and what is
-allowed. Warnings leave the exit code at 0 unless --strict is given.
+FILE is a configuration as accepted by `endivewind submit`, or the settings of
+a node with --kind=settings; "-" is standard input. Each finding gives the
+file, the line, the path of the key, the actual value and the allowed ones.
+Warnings do not change the exit code unless --strict is given.
 """
 
 from absl import flags
@@ -22,14 +22,14 @@
     "settings": settings.NodeSettings,
 }
 _KIND = flags.DEFINE_enum(
-    "kind", "configuration", list(_KINDS), "What the file holds."
+    "kind", "configuration", list(_KINDS), "Type of the file."
 )
 _STRICT = flags.DEFINE_bool("strict", False, "Treat warnings as errors.")
 flags.declare_key_flag("format")
 
 
 def main(arguments: list[str]) -> int:
-    """Prints "valid", or every finding with its place."""
+    """Prints that the file is valid, or every finding with its location."""
     if len(arguments) != 1:
         raise exceptions.UsageError(f"usage: endivewind {USAGE}")
     file = arguments[0]
@@ -39,11 +39,11 @@
         raise exceptions.InvalidFileError(warnings)
     value = {"valid": True, "findings": [item.as_json() for item in warnings]}
     name = options.STDIN if file == "-" else file
-    options.show(value, _text(name, warnings))
+    options.show(value, _format_findings(name, warnings))
     return 0
 
 
-def _text(file: str, warnings: tuple[findings.Finding, ...]) -> str:
+def _format_findings(file: str, warnings: tuple[findings.Finding, ...]) -> str:
     lines = [str(item) for item in warnings]
     verdict = f"valid, {len(warnings)} warnings" if warnings else "valid"
     return "\n".join([*lines, f"{file}: {verdict}"])
--- a/endivewind/commands/watch.py
+++ b/endivewind/commands/watch.py
@@ -1,7 +1,7 @@
-"""endivewind watch: prints each change of the configuration as it comes.
+"""endivewind watch: prints each configuration change as it is made.
 
-First prints nothing of what is there, then one line (or JSON object) for
-each object written, until interrupted or --count changes were seen.
+Existing objects are not printed. Prints one line (or JSON object) for each
+object written, until interrupted or until --count changes were printed.
 """
 
 import asyncio
@@ -20,81 +20,81 @@
 USAGE = "watch --platform=URL [--count=N]"
 
 _COUNT = flags.DEFINE_integer(
-    "count", 0, "Ends after so many changes; 0 goes on.", lower_bound=0
+    "count", 0, "Exit after this many changes; 0 for no limit.", lower_bound=0
 )
 flags.declare_key_flag("platform")
 flags.declare_key_flag("format")
 
 
 def main(arguments: list[str]) -> int:
-    """Prints changes."""
+    """Prints changes of the configuration."""
     if arguments:
         raise exceptions.UsageError(f"usage: endivewind {USAGE}")
-    return running.loop(options.with_platform(_watch))
+    return running.loop(options.with_platform(_watch_all))
 
 
-async def _watch(platform: client.PlatformClient) -> int:
-    """Follows every kind in a task of its own until enough was seen."""
-    enough = asyncio.Event()
-    left = _Left(_COUNT.value, enough)
-    follows = [
-        asyncio.create_task(_follow(platform, kind, left))
+async def _watch_all(platform: client.PlatformClient) -> int:
+    """Watches each kind in its own task until the limit is reached."""
+    limit_reached = asyncio.Event()
+    printer = _ChangePrinter(_COUNT.value, limit_reached)
+    watch_tasks = [
+        asyncio.create_task(_watch_kind(platform, kind, printer))
         for kind in store.KINDS
     ]
-    tasks = [asyncio.create_task(enough.wait()), *follows]
-    ended, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+    tasks = [asyncio.create_task(limit_reached.wait()), *watch_tasks]
+    done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     for task in tasks:
         task.cancel()
-    for task in ended:
+    for task in done:
         task.result()
     return 0
 
 
-class _Left:
-    """Counts down the changes that are still to be shown."""
+class _ChangePrinter:
+    """Prints changes up to a limit; a count of 0 means no limit."""
 
-    def __init__(self, count: int, enough: asyncio.Event) -> None:
-        self._count = count
-        self._enough = enough
+    def __init__(self, count: int, limit_reached: asyncio.Event) -> None:
+        self._remaining = count
+        self._limit_reached = limit_reached
 
-    def show(self, item: messages.StoredObject) -> None:
-        """Prints one change, unless enough were printed."""
-        if self._enough.is_set():
+    def print_change(self, item: messages.StoredObject) -> None:
+        """Prints a change, unless the limit has been reached."""
+        if self._limit_reached.is_set():
             return
-        _show(item)
-        self._count -= 1
-        if not self._count:
-            self._enough.set()
+        _print_change(item)
+        self._remaining -= 1
+        if not self._remaining:
+            self._limit_reached.set()
 
 
-async def _follow(
-    platform: client.PlatformClient, kind: str, left: _Left
+async def _watch_kind(
+    platform: client.PlatformClient, kind: str, printer: _ChangePrinter
 ) -> None:
     revision = (await submissions.listed(platform, kind)).revision
     while True:
         found = await platform.watch(kind, revision)
         if found.is_ok():
             for item in found.ok.objects:
-                left.show(item)
+                printer.print_change(item)
             revision = found.ok.revision
             continue
-        # A listing waits and tries again, as long as the platform is away.
+        # Listing is retried with backoff while the platform is unavailable.
         listing = await submissions.listed(platform, kind)
         if found.error.failure is messages.Failure.COMPACTED:
-            print("# changes may be missing here", flush=True)
+            print("# some changes may be missing here", flush=True)
             revision = listing.revision
 
 
-def _show(item: messages.StoredObject) -> None:
-    held = submissions.current_of(item)
-    envelope = held.envelope
+def _print_change(item: messages.StoredObject) -> None:
+    stored = submissions.current_of(item)
+    envelope = stored.envelope
     if envelope is None:
-        line = f"{item.kind}/{item.name}: deleted or written past submit"
+        line = f"{item.kind}/{item.name}: deleted, or not written by submit"
     else:
         verb = "removed" if envelope.spec is None else "written"
         line = (
             f"{envelope.time} {item.kind}/{item.name}: {verb} at version "
-            f"{held.version} by {envelope.author}, operation "
+            f"{stored.version} by {envelope.author}, operation "
             f"{envelope.operation}"
         )
     if options.FORMAT.value == "json":
--- a/endivewind/nodes/chunks.py
+++ b/endivewind/nodes/chunks.py
@@ -1,4 +1,4 @@
-"""Bodies on a link: sends one in chunks, at the pace of the other end."""
+"""Sends a body over a link in chunks, with backpressure from the receiver."""
 
 import asyncio
 import collections.abc
@@ -8,21 +8,21 @@
 
 async def send(
     writer: asyncio.StreamWriter,
-    number: int,
+    exchange_id: int,
     parts: collections.abc.AsyncIterator[bytes],
 ) -> int:
-    """Sends all parts of an exchange's body, and its end; returns the bytes."""
+    """Sends an exchange's body and its end; returns the encoded size in bytes."""
     size = 0
     async for data in parts:
-        size += _write_chunk(writer, number, data, last=False)
+        size += _write_chunk(writer, exchange_id, data, last=False)
         await writer.drain()
-    return size + _write_chunk(writer, number, b"", last=True)
+    return size + _write_chunk(writer, exchange_id, b"", last=True)
 
 
 def _write_chunk(
-    writer: asyncio.StreamWriter, number: int, data: bytes, *, last: bool
+    writer: asyncio.StreamWriter, exchange_id: int, data: bytes, *, last: bool
 ) -> int:
-    chunk = codec.messages.BodyChunk(exchange=number, data=data, last=last)
+    chunk = codec.messages.BodyChunk(exchange=exchange_id, data=data, last=last)
     encoded = codec.encode_frame(codec.messages.Frame(chunk=chunk))
     writer.write(encoded)
     return len(encoded)
--- a/endivewind/tests/commands/demo_tests.py
+++ b/endivewind/tests/commands/demo_tests.py
@@ -1,4 +1,4 @@
-"""The demo, run whole in one process of its own."""
+"""Tests of the demo, run in a separate process."""
 
 import json
 import subprocess
@@ -9,9 +9,9 @@
 
 
 class DemoTest(unittest.TestCase):
-    """`endivewind demo` shows work going on while one target fails gray."""
+    """The demo keeps serving requests while one target has a gray failure."""
 
-    def test_every_caller_is_told_and_counted(self):
+    def test_every_request_has_a_known_outcome(self):
         code = "from endivewind.commands import main; main.run()"
         child = subprocess.run(
             [sys.executable, "-c", code, "demo", "--duration=2"]
@@ -22,13 +22,19 @@
         )
 
         value = json.loads(child.stdout)
-        seen = value["callers"]
-        counted = seen["whole"] + seen["failed"] + sum(seen["refused"].values())
-        self.assertEqual(200, counted, child.stderr)
-        self.assertEqual([], [k for k in seen["refused"] if "not-run" not in k])
+        callers = value["callers"]
+        total = (
+            callers["whole"]
+            + callers["failed"]
+            + sum(callers["refused"].values())
+        )
+        self.assertEqual(200, total, child.stderr)
+        self.assertEqual(
+            [], [k for k in callers["refused"] if "not-run" not in k]
+        )
         self.assertLessEqual(set(value["ejected"]), {"riders-3"})
-        without_work = {*value["ejected"], *value["avoided"]}
-        self.assertEqual({"riders-3"}, without_work, child.stdout)
+        without_traffic = {*value["ejected"], *value["avoided"]}
+        self.assertEqual({"riders-3"}, without_traffic, child.stdout)
         workspace = value["workspace"]
         refused = (workspace["without_key"], workspace["revoked"])
         self.assertEqual((401, 401), refused, child.stdout)
@@ -36,10 +42,10 @@
         self.assertGreater(workspace["over_quota"], 0, child.stdout)
         self.assertEqual(0, child.returncode, child.stderr)
 
-    def test_text_names_the_ejected(self):
-        seen = demo.Seen(whole=3, failed=2, first_half_failed=2)
+    def test_report_lists_ejected_targets(self):
+        callers = demo.Seen(whole=3, failed=2, first_half_failed=2)
 
-        shown = demo.text(seen, {"riders-3": "errors"})
+        shown = demo.text(callers, {"riders-3": "errors"})
 
         self.assertIn("Ejected: riders-3", shown)
-        self.assertIn("failed answers, second half  0", shown)
+        self.assertIn("failed responses, second half  0", shown)
--- a/endivewind/tests/commands/node_tests.py
+++ b/endivewind/tests/commands/node_tests.py
@@ -1,4 +1,4 @@
-"""Starting a node that can't start: a message, no traceback."""
+"""Tests that a failed start of a node gives an error without traceback."""
 
 import pathlib
 import socket
@@ -17,7 +17,7 @@
 }
 
 
-def _start(**settings) -> subprocess.CompletedProcess[str]:
+def _run_node(**settings) -> subprocess.CompletedProcess[str]:
     with tempfile.TemporaryDirectory() as folder:
         file = pathlib.Path(folder) / "node.yaml"
         file.write_text(yaml.safe_dump({**_SETTINGS, **settings}))
@@ -31,38 +31,38 @@
 
 
 class StartTest(unittest.TestCase):
-    """What an operator sees in the terminal, and the exit code."""
+    """Error messages and exit codes of a failed start."""
 
-    def test_all_findings_of_the_settings(self):
-        ended = _start(zone="", platform="nowhere", calers="127.0.0.1:1")
+    def test_all_settings_findings_are_printed(self):
+        completed = _run_node(zone="", platform="nowhere", calers="127.0.0.1:1")
 
-        self.assertEqual(2, ended.returncode)
+        self.assertEqual(2, completed.returncode)
         for path in ("zone", "platform", "calers"):
-            self.assertIn(f": {path}: error:", ended.stderr)
+            self.assertIn(f": {path}: error:", completed.stderr)
 
-    def test_tls_files_that_are_not_there(self):
+    def test_missing_tls_files(self):
         tls = {"certificate": "/nowhere.pem", "key": "/nowhere.key"}
 
-        ended = _start(callers_tls=tls)
+        completed = _run_node(callers_tls=tls)
 
-        self.assertEqual(2, ended.returncode)
-        self.assertNotIn("Traceback", ended.stderr)
-        self.assertIn("/nowhere.pem", ended.stderr)
+        self.assertEqual(2, completed.returncode)
+        self.assertNotIn("Traceback", completed.stderr)
+        self.assertIn("/nowhere.pem", completed.stderr)
 
     def test_address_in_use(self):
-        with socket.create_server(("127.0.0.1", 0)) as taken:
-            port = taken.getsockname()[1]
-            ended = _start(callers=f"127.0.0.1:{port}")
+        with socket.create_server(("127.0.0.1", 0)) as server:
+            port = server.getsockname()[1]
+            completed = _run_node(callers=f"127.0.0.1:{port}")
 
-        self.assertEqual(1, ended.returncode)
-        self.assertNotIn("Traceback", ended.stderr)
-        self.assertIn("can't listen", ended.stderr)
+        self.assertEqual(1, completed.returncode)
+        self.assertNotIn("Traceback", completed.stderr)
+        self.assertIn("can't listen", completed.stderr)
 
-    def test_no_settings(self):
+    def test_missing_settings_flag(self):
         code = "from endivewind.commands import node; node.run()"
-        ended = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", code], capture_output=True, text=True
         )
 
-        self.assertEqual(2, ended.returncode)
-        self.assertIn("--settings=FILE", ended.stderr)
+        self.assertEqual(2, completed.returncode)
+        self.assertIn("--settings=FILE", completed.stderr)
--- a/endivewind/tests/commands/running_tests.py
+++ b/endivewind/tests/commands/running_tests.py
@@ -1,4 +1,4 @@
-"""The command line: help, nearest names, exit codes."""
+"""Tests of the command line: help, suggestions and exit codes."""
 
 import contextlib
 import importlib
@@ -18,7 +18,7 @@
 from endivewind.commands import running
 from endivewind.commands import status
 
-# Flags are defined on import; all must be before a test saves their values.
+# Flags are defined on import; import all commands before a test saves values.
 for _command in main.COMMANDS:
     importlib.import_module(main.BINARY.prefix + _command)
 
@@ -31,7 +31,7 @@
 
 
 class CommandLineTest(unittest.TestCase):
-    """What a user of the binaries sees."""
+    """Help, errors and exit codes of the binaries."""
 
     def setUp(self):
         self._saved = flagsaver.save_flag_values(flags.FLAGS)
@@ -49,8 +49,8 @@
                 self.assertIn("  --format:", out)
                 self.assertIn(running.EXIT_CODES, out)
 
-    def test_help_of_the_bench_names_every_measurement(self):
-        # In a process of its own: two binaries may use one flag's name.
+    def test_bench_help_lists_every_measurement(self):
+        # In a separate process: both binaries may define a flag of the same name.
         code = "from endivewind.commands import bench; bench.run()"
         child = subprocess.run(
             [sys.executable, "-c", code, "--help"],
@@ -62,7 +62,7 @@
         for measurement in bench.MEASUREMENTS:
             self.assertIn(f"endivewind-bench {measurement}", child.stdout)
 
-    def test_flags_in_the_usage_are_listed(self):
+    def test_flags_in_usage_are_listed(self):
         for command in main.COMMANDS:
             with self.subTest(command):
                 _, out, _ = _run(main.BINARY, command, "--help")
@@ -72,7 +72,7 @@
                     if name.startswith("--"):
                         self.assertIn(f"  {name}:", listing)
 
-    def test_help_of_the_binary_names_every_command(self):
+    def test_binary_help_lists_every_command(self):
         code, out, _ = _run(main.BINARY, "--help")
 
         self.assertEqual(0, code)
@@ -94,19 +94,19 @@
         self.assertEqual(2, code)
         self.assertIn("Did you mean: format?", err)
 
-    def test_flag_value_that_is_not_allowed(self):
+    def test_invalid_flag_value(self):
         code, _, err = _run(main.BINARY, "validate", "--format=xml", "x")
 
         self.assertEqual(2, code)
         self.assertIn("json", err)
 
-    def test_platform_that_is_no_url(self):
+    def test_invalid_platform_url(self):
         code, _, err = _run(main.BINARY, "get", "a", "b", "--platform=x")
 
         self.assertEqual(2, code)
         self.assertIn("http://", err)
 
-    def test_platform_away(self):
+    def test_unreachable_platform(self):
         code, _, err = _run(
             main.BINARY, "get", "service", "x", "--platform=http://127.0.0.1:1"
         )
@@ -116,7 +116,7 @@
 
 
 class ValidateTest(unittest.TestCase):
-    """`endivewind validate` in both formats."""
+    """`endivewind validate` with text and JSON output."""
 
     def setUp(self):
         self._saved = flagsaver.save_flag_values(flags.FLAGS)
@@ -176,9 +176,9 @@
 
 
 class StatusTextTest(unittest.TestCase):
-    """What `endivewind status` prints for people."""
+    """Text output of `endivewind status`."""
 
-    def test_the_home_tells_of_its_own_target(self):
+    def test_target_state_is_taken_from_its_home(self):
         target = {
             "id": "riders-1",
             "service": "riders",
@@ -196,10 +196,10 @@
         (shown,) = [line for line in lines if line.startswith("riders-1")]
         self.assertEqual(["ejected", "errors"], shown.split()[-2:])
 
-    def test_node_that_does_not_answer(self):
+    def test_unresponsive_node(self):
         text = status.text([{"operators": "127.0.0.1:1", "error": "refused"}])
 
-        self.assertIn("127.0.0.1:1 did not answer: refused", text)
+        self.assertIn("127.0.0.1:1 did not respond: refused", text)
 
 
 def _node(name, targets):
--- a/endivewind/tests/commands/submit_tests.py
+++ b/endivewind/tests/commands/submit_tests.py
@@ -1,4 +1,4 @@
-"""Submissions that race between reading and writing."""
+"""Tests of concurrent submissions and their audit records."""
 
 import unittest
 
@@ -20,46 +20,46 @@
         await self.enterAsyncContext(self.platform)
 
     async def _plan(self, spec):
-        held = await submissions.current(self.platform.client)
-        return planning.plan({RIDERS: spec}, held)
+        stored = await submissions.current(self.platform.client)
+        return planning.plan({RIDERS: spec}, stored)
 
-    async def _run(self, steps, author="ana"):
+    async def _submit(self, steps, author="ana"):
         submission = submit.Submission(
             self.platform.client, author, author, clocks.SystemClock()
         )
-        (ended,) = await submission.run(steps)
-        return ended
+        (result,) = await submission.run(steps)
+        return result
 
-    async def test_a_change_since_the_reading_is_not_overwritten(self):
-        """Two operators have read the same state before either has written.
+    async def test_concurrent_change_is_not_overwritten(self):
+        """Two operators read the same state before either of them writes.
 
-        The second write must not replace the first, which was accepted and
-        is coming into force; its operator is shown what has changed.
+        The second write must not replace the first one, which was accepted
+        and is being applied; the second operator is shown what has changed.
         """
-        await self._run(await self._plan({"slots": 3}))
+        await self._submit(await self._plan({"slots": 3}))
         mine = await self._plan({"slots": 5})
         theirs = await self._plan({"slots": 7})
 
-        await self._run(theirs, "berta")
-        ended = await self._run(mine, "carla")
+        await self._submit(theirs, "berta")
+        result = await self._submit(mine, "carla")
 
-        self.assertEqual("refused", ended.result)
+        self.assertEqual("refused", result.result)
         self.assertEqual(
-            ["slots: 3 -> 7"], [str(item) for item in ended.step.theirs]
+            ["slots: 3 -> 7"], [str(item) for item in result.step.theirs]
         )
-        held = self.platform.store.get(*RIDERS)
-        self.assertEqual({"slots": 7}, held.value["spec"])
+        stored = self.platform.store.get(*RIDERS)
+        self.assertEqual({"slots": 7}, stored.value["spec"])
 
-    async def test_both_wanting_the_same_is_no_conflict(self):
+    async def test_identical_changes_do_not_conflict(self):
         mine = await self._plan({"slots": 5})
         theirs = await self._plan({"slots": 5})
 
-        await self._run(theirs, "berta")
-        ended = await self._run(mine, "carla")
+        await self._submit(theirs, "berta")
+        result = await self._submit(mine, "carla")
 
-        self.assertEqual("same", ended.result)
+        self.assertEqual("same", result.result)
 
-    async def test_nothing_is_written_without_a_record(self):
+    async def test_nothing_is_written_without_audit_record(self):
         steps = await self._plan({"slots": 5})
         self.platform.standin.set_faults(
             faults.Fault(
@@ -76,9 +76,9 @@
 
         self.assertIsNone(self.platform.store.get(*RIDERS))
 
-    async def test_the_trail_tells_from_which_version(self):
-        first = await self._run(await self._plan({"slots": 3}), "ana")
-        second = await self._run(await self._plan({"slots": 5}), "berta")
+    async def test_audit_records_previous_versions(self):
+        first = await self._submit(await self._plan({"slots": 3}), "ana")
+        second = await self._submit(await self._plan({"slots": 5}), "berta")
 
         trail = await audit.read(self.platform.client)
 
--- a/endivewind/tests/processes.py
+++ b/endivewind/tests/processes.py
@@ -1,6 +1,6 @@
-"""Starts the binaries as processes, for tests that need real ones.
+"""Starts the binaries as processes, for end-to-end tests.
 
-Tests wait for log lines, never for time to pass.
+Tests wait for log lines instead of sleeping.
 """
 
 import asyncio
@@ -17,11 +17,10 @@
 from endivewind.commands import children
 
 WAIT_SECONDS = 20
-# Lines of a process's log that a failure to see one shows.
+# Last log lines shown when an expected line does not appear.
 LINES_NOTED = 40
-# Connections leave from 127.0.0.1. A process that comes back at its old port
-# would find it taken by one of them now and then; at an address of their own
-# the processes that listen meet no such port.
+# Outgoing connections use 127.0.0.1 and may occupy the port of a process that
+# is being restarted. Listening on a separate address avoids such conflicts.
 ADDRESS = "127.0.0.2"
 _ANY_PORT = f"{ADDRESS}:0"
 
@@ -29,65 +28,71 @@
 class Process:
     """One started binary and its log lines.
 
-    One task reads all lines, so that several tests may wait for lines at once
-    and a process never stands still before a full pipe.
+    One task reads all lines, so that several waiters can run concurrently and
+    the process never blocks on a full pipe.
     """
 
     def __init__(self, name: str, child: asyncio.subprocess.Process) -> None:
         self.name = name
         self.child = child
         self.listening: dict[str, Any] = {}
-        self._seen: list[dict[str, Any]] = []
-        self._news = asyncio.Event()
-        self._ended = False
-        self._reader = asyncio.create_task(self._read())
+        self._lines: list[dict[str, Any]] = []
+        self._changed = asyncio.Event()
+        self._is_closed = False
+        self._read_task = asyncio.create_task(self._read())
 
     @property
     def seen(self) -> list[dict[str, Any]]:
-        """Log lines read so far."""
-        return self._seen
+        """The log lines read so far."""
+        return self._lines
 
     def mark(self) -> int:
-        """A place in the log: the lines read so far."""
-        return len(self._seen)
+        """Returns the number of lines read so far, as a start for a search."""
+        return len(self._lines)
 
     async def line(
         self,
-        wanted: collections.abc.Callable[[dict[str, Any]], bool],
-        since: int = 0,
+        matches: collections.abc.Callable[[dict[str, Any]], bool],
+        start: int = 0,
     ) -> dict[str, Any]:
-        """Waits for a log line, one read since a mark included.
+        """Waits for a log line; lines that were already read count too.
+
+        Args:
+          matches: whether a line is the expected one.
+          start: the number of lines to skip, from `line_count`.
 
         Raises:
-          TimeoutError: it did not come; a note holds the last lines that did.
-          EOFError: the process ended without it.
+          TimeoutError: no line matched; a note holds the last lines read.
+          EOFError: the process ended without a matching line.
         """
         try:
-            return await self._wait(wanted, since)
+            return await self._find_line(matches, start)
         except TimeoutError as error:
-            last = "\n".join(str(line) for line in self._seen[-LINES_NOTED:])
-            error.add_note(f"the last lines of {self.name}:\n{last}")
+            last = "\n".join(str(line) for line in self._lines[-LINES_NOTED:])
+            error.add_note(f"last lines of {self.name}:\n{last}")
             raise
 
-    async def _wait(
+    async def _find_line(
         self,
-        wanted: collections.abc.Callable[[dict[str, Any]], bool],
-        since: int,
+        matches: collections.abc.Callable[[dict[str, Any]], bool],
+        start: int,
     ) -> dict[str, Any]:
-        checked = since
+        checked = start
         async with asyncio.timeout(WAIT_SECONDS):
             while True:
-                news = self._news
-                for line in self._seen[checked:]:
-                    if wanted(line):
+                changed = self._changed
+                for line in self._lines[checked:]:
+                    if matches(line):
                         return line
-                checked = len(self._seen)
-                if self._ended:
-                    raise EOFError(f"{self.name} ended; {self._seen[-3:]}")
-                await news.wait()
+                checked = len(self._lines)
+                if self._is_closed:
+                    raise EOFError(
+                        f"{self.name} ended; last lines: {self._lines[-3:]}"
+                    )
+                await changed.wait()
 
     async def message(self, message: str, **fields: Any) -> dict[str, Any]:
-        """Waits for a log line with a message and fields."""
+        """Waits for a log line with the given message and fields."""
         return await self.line(
             lambda line: (
                 line.get("message") == message
@@ -96,31 +101,31 @@
         )
 
     def kill(self) -> None:
-        """Ends it at once, as a crash of its VM would."""
+        """Kills the process, as a crash of its VM would."""
         self.child.kill()
 
     def pause(self) -> None:
-        """Stops it without ending it."""
+        """Suspends the process."""
         self.child.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Lets a paused process go on."""
+        """Resumes a suspended process."""
         self.child.send_signal(signal.SIGCONT)
 
     async def stop(self) -> int:
-        """Asks for a planned stop; returns the exit code."""
+        """Requests a graceful shutdown; returns the exit code."""
         if self.child.returncode is None:
             self.child.terminate()
         async with asyncio.timeout(WAIT_SECONDS):
-            await self._reader
+            await self._read_task
             return await self.child.wait()
 
     async def end(self) -> None:
-        """Ends it if it still runs."""
+        """Kills the process if it is still running, and waits for its end."""
         if self.child.returncode is None:
             self.child.kill()
         await self.child.wait()
-        await self._reader
+        await self._read_task
 
     async def _read(self) -> None:
         while raw := await self.child.stdout.readline():
@@ -128,22 +133,22 @@
                 line = json.loads(raw)
             except ValueError:
                 line = {"message": raw.decode()}
-            self._seen.append(line)
-            self._tell()
-        self._ended = True
-        self._tell()
+            self._lines.append(line)
+            self._notify()
+        self._is_closed = True
+        self._notify()
 
-    def _tell(self) -> None:
-        self._news.set()
-        self._news = asyncio.Event()
+    def _notify(self) -> None:
+        self._changed.set()
+        self._changed = asyncio.Event()
 
 
 class Fleet:
-    """A platform stand-in, nodes and targets, all as processes."""
+    """A platform stand-in, nodes and targets, each as a process."""
 
     def __init__(self) -> None:
         self._stack = contextlib.AsyncExitStack()
-        self._folder = pathlib.Path(
+        self._directory = pathlib.Path(
             self._stack.enter_context(tempfile.TemporaryDirectory())
         )
         self.platform: Process
@@ -151,7 +156,7 @@
         self.targets: dict[str, Process] = {}
 
     async def __aenter__(self) -> "Fleet":
-        self.platform = await self._start(
+        self.platform = await self._start_process(
             "platform", "standin", "platform", f"--address={ADDRESS}"
         )
         return self
@@ -179,18 +184,18 @@
             "log_level": "debug",
             **settings,
         }
-        file = self._folder / f"{name}.yaml"
+        file = self._directory / f"{name}.yaml"
         file.write_text(yaml.safe_dump(values))
-        process = await self._start(name, "node", f"--settings={file}")
+        process = await self._start_process(name, "node", f"--settings={file}")
         self.nodes[name] = process
         return process
 
     async def target(
         self, name: str, service: str, nodes: list[Process]
     ) -> Process:
-        """Starts a target and waits until a node holds it."""
+        """Starts a target and waits until the first node has registered it."""
         addresses = ",".join(node.listening["targets"] for node in nodes)
-        process = await self._start(
+        process = await self._start_process(
             name,
             "standin",
             "target",
@@ -203,8 +208,8 @@
         return process
 
     async def submit(self, configuration: dict[str, Any]) -> dict[str, Any]:
-        """Submits a configuration by the command line."""
-        file = self._folder / "configuration.yaml"
+        """Submits a configuration with `endivewind submit`."""
+        file = self._directory / "configuration.yaml"
         file.write_text(yaml.safe_dump(configuration))
         return await self.command(
             "submit", str(file), f"--platform={self.platform_url}"
@@ -218,7 +223,7 @@
             raise AssertionError(f"exit {child.returncode}: {output.decode()}")
         return json.loads(output)
 
-    async def _start(self, name: str, *arguments: str) -> Process:
+    async def _start_process(self, name: str, *arguments: str) -> Process:
         process = Process(name, await children.spawn(*arguments))
         self._stack.push_async_callback(process.end)
         line = await process.message("listening")
--- a/endivewind/tests/samples.py
+++ b/endivewind/tests/samples.py
@@ -1,4 +1,4 @@
-"""Sample values that tests of several packages need."""
+"""Sample values for the tests of several packages."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 
 
 def target(name: str, **changes: Any) -> records.TargetRecord:
-    """A ready, healthy target of the service riders at home node-a."""
+    """Returns a ready, healthy target of service riders at home node-a."""
     fields: dict[str, Any] = {
         "service": "riders",
         "home": "node-a",
