--- a/endivewind/commands/demo.py
+++ b/endivewind/commands/demo.py
@@ -418,7 +418,7 @@
         f"Six targets; {_GRAY_TARGET} fails {_GRAY_ERROR_SHARE:.0%} of its "
         "requests but passes its health checks.",
         "",
-        tables.table(("RESULT", "COUNT"), rows),
+        tables.table(("RESPONSES TO CALLERS", "COUNT"), rows),
         "",
         tables.table(
             ("TARGET", "COMPLETE RESPONSES", "STATE"),
--- a/endivewind/commands/explain.py
+++ b/endivewind/commands/explain.py
@@ -61,8 +61,10 @@
     retry_note = "must not repeat" if fields.get("once") else "may repeat"
     parts = [
         f"request {fields['request_id']} at {request.line.node}: "
-        f"service {fields.get('service')}, route {fields.get('prefix')}, {retry_note}",
-        f"received {_format_time(request.start)}, ended {_format_time(request.end)} after "
+        f"service {fields.get('service')}, route {fields.get('prefix')}, "
+        f"{retry_note}",
+        f"received {_format_time(request.start)}, "
+        f"ended {_format_time(request.end)} after "
         f"{fields['milliseconds']} ms: {fields.get('result')}",
         _format_attempts(request),
     ]
--- a/endivewind/nodes/chunks.py
+++ b/endivewind/nodes/chunks.py
@@ -11,7 +11,7 @@
     exchange_id: int,
     parts: collections.abc.AsyncIterator[bytes],
 ) -> int:
-    """Sends an exchange's body and its end; returns the encoded size in bytes."""
+    """Sends an exchange's body and end marker; returns the encoded bytes."""
     size = 0
     async for data in parts:
         size += _write_chunk(writer, exchange_id, data, last=False)
--- a/endivewind/tests/commands/running_tests.py
+++ b/endivewind/tests/commands/cli_tests.py
@@ -50,7 +50,7 @@
                 self.assertIn(running.EXIT_CODES, out)
 
     def test_bench_help_lists_every_measurement(self):
-        # In a separate process: both binaries may define a flag of the same name.
+        # In a separate process: two binaries may define the same flag.
         code = "from endivewind.commands import bench; bench.run()"
         child = subprocess.run(
             [sys.executable, "-c", code, "--help"],
--- a/endivewind/tests/commands/submit_tests.py
+++ b/endivewind/tests/commands/submit_tests.py
@@ -15,6 +15,8 @@
 
 
 class SubmissionTest(unittest.IsolatedAsyncioTestCase):
+    """Submissions against a platform stand-in."""
+
     async def asyncSetUp(self):
         self.platform = platforms.Platform()
         await self.enterAsyncContext(self.platform)
