--- a/endivewind/commands/explain.py
+++ b/endivewind/commands/explain.py
@@ -3,8 +3,8 @@
 Pass the logs of all nodes that may have handled the request, preferably of
 the whole fleet. Each file holds the log of the node it is named after, unless
 its lines begin with a node's name. The exit code is 1 if no line mentions the
-request: a request with a single ordinary response is not logged, or the log
-of its entry node is missing.
+request: a request that succeeds at its first attempt is not logged, or the
+log of its entry node is missing.
 """
 
 import collections.abc
--- a/endivewind/commands/submit.py
+++ b/endivewind/commands/submit.py
@@ -143,9 +143,9 @@
 
     async def _resolve_conflict(self, step: planning.Step) -> Ended:
         """Replans after a conflicting write; retries if nothing conflicts."""
-        found = await submissions.current(self._platform)
+        stored = await submissions.current(self._platform)
         replanned = planning.replan(
-            step, found.get(step.key, planning.Current())
+            step, stored.get(step.key, planning.Current())
         )
         if replanned.action is planning.Action.WRITE:
             # The other write did not change the object's content: try again.
@@ -153,14 +153,14 @@
         return Ended(replanned)
 
     async def _record_intents(self, writes: list[planning.Step]) -> None:
-        """Records the intended writes, so that each change has a record."""
+        """Records the writes before they are made, so that none lacks a record."""
         records = [
             self._make_record(step, audit.Outcome.INTENDED) for step in writes
         ]
-        added = await self._append_records(records)
-        if added is not None:
+        append_error = await self._append_records(records)
+        if append_error is not None:
             raise exceptions.UnavailableError(
-                f"nothing was written: can't write the audit trail: {added}"
+                f"nothing was written: can't write the audit trail: {append_error}"
             )
 
     async def _record_outcomes(self, results: list[Ended]) -> None:
@@ -171,10 +171,10 @@
         await self._append_records(records)
 
     async def _append_records(self, records: list[audit.Record]) -> str | None:
-        added = await audit.append(
+        appended = await audit.append(
             self._platform, self._author, records, self._backoff
         )
-        return str(added.error) if added.is_error() else None
+        return str(appended.error) if appended.is_error() else None
 
     def _make_record(
         self, step: planning.Step, outcome: audit.Outcome, version: int = 0
@@ -302,7 +302,7 @@
         while True:
             response = await _query_fleet(session, versions)
             nodes = response["nodes"]
-            behind = _behind(nodes, versions)
+            behind = _find_lagging(nodes, versions)
             if registered is None:
                 registered = await _list_registered_nodes(
                     platform, response["zones"]
@@ -358,7 +358,7 @@
     )
 
 
-def _behind(
+def _find_lagging(
     nodes: dict[str, Any], versions: dict[str, int]
 ) -> dict[str, list[str]]:
     """Returns the objects that each node does not have or has refused."""
