--- a/endivewind/commands/submit.py
+++ b/endivewind/commands/submit.py
@@ -153,14 +153,15 @@
         return Ended(replanned)
 
     async def _record_intents(self, writes: list[planning.Step]) -> None:
-        """Records the writes before they are made, so that none lacks a record."""
+        """Records writes before they are made, so that none lacks a record."""
         records = [
             self._make_record(step, audit.Outcome.INTENDED) for step in writes
         ]
         append_error = await self._append_records(records)
         if append_error is not None:
             raise exceptions.UnavailableError(
-                f"nothing was written: can't write the audit trail: {append_error}"
+                "nothing was written: can't write the audit trail: "
+                f"{append_error}"
             )
 
     async def _record_outcomes(self, results: list[Ended]) -> None:
