--- a/endivewind/standins/__init__.py
+++ b/endivewind/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and for targets."""
+"""Test doubles for the platform, targets and links, with injectable faults."""
--- a/endivewind/standins/faults.py
+++ b/endivewind/standins/faults.py
@@ -1,4 +1,8 @@
-"""Faults of the platform's stand-in, switched on while it runs."""
+"""Fault injection for the platform stand-in.
+
+Tests and the soak set the faults while the stand-in runs, over its control
+path `PUT /standin/fault`.
+"""
 
 import collections
 import enum
@@ -7,15 +11,16 @@
 
 
 class Mode(enum.StrEnum):
-    """What goes wrong with a call.
-
-    OUTAGE closes the connection before anything is done. SLOW answers late.
-    ANSWER_LOST does the write and closes the connection without an answer.
-    PARTIAL cuts the answer in the middle; GARBAGE answers 200 with no JSON.
-    RATE_LIMIT answers 429 above a rate. ERROR answers 500, BUSY 503 with
-    nothing done. SILENT never answers. LATE does a write delay_ms after it
-    came, and gives no answer. STALE answers reads that allow it from the
-    state that the store was in when the fault was set.
+    """The way in which a call fails.
+
+    OUTAGE closes the connection before the call is executed. SLOW executes
+    the call after delay_ms. ANSWER_LOST executes the call and closes the
+    connection without a response. PARTIAL truncates the response in the
+    middle; GARBAGE responds 200 with a body that is not JSON. RATE_LIMIT
+    responds 429 above a rate. ERROR responds 500 and BUSY 503, both without
+    executing the call. SILENT never responds. LATE executes the call after
+    delay_ms and gives no response. STALE serves reads that allow stale data
+    from the state that the store had when the fault was set.
     """
 
     OUTAGE = "outage"
@@ -32,14 +37,15 @@
 
 
 class Fault(pydantic.BaseModel):
-    """One fault, as `PUT /standin/fault` takes it.
+    """One fault in the body of `PUT /standin/fault`.
 
     Attributes:
-      mode: what goes wrong.
-      count: calls that it hits; 0 is all until the faults are cleared.
-      methods: HTTP methods that it hits; none given is all.
-      delay_ms: for SLOW and LATE: how much later.
-      per_second: for RATE_LIMIT: calls a second let through.
+      mode: the way in which calls fail.
+      count: number of calls affected; 0 affects all calls until the faults
+        are cleared.
+      methods: HTTP methods affected; empty affects all methods.
+      delay_ms: delay of SLOW and LATE.
+      per_second: calls per second that RATE_LIMIT lets through.
     """
 
     model_config = pydantic.ConfigDict(extra="forbid")
@@ -52,49 +58,54 @@
 
 
 class FaultList(pydantic.BaseModel):
-    """All faults that are on; an empty list clears them."""
+    """All active faults; an empty list clears them."""
 
     faults: tuple[Fault, ...] = ()
 
 
 class Faults:
-    """Decides which faults hit a call; no input or output."""
+    """Selects the faults that affect a call. Performs no I/O."""
 
     def __init__(self) -> None:
         self._faults: tuple[Fault, ...] = ()
-        self._hits: list[int] = []
-        self._second = 0
-        self._in_second = 0
-        self._counted: collections.Counter[str] = collections.Counter()
+        self._hit_counts: list[int] = []
+        self._current_second = 0
+        self._calls_in_second = 0
+        self._call_counts: collections.Counter[str] = collections.Counter()
 
     @property
     def counted(self) -> dict[str, int]:
-        """Calls by method since the start, whether hit or not."""
-        return dict(self._counted)
+        """Calls by method since the start, whether affected or not."""
+        return dict(self._call_counts)
 
     def set(self, wanted: FaultList) -> None:
-        """Takes new faults in place of those before."""
+        """Replaces the active faults."""
         self._faults = wanted.faults
-        self._hits = [0] * len(wanted.faults)
+        self._hit_counts = [0] * len(wanted.faults)
 
     def hits(self, method: str, now: float) -> dict[Mode, Fault]:
-        """The faults that hit a call made now, in seconds."""
-        self._counted[method] += 1
-        if int(now) != self._second:
-            self._second = int(now)
-            self._in_second = 0
-        self._in_second += 1
+        """Returns the faults that affect a call and counts the call.
+
+        Args:
+          method: HTTP method of the call.
+          now: time of the call in seconds.
+        """
+        self._call_counts[method] += 1
+        if int(now) != self._current_second:
+            self._current_second = int(now)
+            self._calls_in_second = 0
+        self._calls_in_second += 1
         found: dict[Mode, Fault] = {}
         for number, fault in enumerate(self._faults):
             if fault.methods and method not in fault.methods:
                 continue
-            if fault.count and self._hits[number] >= fault.count:
+            if fault.count and self._hit_counts[number] >= fault.count:
                 continue
             if (
                 fault.mode is Mode.RATE_LIMIT
-                and self._in_second <= fault.per_second
+                and self._calls_in_second <= fault.per_second
             ):
                 continue
-            self._hits[number] += 1
+            self._hit_counts[number] += 1
             found[fault.mode] = fault
         return found
--- a/endivewind/standins/hop.py
+++ b/endivewind/standins/hop.py
@@ -1,7 +1,8 @@
-"""A bare aiohttp hop: the least that a proxy in Python can cost.
+"""A minimal aiohttp proxy hop, the baseline of the overhead benchmark.
 
-It forwards method, path, headers and body, and the whole answer; it routes,
-bounds and decides nothing. Measurements compare endivewind with it.
+It forwards each request and response unchanged except for hop-by-hop headers,
+without routing, limits or load balancing. Its overhead is thus the least that
+a proxy in Python can have.
 """
 
 import collections.abc
@@ -12,24 +13,24 @@
 
 from endivewind import headers
 
-_DROPPED = headers.HOP_BY_HOP | {"host", "content-length"}
+_DROPPED_HEADERS = headers.HOP_BY_HOP | {"host", "content-length"}
 
 
 class Hop:
-    """Forwards everything to one URL."""
+    """Forwards all requests to one URL."""
 
     def __init__(self, url: str) -> None:
         self._url = url.rstrip("/")
         self._session: aiohttp.ClientSession
 
     def application(self) -> web.Application:
-        """The hop's one route."""
+        """Returns the web application, which has a single catch-all route."""
         app = web.Application()
-        app.cleanup_ctx.append(self._connected)
+        app.cleanup_ctx.append(self._client_session)
         app.router.add_route("*", "/{path:.*}", self._forward)
         return app
 
-    async def _connected(
+    async def _client_session(
         self, app: web.Application
     ) -> collections.abc.AsyncIterator[None]:
         connector = aiohttp.TCPConnector(limit=0)
@@ -44,21 +45,21 @@
         async with self._session.request(
             request.method,
             self._url + request.raw_path,
-            headers=_end_to_end(request.headers),
+            headers=_end_to_end_headers(request.headers),
             data=body,
         ) as response:
             return web.Response(
                 status=response.status,
-                headers=_end_to_end(response.headers),
+                headers=_end_to_end_headers(response.headers),
                 body=await response.read(),
             )
 
 
-def _end_to_end(
-    fields: multidict.CIMultiDictProxy[str],
+def _end_to_end_headers(
+    all_headers: multidict.CIMultiDictProxy[str],
 ) -> multidict.CIMultiDict[str]:
     return multidict.CIMultiDict(
         (name, value)
-        for name, value in fields.items()
-        if name.lower() not in _DROPPED
+        for name, value in all_headers.items()
+        if name.lower() not in _DROPPED_HEADERS
     )
--- a/endivewind/standins/load.py
+++ b/endivewind/standins/load.py
@@ -1,4 +1,8 @@
-"""Load for measurements: at a fixed rate, or as much as is answered."""
+"""Load generator of the benchmarks.
+
+Sends at a fixed rate (open loop) to measure latency, or over a fixed number
+of busy connections (closed loop) to measure throughput.
+"""
 
 import asyncio
 import collections.abc
@@ -16,11 +20,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """What is sent again and again.
+    """The request that is sent repeatedly.
 
     Attributes:
-      url: where to.
-      host: the Host header.
+      url: URL to send to.
+      host: value of the Host header.
     """
 
     url: str
@@ -29,13 +33,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Samples:
-    """Latencies in seconds of answers with status 200, and the failures."""
+    """Results of the requests sent.
+
+    Attributes:
+      latencies: in seconds, of responses with status 200.
+      failures: number of other responses, connection errors and timeouts.
+    """
 
     latencies: list[float] = dataclasses.field(default_factory=list)
     failures: int = 0
 
     def percentile_ms(self, percent: float) -> float:
-        """A latency in milliseconds that so many percent do not exceed."""
+        """Returns a percentile of the latencies in milliseconds."""
         if not self.latencies:
             return math.nan
         ordered = sorted(self.latencies)
@@ -44,7 +53,11 @@
 
 
 async def paced(rate: float) -> collections.abc.AsyncGenerator[int, None]:
-    """Counts from 0 at so many a second; one that is late catches up."""
+    """Yields 0, 1, 2, ... at a rate per second.
+
+    If the consumer falls behind, the next numbers follow without a pause
+    until the schedule is met again.
+    """
     loop = asyncio.get_running_loop()
     start = loop.time()
     for number in itertools.count():
@@ -60,10 +73,11 @@
     seconds: float,
     samples: Samples,
 ) -> None:
-    """Sends at a fixed rate, whether or not answers come (open loop).
+    """Sends at a fixed rate regardless of responses (open loop).
 
-    A latency counts from when the request was due, so that a stall is felt
-    by all the requests that it holds up.
+    Latency is measured from the time at which a request was scheduled, so
+    that a stall also counts for the requests that it delays (no coordinated
+    omission).
     """
     start = time.perf_counter()
     tasks = []
@@ -81,7 +95,7 @@
     seconds: float,
     samples: Samples,
 ) -> float:
-    """Keeps connections busy (closed loop); returns answers a second."""
+    """Keeps connections busy (closed loop); returns responses per second."""
     start = time.perf_counter()
     end = start + seconds
 
@@ -94,7 +108,7 @@
 
 
 def session() -> aiohttp.ClientSession:
-    """A client session without a limit of connections."""
+    """Returns a client session without a connection limit."""
     connector = aiohttp.TCPConnector(limit=0)
     return aiohttp.ClientSession(connector=connector, timeout=_TIMEOUT)
 
@@ -111,17 +125,17 @@
             request.url, data=BODY, headers=fields
         ) as response:
             await response.read()
-            whole = response.status == 200
+            is_success = response.status == 200
     except (TimeoutError, aiohttp.ClientError):
-        whole = False
-    if whole:
+        is_success = False
+    if is_success:
         samples.latencies.append(time.perf_counter() - due)
     else:
         samples.failures += 1
 
 
 def summary(samples: Samples, rate: float) -> dict[str, Any]:
-    """Samples as plain JSON values, times in milliseconds."""
+    """Returns the samples as JSON values, with times in milliseconds."""
     return {
         "answers": len(samples.latencies),
         "failures": samples.failures,
--- a/endivewind/standins/matrix.py
+++ b/endivewind/standins/matrix.py
@@ -1,4 +1,8 @@
-"""The fault matrix: every fault at every step of an exchange, and pairs."""
+"""The fault matrix of `endivewind-bench matrix`.
+
+Injects every fault at every step of an exchange, singly or in pairs, and
+checks the guarantees to callers in each case.
+"""
 
 import asyncio
 import collections.abc
@@ -13,12 +17,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """How the cells of one run ended.
+    """Result of one run of the matrix.
 
     Attributes:
-      cells: cells run.
-      red: cells that broke a promise, with what was broken.
-      unreached: cells whose faults did not all come to pass.
+      cells: number of cases run.
+      red: cases that violated a guarantee, each with the violation.
+      unreached: number of cases in which a fault was never triggered.
     """
 
     cells: int
@@ -27,13 +31,13 @@
 
 
 def singles() -> collections.abc.Iterator[tuple[Cell, ...]]:
-    """Each fault at each step."""
+    """Yields each fault at each step."""
     for cell in itertools.product(world.Step, world.Fault):
         yield (cell,)
 
 
 def pairs() -> collections.abc.Iterator[tuple[Cell, ...]]:
-    """Two faults at two different steps."""
+    """Yields each pair of faults at two different steps."""
     cells = itertools.product(world.Step, world.Fault)
     for first, second in itertools.combinations(cells, 2):
         if first[0] != second[0]:
@@ -41,66 +45,67 @@
 
 
 def run(cells: collections.abc.Iterable[tuple[Cell, ...]]) -> Outcome:
-    """Runs each cell in a world of its own."""
+    """Runs each case in a simulated cluster of its own."""
     red = []
     count = 0
     unreached = 0
     for cell in cells:
         count += 1
-        broken, left = run_cell(cell)
-        if broken:
+        violation, untriggered = run_cell(cell)
+        if violation:
             name = " + ".join(f"{step}:{fault}" for step, fault in cell)
-            red.append(f"{name}: {broken}")
-        unreached += bool(left)
+            red.append(f"{name}: {violation}")
+        unreached += bool(untriggered)
     return Outcome(count, tuple(red), unreached)
 
 
 def run_cell(cell: tuple[Cell, ...]) -> tuple[str, int]:
-    """One payout with faults, first over three nodes, then at a home alone.
+    """Runs one non-idempotent request with the faults in two topologies.
 
-    Where the key's issuer is the target's home as well, nothing stands
-    between the dispatcher's verdict and the caller.
+    First the entry node, the issuer of the ticket and the home are three
+    nodes. Then one node has all three roles, so that the dispatcher's result
+    reaches the caller without another node between.
 
     Returns:
-      What promise was broken, or an empty string; and how many of the faults
-      did not come to pass over three nodes.
+      The violated guarantee, or an empty string; and the number of faults
+      that were not triggered in the topology of three nodes.
     """
-    broken, left = _run_cell(cell, *world.ENTRIES)
-    if not broken:
-        broken, _ = _run_cell(cell, world.HOMES[0], world.HOMES[0])
-    return broken, left
+    violation, untriggered = _run_cell(cell, *world.ENTRIES)
+    if not violation:
+        violation, _ = _run_cell(cell, world.HOMES[0], world.HOMES[0])
+    return violation, untriggered
 
 
 def _run_cell(
     cell: tuple[Cell, ...], issuer: str, entry: str
 ) -> tuple[str, int]:
-    """Sends a payout, sends it again to every node, then once more."""
-    made = world.World(virtual.VirtualLoop())
+    """Sends two requests, resends one to every node, then both once more."""
+    cluster = world.World(virtual.VirtualLoop())
     try:
-        key = made.issue(issuer)
-        other = made.issue(entry)
-        made.faults.update(cell)
-        made.run(_ended(made, entry, key))
-        made.run(_ended(made, issuer, other))
-        left = len(made.faults)
-        for name in made.names:
-            made.announce(name)
-            made.run(_ended(made, name, key))
-        made.check()
-        made.settle()
+        key = cluster.issue(issuer)
+        other = cluster.issue(entry)
+        cluster.faults.update(cell)
+        cluster.run(_send_and_wait(cluster, entry, key))
+        cluster.run(_send_and_wait(cluster, issuer, other))
+        untriggered = len(cluster.faults)
+        for name in cluster.names:
+            cluster.announce(name)
+            cluster.run(_send_and_wait(cluster, name, key))
+        cluster.check()
+        cluster.settle()
         for sent in (key, other):
-            made.run(_ended(made, issuer, sent))
-        made.check()
+            cluster.run(_send_and_wait(cluster, issuer, sent))
+        cluster.check()
     except world.Violation as error:
-        return str(error), len(made.faults)
+        return str(error), len(cluster.faults)
     finally:
-        made.close()
-    return "", left
+        cluster.close()
+    return "", untriggered
 
 
-async def _ended(made: world.World, entry: str, key: str) -> None:
-    task = made.send(entry, key)
+async def _send_and_wait(cluster: world.World, entry: str, key: str) -> None:
+    task = cluster.send(entry, key)
     await asyncio.wait([task])
-    # A node that crashes takes its callers' connections with it.
+    # A crash of the node closes the connections of its callers.
     if not task.cancelled():
         task.result()
--- a/endivewind/standins/platform.py
+++ b/endivewind/standins/platform.py
@@ -1,4 +1,7 @@
-"""Stand-in for the platform's object API, in memory."""
+"""In-memory stand-in for the platform's object API.
+
+Tests, the soak and the benchmarks run it in place of the real platform.
+"""
 
 import asyncio
 import datetime
@@ -13,23 +16,23 @@
 from endivewind.platform import wire
 from endivewind.standins import faults
 
-# Writes that a watch can still be told of; an older revision answers 410.
+# Writes kept for watches; a watch from an older revision gets status 410.
 LOG_LENGTH = 10_000
-# Objects in one part of a listing.
+# Objects in one page of a listing.
 PAGE_OBJECTS = 500
-# Longer than any call waits.
+# Longer than the timeout of any call.
 SILENCE = datetime.timedelta(minutes=1)
 
 
 class ObjectStore:
-    """Objects with versions and conditional updates; no input or output."""
+    """Versioned objects with conditional updates. Performs no I/O."""
 
     def __init__(self) -> None:
         self._revision = 0
         self._objects: dict[tuple[str, str], messages.StoredObject] = {}
         self._log: list[messages.StoredObject] = []
-        self._compacted = 0
-        self._changed = asyncio.Event()
+        self._compacted_revision = 0
+        self._change_event = asyncio.Event()
 
     @property
     def revision(self) -> int:
@@ -38,45 +41,49 @@
 
     @property
     def changed(self) -> asyncio.Event:
-        """Set at the next write; a new event follows each write."""
-        return self._changed
+        """Event set by the next write, which also replaces it by a new one."""
+        return self._change_event
 
     def copy(self) -> "ObjectStore":
-        """The store as it is now, for backups."""
+        """Returns a copy of the present state, for backups."""
         other = ObjectStore()
         other.restore(self)
         return other
 
     def restore(self, backup: "ObjectStore") -> None:
-        """Goes back to a copy; what was written since is lost."""
+        """Restores the state of a copy and discards all writes since."""
         self._revision = backup._revision
         self._objects = dict(backup._objects)
         self._log = list(backup._log)
-        self._compacted = backup._compacted
-        self._wake()
+        self._compacted_revision = backup._compacted_revision
+        self._notify_watchers()
 
     def compact(self, revision: int) -> None:
-        """Forgets the log of writes up to a revision."""
-        self._compacted = max(self._compacted, min(revision, self._revision))
+        """Discards the log of writes up to a revision."""
+        self._compacted_revision = max(
+            self._compacted_revision, min(revision, self._revision)
+        )
         self._log = [
-            item for item in self._log if item.version > self._compacted
+            item
+            for item in self._log
+            if item.version > self._compacted_revision
         ]
-        self._wake()
+        self._notify_watchers()
 
     def knows(self, revision: int) -> bool:
-        """Whether writes after a revision can be told in full."""
-        return self._compacted <= revision <= self._revision
+        """Whether the log has all writes after a revision."""
+        return self._compacted_revision <= revision <= self._revision
 
     def get(self, kind: str, name: str) -> messages.StoredObject | None:
-        """The object, or None."""
+        """Returns the object, or None if it does not exist."""
         return self._objects.get((kind, name))
 
     def select(self, kind: str) -> list[messages.StoredObject]:
-        """All objects of a kind."""
+        """Returns all objects of a kind."""
         return [item for item in self._objects.values() if item.kind == kind]
 
     def since(self, kind: str, revision: int) -> list[messages.StoredObject]:
-        """Writes after a revision; a delete is an object with no value."""
+        """Returns writes after a revision; a deletion has an empty value."""
         return [
             item
             for item in self._log
@@ -86,7 +93,7 @@
     def put(
         self, kind: str, name: str, value: dict[str, Any], expected: int
     ) -> messages.StoredObject | None:
-        """Writes if the version is the expected one; else returns None."""
+        """Writes if the version is the expected one, else returns None."""
         if self._version(kind, name) != expected:
             return None
         stored = self._record(kind, name, value)
@@ -96,7 +103,7 @@
     def delete(
         self, kind: str, name: str, expected: int
     ) -> messages.StoredObject | None:
-        """Deletes if the version is the expected one; else returns None."""
+        """Deletes if the version is the expected one, else returns None."""
         if self._version(kind, name) != expected or not expected:
             return None
         del self._objects[kind, name]
@@ -116,27 +123,28 @@
         self._log.append(stored)
         if len(self._log) > LOG_LENGTH:
             self.compact(self._log[-LOG_LENGTH // 2].version)
-        self._wake()
+        self._notify_watchers()
         return stored
 
-    def _wake(self) -> None:
-        self._changed.set()
-        self._changed = asyncio.Event()
+    def _notify_watchers(self) -> None:
+        self._change_event.set()
+        self._change_event = asyncio.Event()
 
 
 class PlatformStandin:
-    """Serves an ObjectStore over HTTP, with faults on demand.
+    """Serves an ObjectStore over HTTP and injects faults.
 
-    `PUT /standin/fault` sets faults, `POST /standin/compact` forgets the log,
-    `POST /standin/empty` loses the whole store, `POST /standin/backup` and
-    `POST /standin/restore` go back to an older state.
+    `PUT /standin/fault` sets the faults, `POST /standin/compact` discards the
+    log of writes, `POST /standin/empty` discards the whole store, `POST
+    /standin/backup` saves a copy of the state and `POST /standin/restore`
+    restores it.
     """
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
         self._faults = faults.Faults()
         self._backup = store.copy()
-        self._behind = self._backup
+        self._stale_store = self._backup
 
     @property
     def store(self) -> ObjectStore:
@@ -149,13 +157,13 @@
         return self._faults.counted
 
     def set_faults(self, *wanted: faults.Fault) -> None:
-        """Switches faults on in place of those before; none clears them."""
+        """Replaces the active faults; without arguments, clears them."""
         self._faults.set(faults.FaultList(faults=wanted))
-        self._behind = self._store.copy()
+        self._stale_store = self._store.copy()
 
     def application(self) -> web.Application:
-        """The routes of the object API and of the control path."""
-        app = web.Application(middlewares=[self._faulty])
+        """Returns the application, with the object API and the control paths."""
+        app = web.Application(middlewares=[self._inject_faults])
         app.router.add_get(names.OBJECTS_PATH, self._list)
         app.router.add_post(names.OBJECTS_PATH, self._create)
         app.router.add_get(names.OBJECT_PATH, self._get)
@@ -167,7 +175,7 @@
         return app
 
     @web.middleware
-    async def _faulty(
+    async def _inject_faults(
         self, request: web.Request, handler: Any
     ) -> web.StreamResponse:
         if request.path.startswith("/standin/"):
@@ -178,19 +186,19 @@
         request["is_stale"] = faults.Mode.STALE in hits
         if faults.Mode.SILENT in hits:
             await asyncio.sleep(SILENCE.total_seconds())
-            return _cut(request)
-        refused = _refused(request, hits)
+            return _close_connection(request)
+        refused = _unexecuted_response(request, hits)
         if refused is not None:
             return refused
         for mode in (faults.Mode.SLOW, faults.Mode.LATE):
             if mode in hits:
                 await asyncio.sleep(hits[mode].delay_ms / 1000)
-        answer: web.Response = await handler(request)
+        full_response: web.Response = await handler(request)
         if faults.Mode.ANSWER_LOST in hits or faults.Mode.LATE in hits:
-            return _cut(request)
+            return _close_connection(request)
         if faults.Mode.PARTIAL in hits:
-            return await _half(request, answer)
-        return answer
+            return await _send_half(request, full_response)
+        return full_response
 
     async def _set_fault(self, request: web.Request) -> web.Response:
         try:
@@ -218,15 +226,15 @@
         return web.json_response(self.calls)
 
     async def _get(self, request: web.Request) -> web.Response:
-        found = self._store.get(*_key(request))
-        return _object(found) if found else web.Response(status=404)
+        found = self._store.get(*_object_key(request))
+        return _object_response(found) if found else web.Response(status=404)
 
     async def _list(self, request: web.Request) -> web.Response:
         if "watch" in request.query:
             return await self._watch(request)
         store = self._store
         if request["is_stale"] and "allow_stale" in request.query:
-            store = self._behind
+            store = self._stale_store
         after = request.query.get("after", "")
         found = sorted(
             (
@@ -237,42 +245,46 @@
             key=lambda item: item.name,
         )
         page = found[:PAGE_OBJECTS]
-        return _json(
+        return _json_response(
             {
-                "items": [_wire(item) for item in page],
+                "items": [_encode(item) for item in page],
                 "has_more": len(found) > len(page),
                 "at_rev": store.revision,
             }
         )
 
     async def _create(self, request: web.Request) -> web.Response:
-        given = await _object_of(request)
-        if given is None:
+        submitted = await _read_object(request)
+        if submitted is None:
             return web.Response(status=400)
-        name = given["metadata"].get("name")
+        name = submitted["metadata"].get("name")
         if not isinstance(name, str) or not name:
             return web.Response(status=400)
         kind = request.match_info["kind"]
-        stored = self._store.put(kind, name, given["spec"], 0)
-        return _object(stored) if stored else self._conflict(kind, name)
+        stored = self._store.put(kind, name, submitted["spec"], 0)
+        return (
+            _object_response(stored) if stored else self._conflict(kind, name)
+        )
 
     async def _put(self, request: web.Request) -> web.Response:
-        kind, name = _key(request)
-        given = await _object_of(request)
-        if given is None:
+        kind, name = _object_key(request)
+        submitted = await _read_object(request)
+        if submitted is None:
             return web.Response(status=400)
         current = self._store.get(kind, name)
         if current is None:
             return web.Response(status=404)
-        expected = given["metadata"].get("revision", current.version)
-        if expected == current.version and given["spec"] == current.value:
-            # Nothing changes, so nobody who watches hears of it.
-            return _object(current)
-        stored = self._store.put(kind, name, given["spec"], expected)
-        return _object(stored) if stored else self._conflict(kind, name)
+        expected = submitted["metadata"].get("revision", current.version)
+        if expected == current.version and submitted["spec"] == current.value:
+            # An unchanged value makes no revision and no watch event.
+            return _object_response(current)
+        stored = self._store.put(kind, name, submitted["spec"], expected)
+        return (
+            _object_response(stored) if stored else self._conflict(kind, name)
+        )
 
     async def _delete(self, request: web.Request) -> web.Response:
-        kind, name = _key(request)
+        kind, name = _object_key(request)
         current = self._store.get(kind, name)
         if current is None:
             return web.Response(status=404)
@@ -281,7 +293,9 @@
         except ValueError:
             return web.Response(status=400)
         stored = self._store.delete(kind, name, expected)
-        return _object(current) if stored else self._conflict(kind, name)
+        return (
+            _object_response(current) if stored else self._conflict(kind, name)
+        )
 
     async def _watch(self, request: web.Request) -> web.Response:
         kind = request.match_info["kind"]
@@ -299,7 +313,7 @@
             changes = store.since(kind, revision)
             left = deadline - asyncio.get_running_loop().time()
             if changes or left <= 0:
-                return _events(store, changes)
+                return _watch_response(store, changes)
             try:
                 await asyncio.wait_for(changed.wait(), left)
             except TimeoutError:
@@ -307,13 +321,13 @@
 
     def _conflict(self, kind: str, name: str) -> web.Response:
         current = self._store.get(kind, name)
-        return _json(_wire(current) if current else None, status=409)
+        return _json_response(_encode(current) if current else None, status=409)
 
 
-def _refused(
+def _unexecuted_response(
     request: web.Request, hits: dict[faults.Mode, faults.Fault]
 ) -> web.Response | None:
-    """The answer of a call that is not done at all, or None."""
+    """Returns the response of a call that is not executed, or None."""
     if faults.Mode.RATE_LIMIT in hits:
         return web.Response(status=429, headers={"Retry-After": "1"})
     if faults.Mode.ERROR in hits:
@@ -321,71 +335,71 @@
     if faults.Mode.BUSY in hits:
         return web.Response(status=503)
     if faults.Mode.OUTAGE in hits:
-        return _cut(request)
+        return _close_connection(request)
     if faults.Mode.GARBAGE in hits:
         return web.Response(text="<html>", content_type="application/json")
     return None
 
 
-def _cut(request: web.Request) -> web.Response:
-    """Closes the connection in place of an answer."""
+def _close_connection(request: web.Request) -> web.Response:
+    """Closes the connection instead of responding."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=503)
 
 
-async def _half(
-    request: web.Request, answer: web.Response
+async def _send_half(
+    request: web.Request, full_response: web.Response
 ) -> web.StreamResponse:
-    """Sends the first half of an answer and closes the connection."""
-    body = answer.body
-    whole = body if isinstance(body, bytes) else b""
-    response = web.StreamResponse(status=answer.status)
-    response.content_length = len(whole)
+    """Sends the first half of a response and closes the connection."""
+    body = full_response.body
+    content = body if isinstance(body, bytes) else b""
+    response = web.StreamResponse(status=full_response.status)
+    response.content_length = len(content)
     await response.prepare(request)
-    await response.write(whole[: len(whole) // 2])
+    await response.write(content[: len(content) // 2])
     if request.transport is not None:
         request.transport.close()
     return response
 
 
-def _events(
+def _watch_response(
     store: ObjectStore, changes: list[messages.StoredObject]
 ) -> web.Response:
-    """What a watch tells; a removal is logged as an object with no value."""
+    """Returns the response to a watch; a deletion has an empty value."""
     events = [
-        {"object": _wire(item), "deleted": not item.value} for item in changes
+        {"object": _encode(item), "deleted": not item.value} for item in changes
     ]
-    return _json({"events": events, "at_rev": store.revision})
+    return _json_response({"events": events, "at_rev": store.revision})
 
 
-def _key(request: web.Request) -> tuple[str, str]:
+def _object_key(request: web.Request) -> tuple[str, str]:
     return request.match_info["kind"], request.match_info["name"]
 
 
-async def _object_of(request: web.Request) -> dict[str, Any] | None:
-    """The object that a call carries; None if it is none."""
+async def _read_object(request: web.Request) -> dict[str, Any] | None:
+    """Returns the object in the body, or None if the body is no object."""
     try:
-        given = await request.json()
+        submitted = await request.json()
     except ValueError:
         return None
-    if not isinstance(given, dict):
+    if not isinstance(submitted, dict):
         return None
-    whole = isinstance(given.get("spec"), dict) and isinstance(
-        given.get("metadata"), dict
+    is_complete = isinstance(submitted.get("spec"), dict) and isinstance(
+        submitted.get("metadata"), dict
     )
-    return given if whole else None
+    return submitted if is_complete else None
 
 
-def _object(stored: messages.StoredObject) -> web.Response:
-    return _json(_wire(stored))
+def _object_response(stored: messages.StoredObject) -> web.Response:
+    return _json_response(_encode(stored))
 
 
-def _wire(stored: messages.StoredObject) -> dict[str, Any]:
+def _encode(stored: messages.StoredObject) -> dict[str, Any]:
     return wire.object_out(stored.name, stored.value, stored.version)
 
 
-def _json(value: object, status: int = 200) -> web.Response:
+def _json_response(value: object, status: int = 200) -> web.Response:
     return web.Response(
         status=status, text=json.dumps(value), content_type="application/json"
     )
--- a/endivewind/standins/relay.py
+++ b/endivewind/standins/relay.py
@@ -1,11 +1,14 @@
-"""A relay for TCP and UDP whose two directions can fail separately."""
+"""A TCP and UDP relay whose two directions can fail independently.
+
+Tests and the soak place it in front of a node to inject network faults.
+"""
 
 import asyncio
 import collections.abc
 import enum
 from typing import Any
 
-# Above the silence that a link allows for, below the deadline of requests.
+# Longer than the heartbeat timeout of a link, shorter than request deadlines.
 DELAY_SECONDS = 0.5
 # Slow enough that a frame of a few hundred bytes takes a second.
 DRIP_BYTES = 16
@@ -13,9 +16,10 @@
 
 
 class Mode(enum.Enum):
-    """What happens to bytes of one direction.
+    """How the relay treats bytes of one direction.
 
-    DELAY holds each read up; DRIP passes a few bytes at a time.
+    PASS forwards them, DROP discards them, DELAY delays each read, and DRIP
+    forwards a few bytes at a time.
     """
 
     PASS = "pass"
@@ -25,26 +29,27 @@
 
 
 class Relay:
-    """Passes bytes on to an upstream address, until it is told to fail.
+    """Forwards bytes to an upstream address, with a fault mode by direction.
 
-    A dropped direction loses its bytes while the connection stays open, as a
-    one-way partition or a forgotten connection does.
+    In mode DROP, bytes are lost while the connection stays open, as in a
+    one-way partition, or after a firewall or NAT device has lost the state
+    of the connection.
     """
 
     def __init__(self) -> None:
         self.upstream = ""
         self.towards = Mode.PASS
         self.back = Mode.PASS
-        # Set once bytes of a connection have been dropped.
+        # Set once bytes of a TCP connection have been dropped.
         self.has_lost = asyncio.Event()
         self._server: asyncio.Server | None = None
-        self._udp: asyncio.DatagramTransport | None = None
+        self._datagram_transport: asyncio.DatagramTransport | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def address(self) -> str:
-        """Where the relay listens."""
+        """Address on which the relay listens."""
         assert self._server is not None
         return f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
@@ -52,7 +57,7 @@
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         port = self._server.sockets[0].getsockname()[1]
         loop = asyncio.get_running_loop()
-        self._udp, _ = await loop.create_datagram_endpoint(
+        self._datagram_transport, _ = await loop.create_datagram_endpoint(
             lambda: _Datagrams(self), local_addr=("127.0.0.1", port)
         )
         return self
@@ -60,15 +65,15 @@
     async def __aexit__(self, *error: object) -> None:
         if self._server is not None:
             self._server.close()
-        if self._udp is not None:
-            self._udp.close()
+        if self._datagram_transport is not None:
+            self._datagram_transport.close()
         self.cut()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def cut(self) -> None:
-        """Breaks every open connection."""
+        """Aborts every open connection."""
         for writer in self._writers:
             writer.transport.abort()
 
@@ -83,7 +88,7 @@
         try:
             up_reader, up_writer = await asyncio.open_connection(*self.split())
         except OSError:
-            # The upstream is down: so is what lies before it.
+            # The relay must look unreachable, too, while the upstream is down.
             writer.transport.abort()
             return
         self._writers |= {writer, up_writer}
@@ -103,29 +108,30 @@
         writer: asyncio.StreamWriter,
         mode: collections.abc.Callable[[], Mode],
     ) -> None:
-        lost = False
+        has_lost_bytes = False
         try:
             while data := await reader.read(65_536):
-                # TCP never delivers what comes after a loss: the connection
-                # stays silent in this direction, also when others pass again.
-                lost = lost or mode() is Mode.DROP
-                if lost:
+                # TCP never delivers bytes after a gap: once bytes were lost,
+                # this direction of the connection stays silent, even when
+                # new connections pass again.
+                has_lost_bytes = has_lost_bytes or mode() is Mode.DROP
+                if has_lost_bytes:
                     self.has_lost.set()
                 else:
-                    await _pass(data, writer, mode)
+                    await _forward(data, writer, mode)
         except OSError:
-            # One end has gone; the other is told by the close below.
+            # One end has closed; the close below tells the other.
             pass
         finally:
             writer.close()
 
 
-async def _pass(
+async def _forward(
     data: bytes,
     writer: asyncio.StreamWriter,
     mode: collections.abc.Callable[[], Mode],
 ) -> None:
-    """Passes bytes on as slowly as the mode says."""
+    """Forwards bytes with the delay of the mode."""
     if mode() is Mode.DELAY:
         await asyncio.sleep(DELAY_SECONDS)
     while data and mode() is Mode.DRIP:
@@ -138,51 +144,53 @@
 
 
 class _Datagrams(asyncio.DatagramProtocol):
-    """Takes datagrams for the upstream, and brings its answers back.
+    """Forwards datagrams to the upstream and its replies to the senders.
 
-    Each sender gets a socket of its own towards the upstream, so that answers
-    find their way, as behind an address translator.
+    Each sender has its own socket to the upstream, so that replies can be
+    matched to senders, as in network address translation (NAT).
     """
 
     def __init__(self, relay: Relay) -> None:
         self._relay = relay
         self._transport: Any = None
-        self._ways: dict[Any, _Way] = {}
+        self._upstream_sockets: dict[Any, _UpstreamSocket] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the bound transport."""
+        """Stores the bound transport."""
         self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Closes the sockets towards the upstream."""
-        for way in self._ways.values():
-            way.close()
+        """Closes the sockets to the upstream."""
+        for upstream_socket in self._upstream_sockets.values():
+            upstream_socket.close()
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Passes one on, unless its direction drops what comes."""
+        """Forwards a datagram, unless its direction drops."""
         if self._relay.towards is Mode.DROP or not self._relay.upstream:
             return
-        way = self._ways.get(addr)
-        if way is None:
-            way = self._ways[addr] = _Way(self._relay, self._transport, addr)
-        way.send(data)
+        upstream_socket = self._upstream_sockets.get(addr)
+        if upstream_socket is None:
+            upstream_socket = self._upstream_sockets[addr] = _UpstreamSocket(
+                self._relay, self._transport, addr
+            )
+        upstream_socket.send(data)
 
 
-class _Way(asyncio.DatagramProtocol):
-    """One sender's socket towards the upstream."""
+class _UpstreamSocket(asyncio.DatagramProtocol):
+    """One sender's socket to the upstream."""
 
-    def __init__(self, relay: Relay, front: Any, sender: Any) -> None:
+    def __init__(self, relay: Relay, relay_transport: Any, sender: Any) -> None:
         self._relay = relay
-        self._front = front
+        self._relay_transport = relay_transport
         self._sender = sender
         self._transport: Any = None
-        self._early: list[bytes] = []
+        self._buffered: list[bytes] = []
         self._opening = asyncio.create_task(self._open())
 
     def send(self, data: bytes) -> None:
-        """Sends to the upstream, once the socket is open."""
+        """Sends to the upstream, as soon as the socket is open."""
         if self._transport is None:
-            self._early.append(data)
+            self._buffered.append(data)
         else:
             self._transport.sendto(data, self._relay.split())
 
@@ -193,15 +201,18 @@
             self._transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the bound transport and sends what has waited."""
+        """Stores the bound transport and sends the buffered datagrams."""
         self._transport = transport
-        for data in self._early:
+        for data in self._buffered:
             self._transport.sendto(data, self._relay.split())
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Brings an answer of the upstream back."""
-        if self._relay.back is not Mode.DROP and not self._front.is_closing():
-            self._front.sendto(data, self._sender)
+        """Forwards a reply of the upstream, unless its direction drops."""
+        if (
+            self._relay.back is not Mode.DROP
+            and not self._relay_transport.is_closing()
+        ):
+            self._relay_transport.sendto(data, self._sender)
 
     async def _open(self) -> None:
         loop = asyncio.get_running_loop()
--- a/endivewind/standins/target.py
+++ b/endivewind/standins/target.py
@@ -1,4 +1,7 @@
-"""Stand-in for a target: announces itself, runs work, fails on demand."""
+"""Stand-in for a target: announces itself, serves requests, injects faults.
+
+Tests, the soak and the benchmarks run it as `endivewind-standin target`.
+"""
 
 import asyncio
 import collections
@@ -25,11 +28,11 @@
 WHOLE_BYTES = 200_000
 STREAM_PARTS = WHOLE_BYTES // PART_BYTES // 20
 
-_PAUSE = datetime.timedelta(milliseconds=100)
+_CHUNK_INTERVAL = datetime.timedelta(milliseconds=100)
 
 
 class Fault(enum.StrEnum):
-    """What a request asks to go wrong with itself, by its header."""
+    """A fault of one request, named by its header Standin-Fault."""
 
     CLOSE = "close"
     CRASH = "crash"
@@ -42,43 +45,42 @@
 
 
 class TargetStandin:
-    """A target that counts what it ran, by the header Work-Id.
+    """A target that counts the executions of each Work-Id header.
 
-    A fault of all requests is set with `PUT /standin/fault`: {"errors": share
-    of requests that fail, "delay_ms": extra time, "hang": true,
-    "draining": true}. A fault of
-    one request is named by its header Standin-Fault.
+    `PUT /standin/fault` sets the faults of all requests: {"errors": share of
+    requests that fail, "delay_ms": extra latency, "hang": true, "draining":
+    true}. The header Standin-Fault names a fault of one request.
     """
 
     def __init__(self, name: str, service: str, nodes: list[str]) -> None:
         self._name = name
         self._service = service
         self._nodes = nodes
-        self._runs: collections.Counter[str] = collections.Counter()
-        self._partial: collections.Counter[str] = collections.Counter()
-        self._cancelled: collections.Counter[str] = collections.Counter()
-        self._numbers = itertools.count()
-        self._errors = 0.0
-        self._delay = 0.0
+        self._run_counts: collections.Counter[str] = collections.Counter()
+        self._partial_counts: collections.Counter[str] = collections.Counter()
+        self._cancelled_counts: collections.Counter[str] = collections.Counter()
+        self._request_numbers = itertools.count()
+        self._error_share = 0.0
+        self._delay_seconds = 0.0
         self._hang = False
         self._draining = False
-        self._last: str | None = None
+        self._current_node: str | None = None
         self._moves = 0
         self._incarnation = int(
             datetime.datetime.now(datetime.UTC).timestamp() * 1000
         )
 
     def application(self) -> web.Application:
-        """The target's routes; everything else is work."""
+        """Returns the application; paths outside /standin/ execute work."""
         app = web.Application(client_max_size=64 * 1024 * 1024)
         app.router.add_get(COUNTS_PATH, self._counts)
         app.router.add_get(EVENTS_PATH, self._events)
-        app.router.add_put(FAULT_PATH, self._fault)
+        app.router.add_put(FAULT_PATH, self._set_fault)
         app.router.add_route("*", "/{path:.*}", self._work)
         return app
 
     async def announce(self, address: str) -> None:
-        """Keeps a lease at one node, and moves only when it must."""
+        """Renews the lease at one node; moves to another when that one fails."""
         async with aiohttp.ClientSession() as session:
             while True:
                 await self._announce_once(session, address)
@@ -87,20 +89,20 @@
     async def _announce_once(
         self, session: aiohttp.ClientSession, address: str
     ) -> None:
-        last = self._last
+        last = self._current_node
         others = [node for node in self._nodes if node != last]
         for node in [last, *others] if last else others:
-            if await self._put(session, node, address):
+            if await self._announce_to(session, node, address):
                 return
 
-    async def _put(
+    async def _announce_to(
         self, session: aiohttp.ClientSession, node: str, address: str
     ) -> bool:
-        if node != self._last:
-            # Counted before the send: an announcement whose answer is lost
-            # may have been taken, and the next one must win over it.
+        if node != self._current_node:
+            # Incremented before sending: an announcement whose response is
+            # lost may have been accepted, and the next must supersede it.
             self._moves += 1
-            self._last = node
+            self._current_node = node
         body = {
             "service": self._service,
             "address": f"http://{address}",
@@ -117,66 +119,68 @@
             ) as response:
                 return response.status == 200
         except (TimeoutError, aiohttp.ClientError) as error:
-            log.warning("%s does not answer: %s", node, error)
+            log.warning("announcement to %s failed: %s", node, error)
             return False
 
     async def _work(self, request: web.Request) -> web.StreamResponse:
-        work = request.headers.get("Work-Id", "")
+        work_id = request.headers.get("Work-Id", "")
         try:
             body = await request.read()
         except BaseException:
-            # The body broke off: there is no whole request to run.
-            self._partial[work] += 1
+            # The body was truncated: there is no complete request to run.
+            self._partial_counts[work_id] += 1
             raise
-        if work:
-            self._runs[work] += 1
-        log.info("work runs", extra=logs.fields(work=work))
+        if work_id:
+            self._run_counts[work_id] += 1
+        log.info("work runs", extra=logs.fields(work=work_id))
         try:
-            return await self._run(request, work, len(body))
+            return await self._run(request, work_id, len(body))
         except asyncio.CancelledError:
-            self._cancelled[work] += 1
-            log.info("work cancelled", extra=logs.fields(work=work))
+            self._cancelled_counts[work_id] += 1
+            log.info("work cancelled", extra=logs.fields(work=work_id))
             raise
 
     async def _run(
-        self, request: web.Request, work: str, length: int
+        self, request: web.Request, work_id: str, length: int
     ) -> web.StreamResponse:
         fault = request.headers.get(FAULT_HEADER, "")
         if fault:
-            answer = await self._fail(Fault(fault), request)
-            if answer is not None:
-                return answer
+            response = await self._apply_fault(Fault(fault), request)
+            if response is not None:
+                return response
         if self._hang:
             await asyncio.sleep(HANG.total_seconds())
-        if self._delay:
-            await asyncio.sleep(self._delay)
-        number = next(self._numbers)
-        if int((number + 1) * self._errors) > int(number * self._errors):
+        if self._delay_seconds:
+            await asyncio.sleep(self._delay_seconds)
+        number = next(self._request_numbers)
+        if int((number + 1) * self._error_share) > int(
+            number * self._error_share
+        ):
             return web.Response(status=500, text="failed on demand")
         return web.json_response(
             {
                 "target": self._name,
                 "method": request.method,
                 "path": request.path_qs,
-                "work": work,
+                "work": work_id,
                 "bytes": length,
             }
         )
 
-    async def _fail(
+    async def _apply_fault(
         self, fault: Fault, request: web.Request
     ) -> web.StreamResponse | None:
-        """Does what the fault asks; None where an answer is still due."""
+        """Applies the fault; returns None if the request is still to be run."""
         match fault:
             case Fault.CRASH:
                 os._exit(1)
             case Fault.CLOSE:
-                _cut(request)
+                _close_connection(request)
                 return web.Response()
             case Fault.HANG:
                 await asyncio.sleep(HANG.total_seconds())
             case Fault.DELAY:
-                await asyncio.sleep(_PAUSE.total_seconds() * 5)
+                await asyncio.sleep(_CHUNK_INTERVAL.total_seconds() * 5)
             case Fault.LARGE:
                 return web.Response(body=b"x" * WHOLE_BYTES)
             case Fault.SLOW_STREAM:
@@ -187,35 +191,38 @@
 
     async def _events(self, request: web.Request) -> web.Response:
         return web.json_response(
-            {"partial": self._partial, "cancelled": self._cancelled}
+            {
+                "partial": self._partial_counts,
+                "cancelled": self._cancelled_counts,
+            }
         )
 
     async def _counts(self, request: web.Request) -> web.Response:
-        return web.json_response(self._runs)
+        return web.json_response(self._run_counts)
 
-    async def _fault(self, request: web.Request) -> web.Response:
+    async def _set_fault(self, request: web.Request) -> web.Response:
         fault = await request.json()
-        self._errors = float(fault.get("errors", 0))
-        self._delay = float(fault.get("delay_ms", 0)) / 1000
+        self._error_share = float(fault.get("errors", 0))
+        self._delay_seconds = float(fault.get("delay_ms", 0)) / 1000
         self._hang = bool(fault.get("hang", False))
         self._draining = bool(fault.get("draining", False))
         return web.Response(status=204)
 
 
 async def _slow_stream(request: web.Request) -> web.StreamResponse:
-    """A chunked answer whose parts come one by one."""
+    """Sends a chunked response slowly, chunk by chunk."""
     response = web.StreamResponse()
     response.enable_chunked_encoding()
     await response.prepare(request)
     for _ in range(STREAM_PARTS):
         await response.write(b"x" * PART_BYTES)
-        await asyncio.sleep(_PAUSE.total_seconds())
+        await asyncio.sleep(_CHUNK_INTERVAL.total_seconds())
     await response.write_eof()
     return response
 
 
 async def _truncate(request: web.Request, fault: Fault) -> web.StreamResponse:
-    """An answer that ends before its announced end."""
+    """Sends a response that ends before its declared end."""
     response = web.StreamResponse()
     if fault is Fault.TRUNCATE_LENGTH:
         response.content_length = PART_BYTES * 2
@@ -223,10 +230,10 @@
         response.enable_chunked_encoding()
     await response.prepare(request)
     await response.write(b"x" * PART_BYTES)
-    _cut(request)
+    _close_connection(request)
     return response
 
 
-def _cut(request: web.Request) -> None:
+def _close_connection(request: web.Request) -> None:
     if request.transport is not None:
         request.transport.close()
--- a/endivewind/standins/virtual.py
+++ b/endivewind/standins/virtual.py
@@ -1,4 +1,8 @@
-"""An event loop whose time passes only when nothing else is left to do."""
+"""An asyncio event loop with virtual time.
+
+Time advances only when no callback is ready to run. Tests and the simulated
+cluster use it for deterministic runs without sleeping.
+"""
 
 import asyncio
 import datetime
@@ -8,7 +12,7 @@
 
 
 class _Selector(selectors.SelectSelector):
-    """Waits by moving the loop's time on instead of sleeping."""
+    """Advances the virtual time instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -17,30 +21,30 @@
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Polls; time that the loop would have slept has then passed."""
+        """Polls without waiting and advances the time by the timeout."""
         if timeout:
             self.now += timeout
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs tasks in a fixed order at a time of its own.
+    """Runs tasks in a deterministic order on virtual time.
 
-    Fuzzing needs the same verdict from the same seed: no wall clock, no
-    sleeping, and deadlines of minutes that pass in no time.
+    Fuzzing needs the same result for the same seed, so the loop uses no wall
+    clock. It never sleeps, so timeouts of minutes take no real time.
     """
 
     def __init__(self) -> None:
-        self._waiting = _Selector()
-        super().__init__(self._waiting)
+        self._virtual_selector = _Selector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        """Seconds of virtual time."""
-        return self._waiting.now
+        """Returns the virtual time in seconds."""
+        return self._virtual_selector.now
 
     def jump(self, by: datetime.timedelta) -> None:
-        """Lets time pass at once, as for a process that was paused."""
-        self._waiting.now += by.total_seconds()
+        """Advances the time at once, as after a pause of the process."""
+        self._virtual_selector.now += by.total_seconds()
 
 
 class LoopClock(clocks.SystemClock):
@@ -50,9 +54,9 @@
         self._loop = loop
 
     def monotonic(self) -> datetime.timedelta:
-        """Virtual time since the loop's start."""
+        """Returns the virtual time since the loop's start."""
         return datetime.timedelta(seconds=self._loop.time())
 
     def boot_time(self) -> datetime.timedelta:
-        """The same: a virtual loop never sleeps."""
+        """Returns the same time: a virtual loop is never suspended."""
         return self.monotonic()
