--- a/endivewind/bench/__init__.py
+++ b/endivewind/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on the decisions in virtual time: no sockets, no processes."""
+"""Simulations of the decisions in virtual time, without sockets or processes."""
--- a/endivewind/bench/virtual.py
+++ b/endivewind/bench/virtual.py
@@ -1,4 +1,7 @@
-"""Virtual time: a clock, and a queue of events in its order."""
+"""Virtual time for simulations: a clock and an event queue ordered by time.
+
+The experiments of `endivewind-bench decisions` run on it.
+"""
 
 import collections.abc
 import datetime
@@ -11,38 +14,38 @@
 
 
 class VirtualTime:
-    """A clock that jumps from event to event; seconds as floats inside."""
+    """A clock that advances from event to event (discrete-event simulation)."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
-        # Asked for many times within one event.
-        self._span_of = 0.0
-        self._span = datetime.timedelta()
+        # The last result of monotonic(), which an event calls many times.
+        self._cached_seconds = 0.0
+        self._cached_monotonic = datetime.timedelta()
         self._numbers = itertools.count()
         self._events: list[tuple[float, int, Event]] = []
 
     def now(self) -> datetime.datetime:
-        """Wall clock in UTC."""
+        """Returns the wall-clock time in UTC."""
         return _START + self.monotonic()
 
     def monotonic(self) -> datetime.timedelta:
-        """Time since the start."""
-        if self._span_of != self.seconds:
-            self._span_of = self.seconds
-            self._span = datetime.timedelta(seconds=self.seconds)
-        return self._span
+        """Returns the time since the start."""
+        if self._cached_seconds != self.seconds:
+            self._cached_seconds = self.seconds
+            self._cached_monotonic = datetime.timedelta(seconds=self.seconds)
+        return self._cached_monotonic
 
     def boot_time(self) -> datetime.timedelta:
-        """The same: nothing sleeps here."""
+        """Returns the same time: the simulated host is never suspended."""
         return self.monotonic()
 
     def after(self, seconds: float, event: Event) -> None:
-        """Runs an event some seconds from now."""
+        """Schedules a callback some seconds from now."""
         at = self.seconds + seconds
         heapq.heappush(self._events, (at, next(self._numbers), event))
 
     def run(self, until: float) -> None:
-        """Runs the events up to a time."""
+        """Runs the scheduled callbacks up to a time."""
         events = self._events
         while events and events[0][0] <= until:
             self.seconds, _, event = heapq.heappop(events)
--- a/endivewind/soak/__init__.py
+++ b/endivewind/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak: real processes under faults from outside, checked by callers."""
+"""The soak test: real processes under injected faults, checked by callers."""
--- a/endivewind/soak/callers.py
+++ b/endivewind/soak/callers.py
@@ -1,4 +1,8 @@
-"""Callers of the soak: they send, wait, and write down what they were told."""
+"""Callers of the soak.
+
+They send requests and record the responses, which soak.checks compares with
+what the targets ran.
+"""
 
 import asyncio
 import datetime
@@ -13,24 +17,24 @@
 from endivewind.soak import checks
 from endivewind.standins import target
 
-# A route's time limit and some seconds for a node that is paused.
+# The timeout of a route plus some seconds for a paused node.
 LONGEST_WAIT = datetime.timedelta(seconds=10)
 ONCE_WAIT = datetime.timedelta(seconds=12)
 PAUSE_SECONDS = 0.05
-# Of the work, this part takes half a second at the target, so that faults
-# meet requests that run.
+# Share of the requests that take half a second at the target, so that faults
+# hit requests that are running.
 SLOW_SHARE = 0.3
-# Of the look-ups, this part is answered in parts over two seconds, so that
-# stops and broken links meet answers that are on their way.
+# Share of the look-ups whose responses are streamed over two seconds, so that
+# stops and broken links hit responses in transit.
 STREAMED_SHARE = 0.2
 
 
 class CutError(Exception):
-    """A connection that broke after the request was sent."""
+    """The connection broke after the request was sent."""
 
 
 async def never_resend(request: Any, handler: Any) -> Any:
-    """Shows a cut that aiohttp would hide by sending a GET again."""
+    """Raises on a broken connection, on which aiohttp would resend a GET."""
     try:
         return await handler(request)
     except aiohttp.ClientConnectorError:
@@ -40,17 +44,17 @@
 
 
 class Caller:
-    """One caller: look-ups and work that must not repeat, by turns."""
+    """One caller that alternates look-ups and non-idempotent requests."""
 
     def __init__(
         self, name: str, nodes: dict[str, str], rng: random.Random
     ) -> None:
-        """Opens nothing yet.
+        """Creates the caller without opening connections.
 
         Args:
-          name: begins the ids of its work.
+          name: prefix of the ids of its work.
           nodes: URLs of the nodes, by name.
-          rng: for what it sends, and where.
+          rng: selects the kinds of requests and the nodes.
         """
         self._name = name
         self._nodes = nodes
@@ -59,65 +63,71 @@
         self.told: list[checks.Told] = []
 
     def stop(self) -> None:
-        """Lets it end with the request that it waits for."""
+        """Stops the caller after the current request."""
         self._stopped = True
 
-    async def run(self, began: float) -> None:
-        """Sends until stopped; connections stay open between requests."""
+    async def run(self, run_start: float) -> None:
+        """Sends until stopped, over keep-alive connections."""
         async with aiohttp.ClientSession(
             timeout=aiohttp.ClientTimeout(total=ONCE_WAIT.total_seconds())
         ) as session:
             number = 0
             while not self._stopped:
-                work = f"{self._name}-{number}"
-                send = self._look_up if number % 2 else self._run_once
-                self.told.append(await send(session, work, began))
+                work_id = f"{self._name}-{number}"
+                send = (
+                    self._send_lookup
+                    if number % 2
+                    else self._send_non_idempotent
+                )
+                self.told.append(await send(session, work_id, run_start))
                 number += 1
                 await asyncio.sleep(PAUSE_SECONDS)
 
-    def _fields(self, work: str) -> dict[str, str]:
-        fields = {"Work-Id": work}
+    def _request_headers(self, work_id: str) -> dict[str, str]:
+        request_headers = {"Work-Id": work_id}
         if self._rng.random() < SLOW_SHARE:
-            fields[target.FAULT_HEADER] = target.Fault.DELAY.value
-        return fields
+            request_headers[target.FAULT_HEADER] = target.Fault.DELAY.value
+        return request_headers
 
-    async def _run_once(
-        self, session: aiohttp.ClientSession, work: str, began: float
+    async def _send_non_idempotent(
+        self, session: aiohttp.ClientSession, work_id: str, run_start: float
     ) -> checks.Told:
         nodes = list(self._nodes.values())
         self._rng.shuffle(nodes)
         caller = client.Caller(session, nodes)
-        start = _since(began)
+        started_at = _seconds_since(run_start)
         reply = await caller.run_once(
-            "POST", "/once", b"{}", ONCE_WAIT, self._fields(work)
+            "POST", "/once", b"{}", ONCE_WAIT, self._request_headers(work_id)
         )
         return checks.Told(
-            work,
+            work_id,
             True,
             "",
-            start,
-            _since(began),
+            started_at,
+            _seconds_since(run_start),
             reply.status,
             reply.outcome.value if reply.outcome else "",
-            _named(reply.body),
+            _work_id_in(reply.body),
         )
 
-    async def _look_up(
-        self, session: aiohttp.ClientSession, work: str, began: float
+    async def _send_lookup(
+        self, session: aiohttp.ClientSession, work_id: str, run_start: float
     ) -> checks.Told:
         node = self._rng.choice(list(self._nodes))
-        start = _since(began)
-        fields = self._fields(work)
-        streamed = self._rng.random() < STREAMED_SHARE
-        if streamed:
-            fields[target.FAULT_HEADER] = target.Fault.SLOW_STREAM.value
-        status, outcome, body, cut = 0, "", b"", False
+        started_at = _seconds_since(run_start)
+        request_headers = self._request_headers(work_id)
+        is_streamed = self._rng.random() < STREAMED_SHARE
+        if is_streamed:
+            request_headers[target.FAULT_HEADER] = (
+                target.Fault.SLOW_STREAM.value
+            )
+        status, outcome, body, was_cut = 0, "", b"", False
         try:
             async with (
                 asyncio.timeout(LONGEST_WAIT.total_seconds()),
                 session.get(
                     self._nodes[node] + "/look",
-                    headers=fields,
+                    headers=request_headers,
                     middlewares=(never_resend,),
                 ) as response,
             ):
@@ -125,36 +135,38 @@
                 status = response.status
                 outcome = response.headers.get(headers.OUTCOME, "")
         except (TimeoutError, aiohttp.ClientConnectorError):
-            # Nothing was cut: no answer in time, or no process there.
+            # Not a broken connection: a timeout, or no process listens.
             pass
         except (CutError, aiohttp.ClientError):
-            cut = True
+            was_cut = True
         return checks.Told(
-            work,
+            work_id,
             False,
             node,
-            start,
-            _since(began),
+            started_at,
+            _seconds_since(run_start),
             status,
             outcome,
-            _streamed(body, work) if streamed else _named(body),
-            cut,
-            streamed,
+            _streamed_work_id(body, work_id)
+            if is_streamed
+            else _work_id_in(body),
+            was_cut,
+            is_streamed,
         )
 
 
-def _since(began: float) -> float:
-    return asyncio.get_running_loop().time() - began
+def _seconds_since(run_start: float) -> float:
+    return asyncio.get_running_loop().time() - run_start
 
 
-def _streamed(body: bytes, work: str) -> str:
-    """The work, if the whole stream has come; a stream names none itself."""
-    whole = target.PART_BYTES * target.STREAM_PARTS
-    return work if len(body) == whole else ""
+def _streamed_work_id(body: bytes, work_id: str) -> str:
+    """Returns the work id if the stream is complete; it contains no id."""
+    expected_bytes = target.PART_BYTES * target.STREAM_PARTS
+    return work_id if len(body) == expected_bytes else ""
 
 
-def _named(body: bytes) -> str:
-    """The work that a target's answer names; empty if it is not whole."""
+def _work_id_in(body: bytes) -> str:
+    """Returns the work id in a target's response; empty if truncated."""
     try:
         return str(json.loads(body)["work"])
     except (ValueError, KeyError, TypeError):
--- a/endivewind/soak/checks.py
+++ b/endivewind/soak/checks.py
@@ -1,4 +1,7 @@
-"""The promises, checked from what callers were told and targets ran. Pure."""
+"""Checks of the guarantees, from callers' records and targets' run counts.
+
+The soak calls them at the end of a run. They perform no I/O.
+"""
 
 import collections
 import collections.abc
@@ -7,7 +10,7 @@
 
 
 class Promise(enum.StrEnum):
-    """What a finding says was broken."""
+    """A guarantee; its value describes the violation."""
 
     ONCE = "work that must not repeat ran twice"
     ANSWERED = "an answer of work that never ran"
@@ -23,11 +26,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finding:
-    """One broken promise.
+    """One violated guarantee.
 
     Attributes:
-      promise: which.
-      detail: what was seen.
+      guarantee: the violated guarantee.
+      detail: what was observed.
     """
 
     promise: Promise
@@ -36,19 +39,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Told:
-    """What a caller was told in the end.
+    """One request of a caller and its result.
 
     Attributes:
       work: id of the work.
-      once: whether it must not repeat.
-      node: the node that was asked last.
-      began: seconds after the run's begin.
-      ended: the same.
-      status: 0 where no whole answer came.
-      outcome: what the system says; empty for a target's answer.
-      named: the work that the answer names; empty where it names none.
+      once: whether the request is non-idempotent.
+      node: the node that the request was sent to; empty if unknown.
+      began: start of the request, in seconds after the start of the run.
+      ended: end of the request, in seconds after the start of the run.
+      status: HTTP status; 0 without a complete response.
+      outcome: the outcome header that a node sets; empty in a target's
+        response.
+      named: the work id in the response; empty if it has none.
       cut: whether the connection broke after the request was sent.
-      streamed: whether the answer came in parts.
+      streamed: whether the response was streamed.
     """
 
     work: str
@@ -63,20 +67,20 @@
     streamed: bool = False
 
 
-# In an outage: whatever node the callers have asked.
+# Value of Outage.node: the outage affects the callers of all nodes.
 ANY = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outage:
-    """A time in which a node's callers may lose their connections.
+    """A period in which a node's callers may lose their connections.
 
     Attributes:
-      node: a node that was killed; ANY where a link, a home or a target
-        failed: an answer that is on its way through them in parts can't be
-        ended as if it were whole, so its entry has to cut it.
-      began: seconds after the run's begin.
-      ended: the same.
+      node: a node that was killed; ANY_NODE if a link, a home or a target
+        failed. An entry node must not end a streamed response through these
+        as if it were complete, so it closes the caller's connection.
+      started_at: in seconds after the start of the run.
+      ended_at: in seconds after the start of the run.
     """
 
     node: str
@@ -84,8 +88,8 @@
     ended: float
 
 
-# A request that was sent when the process was already closing its kept
-# connections may be lost with one; the caller then knows that nothing ran.
+# A request that is sent while the process closes its keep-alive connections
+# may be lost; the caller then knows that it was not run.
 CLOSING_SECONDS = 0.2
 
 
@@ -97,37 +101,41 @@
     """Checks each request against what the targets ran.
 
     Args:
-      told: what callers heard.
-      runs: how often each work ran, over all targets and their starts.
-      outages: when nodes were killed; all other ends were planned.
+      told: records of all callers.
+      runs: number of runs of each work id, over all incarnations of all
+        targets.
+      outages: periods with unplanned failures; other stops were graceful.
     """
     return [
         finding
         for item in told
-        for finding in _of_request(item, runs[item.work], outages)
+        for finding in _check_request(item, runs[item.work], outages)
     ]
 
 
-def _of_request(
-    item: Told, ran: int, outages: collections.abc.Sequence[Outage]
+def _check_request(
+    item: Told, run_count: int, outages: collections.abc.Sequence[Outage]
 ) -> collections.abc.Iterator[Finding]:
-    answered = item.status == 200 and not item.outcome
-    if item.once and ran > 1:
-        yield Finding(Promise.ONCE, f"{item.work} ran {ran} times")
-    if item.outcome == "not-run" and ran:
-        yield Finding(Promise.NOT_RUN, f"{item.work} ran {ran} times")
-    if answered and not ran:
+    has_response = item.status == 200 and not item.outcome
+    if item.once and run_count > 1:
+        yield Finding(Promise.ONCE, f"{item.work} ran {run_count} times")
+    if item.outcome == "not-run" and run_count:
+        yield Finding(Promise.NOT_RUN, f"{item.work} ran {run_count} times")
+    if has_response and not run_count:
         yield Finding(Promise.ANSWERED, item.work)
-    if answered and item.named != item.work:
-        yield Finding(Promise.OWN, f"{item.work} got {item.named or 'a part'}")
-    if item.cut and not _excused(item, outages):
+    if has_response and item.named != item.work:
+        yield Finding(
+            Promise.OWN,
+            f"{item.work} got {item.named or 'a truncated response'}",
+        )
+    if item.cut and not _is_excused(item, outages):
         yield Finding(
             Promise.STOPS,
             f"{item.work} at {item.node}, {item.began:.2f} to {item.ended:.2f}",
         )
 
 
-def _excused(item: Told, outages: collections.abc.Sequence[Outage]) -> bool:
+def _is_excused(item: Told, outages: collections.abc.Sequence[Outage]) -> bool:
     if item.ended - item.began < CLOSING_SECONDS:
         return True
     return any(
@@ -139,12 +147,14 @@
 
 
 def of_versions(
-    seen: collections.abc.Mapping[str, collections.abc.Sequence[int]],
+    versions_by_node: collections.abc.Mapping[
+        str, collections.abc.Sequence[int]
+    ],
 ) -> list[Finding]:
-    """Checks that versions in force never fall at one start of a node."""
+    """Checks that versions in force never decrease at a node incarnation."""
     return [
         Finding(Promise.REVERTED, f"{node}: {before} then {after}")
-        for node, versions in seen.items()
+        for node, versions in versions_by_node.items()
         for before, after in zip(versions, versions[1:], strict=False)
         if after < before
     ]
@@ -156,15 +166,15 @@
     share: float,
     reserve: float,
 ) -> list[Finding]:
-    """Checks the runs beyond the first of each request, over the whole run."""
-    works = [item.work for item in told]
-    again = sum(max(0, runs[work] - 1) for work in works)
-    allowed = share * len(works) + reserve
-    if again <= allowed:
+    """Checks that the repeated runs of requests stay within the budget."""
+    work_ids = [item.work for item in told]
+    repeated_runs = sum(max(0, runs[work] - 1) for work in work_ids)
+    limit = share * len(work_ids) + reserve
+    if repeated_runs <= limit:
         return []
     return [
         Finding(
             Promise.RETRIES,
-            f"{again} retries of {len(works)} requests, {allowed:.0f} allowed",
+            f"{repeated_runs} retries of {len(work_ids)} requests, {limit:.0f} allowed",
         )
     ]
--- a/endivewind/soak/fleets.py
+++ b/endivewind/soak/fleets.py
@@ -1,4 +1,8 @@
-"""The processes of one run: platform, nodes and targets, and their relays."""
+"""The processes of one soak run.
+
+Starts, breaks and restarts the platform stand-in, nodes and targets, and the
+relays in front of the nodes.
+"""
 
 import asyncio
 import collections
@@ -16,8 +20,8 @@
 from endivewind.soak import schedules
 from endivewind.standins import relay
 
-# Processes that come back at their old ports listen where no connection of
-# ours leaves from.
+# Restarted processes bind their old ports. Outgoing connections leave
+# from another address, so they can't take these ports meanwhile.
 ADDRESS = "127.0.0.2"
 ZONES = ("andina-a", "andina-b", "caribe-a", "caribe-a")
 SERVICE = "ledger"
@@ -41,30 +45,30 @@
         }
     },
 }
-_BOUND = ("callers", "targets", "nodes", "operators")
+_LISTENERS = ("callers", "targets", "nodes", "operators")
 STOP_SECONDS = 6.0
-# Above the longest planned stop, and what a paused process adds to it.
+# Longer than the longest graceful stop plus a pause of the process.
 END_SECONDS = 20.0
 
 
 class Fleet:
-    """Starts, breaks and restarts the processes of one run."""
+    """The processes of one run."""
 
     def __init__(
         self, folder: pathlib.Path, other_release: pathlib.Path | None = None
     ) -> None:
-        """Starts nothing yet.
+        """Creates the fleet without starting processes.
 
         Args:
-          folder: for the logs of all processes.
-          other_release: checkout of another release, whose code every other
-            node runs; None runs this release alone.
+          folder: receives the logs of all processes.
+          other_release: checkout of another release, which every second node
+            runs; None runs this release only.
         """
         self._folder = folder
         self._other_release = other_release
         self._stack = contextlib.AsyncExitStack()
-        # Closed last: processes write their logs until they have ended.
-        self._files = contextlib.ExitStack()
+        # Closed last: processes write logs until they exit.
+        self._log_files = contextlib.ExitStack()
         self._children = children.Children()
         self._settings: dict[str, dict[str, Any]] = {}
         self._locks: dict[str, asyncio.Lock] = collections.defaultdict(
@@ -85,7 +89,7 @@
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGKILL)
         await self._stack.aclose()
-        self._files.close()
+        self._log_files.close()
 
     @property
     def nodes(self) -> list[str]:
@@ -94,28 +98,28 @@
 
     @property
     def platform_url(self) -> str:
-        """URL of the platform's stand-in."""
+        """URL of the platform stand-in."""
         return "http://" + str(self.processes["platform"].listening["address"])
 
     def callers_urls(self) -> dict[str, str]:
-        """Where callers reach each node."""
+        """Returns the callers' URL of each node."""
         return {
             name: "http://" + self._settings[name]["callers"]
             for name in self.nodes
         }
 
     def operators_url(self, node: str) -> str:
-        """Where operators reach a node."""
+        """Returns the operators' URL of a node."""
         return "http://" + str(self._settings[node]["operators"])
 
     async def start(self) -> None:
-        """Starts everything and puts a configuration in force."""
+        """Starts all processes and submits a configuration."""
         self.processes["platform"] = await self._children.start(
             "platform", "standin", "platform", f"--address={ADDRESS}"
         )
-        self._follow("platform")
+        self._follow_log("platform")
         for number in range(schedules.NODES):
-            await self._first_node(f"node-{number}", ZONES[number])
+            await self._create_node(f"node-{number}", ZONES[number])
         await asyncio.gather(
             *(
                 self.start_target(f"target-{number}")
@@ -125,28 +129,28 @@
         await self.submit(CONFIGURATION, "first")
         await self.control("backup")
 
-    async def _first_node(self, name: str, zone: str) -> None:
-        before = relay.Relay()
-        await self._stack.enter_async_context(before)
-        self.relays[name] = before
+    async def _create_node(self, name: str, zone: str) -> None:
+        node_relay = relay.Relay()
+        await self._stack.enter_async_context(node_relay)
+        self.relays[name] = node_relay
         self._settings[name] = {
             "name": name,
             "region": zone.rpartition("-")[0],
             "zone": zone,
             "platform": self.platform_url,
-            "nodes_advertised": before.address,
+            "nodes_advertised": node_relay.address,
             "log_level": "info",
             "limits": {"stop_seconds": STOP_SECONDS},
-            **dict.fromkeys(_BOUND, f"{ADDRESS}:0"),
+            **dict.fromkeys(_LISTENERS, f"{ADDRESS}:0"),
         }
         await self.start_node(name)
         listening = self.processes[name].listening
-        for part in _BOUND:
-            self._settings[name][part] = listening[part]
-        before.upstream = listening["nodes"]
+        for listener in _LISTENERS:
+            self._settings[name][listener] = listening[listener]
+        node_relay.upstream = listening["nodes"]
 
     async def start_node(self, name: str) -> None:
-        """Starts a node at its addresses, unless it runs."""
+        """Starts a node at its addresses, unless it is running."""
         async with self._locks[name]:
             if self.is_running(name):
                 return
@@ -154,21 +158,21 @@
             self.processes[name] = await self._children.node(
                 self._settings[name], self._checkout(name)
             )
-            self._follow(name)
+            self._follow_log(name)
 
     def _checkout(self, name: str) -> pathlib.Path | None:
-        """Whose code a node runs: that of this release at even numbers."""
+        """Returns the checkout of a node; None, this release, at even numbers."""
         is_even = int(name.rpartition("-")[2]) % 2 == 0
         return None if is_even else self._other_release
 
     async def start_target(self, name: str) -> None:
-        """Starts a target, unless it runs; it prefers its own node."""
+        """Starts a target, unless it is running; each prefers one node."""
         async with self._locks[name]:
             if self.is_running(name):
                 return
-            first = int(name.rpartition("-")[2]) % schedules.NODES
+            first_node = int(name.rpartition("-")[2]) % schedules.NODES
             addresses = [self._settings[node]["targets"] for node in self.nodes]
-            ordered = addresses[first:] + addresses[:first]
+            ordered = addresses[first_node:] + addresses[:first_node]
             self.processes[name] = await self._children.start(
                 name,
                 "standin",
@@ -178,15 +182,15 @@
                 f"--service={SERVICE}",
                 f"--nodes={','.join(ordered)}",
             )
-            self._follow(name)
+            self._follow_log(name)
 
     def is_running(self, name: str) -> bool:
-        """Whether a process has been started and has not ended."""
-        known = self.processes.get(name)
-        return known is not None and known.running
+        """Whether a process has been started and has not exited."""
+        process = self.processes.get(name)
+        return process is not None and process.running
 
     async def stop(self, name: str) -> int | None:
-        """Has a process stop as planned; its exit code, None if it hangs."""
+        """Stops a process gracefully; returns its exit code, None on timeout."""
         process = self.processes[name]
         process.signal(signal.SIGTERM)
         try:
@@ -196,7 +200,7 @@
             return None
 
     def reload(self, name: str) -> None:
-        """Changes a node's settings file, and tells it by SIGHUP."""
+        """Changes a node's settings file and sends SIGHUP to reload it."""
         level = (
             "debug" if self._settings[name]["log_level"] == "info" else "info"
         )
@@ -205,7 +209,7 @@
         self.processes[name].signal(signal.SIGHUP)
 
     async def submit(self, configuration: dict[str, Any], name: str) -> None:
-        """Submits by the command line; a conflict or failure is no news."""
+        """Submits by the command line; conflicts and failures are ignored."""
         file = self._folder / f"{name}.yaml"
         file.write_text(yaml.safe_dump(configuration))
         process = await children.spawn(
@@ -215,21 +219,21 @@
         (self._folder / f"{name}.out").write_bytes(output)
 
     async def control(self, action: str) -> None:
-        """Uses the control path of the platform's stand-in."""
+        """Calls a control path of the platform stand-in."""
         await self._call("POST", f"{self.platform_url}/standin/{action}", None)
 
     async def platform_faults(self, *faults: dict[str, Any]) -> None:
-        """Sets all faults of the platform's stand-in."""
+        """Replaces all faults of the platform stand-in."""
         url = f"{self.platform_url}/standin/fault"
         await self._call("PUT", url, {"faults": list(faults)})
 
     async def target_fault(self, name: str, **fault: Any) -> None:
-        """Sets the fault of a target's requests; none clears it."""
+        """Sets the fault of a target; without arguments, clears it."""
         if self.is_running(name):
             address = self.processes[name].listening["address"]
             url = f"http://{address}/standin/fault"
             with contextlib.suppress(aiohttp.ClientError, TimeoutError):
-                # Killed or paused just now: it starts anew without a fault.
+                # It was just killed or paused; a restart clears the fault.
                 await self._call("PUT", url, fault)
 
     async def _call(self, method: str, url: str, body: Any) -> None:
@@ -243,16 +247,16 @@
                     f"{method} {url}: {response.status}"
                 )
 
-    def _follow(self, name: str) -> None:
-        """Keeps a process's log, and counts the work that a target runs."""
+    def _follow_log(self, name: str) -> None:
+        """Writes a process's log to a file and counts the work that runs."""
         if name not in self._logs:
-            self._logs[name] = self._files.enter_context(
+            self._logs[name] = self._log_files.enter_context(
                 (self._folder / f"{name}.log").open("a")
             )
 
-        def take(line: dict[str, Any]) -> None:
+        def handle_line(line: dict[str, Any]) -> None:
             self._logs[name].write(json.dumps(line) + "\n")
             if line.get("message") == "work runs" and line.get("work"):
                 self.runs[line["work"]] += 1
 
-        self.processes[name].follow(take)
+        self.processes[name].follow(handle_line)
--- a/endivewind/soak/runs.py
+++ b/endivewind/soak/runs.py
@@ -1,4 +1,8 @@
-"""One run of the soak: callers call while a schedule's faults come and go."""
+"""One run of the soak.
+
+Callers send requests while the faults of a schedule are injected. Afterwards
+the run checks the guarantees. `endivewind-bench soak` executes it.
+"""
 
 import asyncio
 import collections
@@ -23,14 +27,14 @@
 
 CALLERS = 6
 LOOK_SECONDS = 0.5
-# After the last fault: a lease of two seconds, a suspicion of four, a repair
-# after ten; then the promises hold again.
+# Time to recover after the last fault: a target's lease lasts two seconds, the
+# suspicion of a node four, and a repair comes after ten.
 RECOVERY_SECONDS = 25.0
 PROBES = 20
-# A silent link or target is given up after some seconds, also when the fault
-# has ended before.
+# A silent link or target is detected after some seconds, even if the fault has
+# ended before.
 NOTICE_SECONDS = 4.0
-_BREAKS_STREAMS = frozenset(
+_STREAM_BREAKING_KINDS = frozenset(
     {
         Kind.NODE_KILLED,
         Kind.NODE_PAUSED,
@@ -38,9 +42,9 @@
         Kind.TARGET_PAUSED,
     }
 )
-# A node asks the others for two seconds before it answers operators.
-_ASK_SECONDS = 4
-_OBJECT = f"service/{fleets.SERVICE}"
+# A node queries the others for two seconds before it responds to operators.
+_OPERATOR_TIMEOUT_SECONDS = 4
+_OBJECT_NAME = f"service/{fleets.SERVICE}"
 _PLATFORM_FAULTS: dict[Kind, dict[str, Any]] = {
     Kind.PLATFORM_AWAY: {"mode": "outage"},
     Kind.PLATFORM_SLOW: {"mode": "slow", "delay_ms": 1500},
@@ -69,13 +73,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """What one run has shown.
+    """Result of one run.
 
     Attributes:
-      schedule: what was played.
-      requests: how many ended, in all.
-      answered: how many got a target's answer.
-      findings: broken promises; a run without any is green.
+      schedule: the executed schedule.
+      requests: number of completed requests.
+      answered: number of requests with a target's response.
+      findings: violated guarantees; a run passes without any.
     """
 
     schedule: schedules.Schedule
@@ -85,7 +89,7 @@
 
 
 class Run:
-    """Plays one schedule; all it starts has ended afterwards."""
+    """Executes one schedule and stops all processes that it starts."""
 
     def __init__(
         self,
@@ -93,13 +97,13 @@
         folder: pathlib.Path,
         other_release: pathlib.Path | None = None,
     ) -> None:
-        """Writes nothing yet.
+        """Creates the run and its folder.
 
         Args:
           schedule: the faults.
-          folder: for the logs of all processes.
-          other_release: checkout of another release, whose code every other
-            node runs; None runs this release alone.
+          folder: receives the logs of all processes.
+          other_release: checkout of another release, which every second node
+            runs; None runs this release only.
         """
         folder.mkdir(parents=True, exist_ok=True)
         self._schedule = schedule
@@ -109,10 +113,10 @@
         self._outages: list[checks.Outage] = []
         self._versions: dict[str, list[int]] = collections.defaultdict(list)
         self._fleet: fleets.Fleet
-        self._began = 0.0
+        self._run_start = 0.0
 
     async def play(self) -> Outcome:
-        """Plays the schedule and checks what was seen.
+        """Executes the schedule and checks the guarantees.
 
         Raises:
           exceptions.EndivewindError: the fleet did not start.
@@ -121,40 +125,43 @@
         async with fleets.Fleet(self._folder, self._other_release) as fleet:
             self._fleet = fleet
             await fleet.start()
-            await self._recovered()
+            await self._wait_for_recovery()
             self._findings.clear()
-            told = await self._under_faults()
-            await self._recovered()
-            await self._agreed()
+            told = await self._run_with_faults()
+            await self._wait_for_recovery()
+            await self._wait_for_agreement()
             return self._check(told)
 
-    async def _under_faults(self) -> list[checks.Told]:
+    async def _run_with_faults(self) -> list[checks.Told]:
         rng = random.Random(self._schedule.seed)
-        self._began = asyncio.get_running_loop().time()
+        self._run_start = asyncio.get_running_loop().time()
         urls = self._fleet.callers_urls()
-        calling = [
+        all_callers = [
             callers.Caller(f"c{number}", urls, random.Random(rng.random()))
             for number in range(CALLERS)
         ]
-        tasks = [asyncio.create_task(item.run(self._began)) for item in calling]
-        looking = asyncio.create_task(self._look())
+        tasks = [
+            asyncio.create_task(item.run(self._run_start))
+            for item in all_callers
+        ]
+        recording = asyncio.create_task(self._record_versions())
         await asyncio.gather(
-            *(self._fault(fault) for fault in self._schedule.faults)
+            *(self._inject_fault(fault) for fault in self._schedule.faults)
         )
-        await self._clear()
-        for item in calling:
+        await self._clear_faults()
+        for item in all_callers:
             item.stop()
         await asyncio.gather(*tasks)
-        looking.cancel()
-        return [told for item in calling for told in item.told]
+        recording.cancel()
+        return [told for item in all_callers for told in item.told]
 
-    async def _fault(self, fault: schedules.Fault) -> None:
-        """Begins one fault in time, waits, and ends it."""
-        await self._until(fault.at)
+    async def _inject_fault(self, fault: schedules.Fault) -> None:
+        """Starts one fault at its time and ends it after its duration."""
+        await self._sleep_until(fault.at)
         group = fault.kind.value.partition("-")[0]
-        if group == "link" or fault.kind in _BREAKS_STREAMS:
-            noticed = fault.ends + NOTICE_SECONDS
-            outage = checks.Outage(checks.ANY, fault.at, noticed)
+        if group == "link" or fault.kind in _STREAM_BREAKING_KINDS:
+            detected_at = fault.ends + NOTICE_SECONDS
+            outage = checks.Outage(checks.ANY, fault.at, detected_at)
             self._outages.append(outage)
         match group:
             case "node":
@@ -166,7 +173,7 @@
             case "platform":
                 await self._platform_fault(fault)
             case _:
-                await self._race(fault)
+                await self._race_submits(fault)
 
     def _subject(self, fault: schedules.Fault, group: str) -> str:
         count = schedules.NODES if group == "node" else schedules.TARGETS
@@ -175,7 +182,7 @@
     async def _node_fault(self, fault: schedules.Fault, name: str) -> None:
         fleet = self._fleet
         if not fleet.is_running(name):
-            # Another fault holds it down, and brings it back.
+            # Another fault has stopped it and will restart it.
             return
         match fault.kind:
             case Kind.NODE_RELOADS:
@@ -190,12 +197,14 @@
                 await fleet.start_node(name)
 
     async def _stop(self, fault: schedules.Fault, name: str) -> None:
-        """A planned stop; a process that does not end is ended at last."""
+        """Stops a node gracefully, or kills it if it does not exit."""
         code = await self._fleet.stop(name)
         if code is None:
-            self._found(checks.Promise.EXIT, f"{name} does not stop")
+            self._add_finding(
+                checks.Promise.EXIT, f"{name} did not stop on SIGTERM"
+            )
             await self._kill(fault, name)
-        await self._until(fault.ends)
+        await self._sleep_until(fault.ends)
 
     async def _target_fault(self, fault: schedules.Fault, name: str) -> None:
         if fault.kind is Kind.TARGET_PAUSED:
@@ -205,33 +214,33 @@
             await self._fleet.start_target(name)
         else:
             await self._fleet.target_fault(name, **_TARGET_FAULTS[fault.kind])
-            await self._until(fault.ends)
+            await self._sleep_until(fault.ends)
             await self._fleet.target_fault(name)
 
     async def _pause(self, fault: schedules.Fault, name: str) -> None:
         process = self._fleet.processes[name]
         process.signal(signal.SIGSTOP)
-        await self._until(fault.ends)
+        await self._sleep_until(fault.ends)
         process.signal(signal.SIGCONT)
 
     async def _kill(self, fault: schedules.Fault, name: str) -> None:
         process = self._fleet.processes[name]
-        began = self._now()
+        killed_at = self._now()
         process.signal(signal.SIGCONT)
         process.signal(signal.SIGKILL)
         await process.ended()
-        await self._until(fault.ends)
-        self._outages.append(checks.Outage(name, began, self._now()))
+        await self._sleep_until(fault.ends)
+        self._outages.append(checks.Outage(name, killed_at, self._now()))
 
     async def _link_fault(self, fault: schedules.Fault, name: str) -> None:
-        before = self._fleet.relays[name]
+        node_relay = self._fleet.relays[name]
         if fault.kind is Kind.LINK_RESET:
-            before.cut()
+            node_relay.cut()
             return
         direction, mode = _LINK_FAULTS[fault.kind]
-        setattr(before, direction, mode)
-        await self._until(fault.ends)
-        setattr(before, direction, relay.Mode.PASS)
+        setattr(node_relay, direction, mode)
+        await self._sleep_until(fault.ends)
+        setattr(node_relay, direction, relay.Mode.PASS)
 
     async def _platform_fault(self, fault: schedules.Fault) -> None:
         action = _PLATFORM_ACTIONS.get(fault.kind)
@@ -239,25 +248,25 @@
             await self._fleet.control(action)
             return
         await self._fleet.platform_faults(_PLATFORM_FAULTS[fault.kind])
-        await self._until(fault.ends)
+        await self._sleep_until(fault.ends)
         await self._fleet.platform_faults()
 
-    async def _race(self, fault: schedules.Fault) -> None:
-        """Two operators submit different slots at once."""
+    async def _race_submits(self, fault: schedules.Fault) -> None:
+        """Submits two different numbers of slots concurrently."""
         submits = []
         for number in (0, 1):
-            wanted = copy.deepcopy(fleets.CONFIGURATION)
-            wanted["services"][fleets.SERVICE]["slots"] = 4 + number
+            changed = copy.deepcopy(fleets.CONFIGURATION)
+            changed["services"][fleets.SERVICE]["slots"] = 4 + number
             name = f"submit-{round(100 * fault.at)}-{number}"
-            submits.append(self._fleet.submit(wanted, name))
+            submits.append(self._fleet.submit(changed, name))
         await asyncio.gather(*submits)
 
-    async def _clear(self) -> None:
-        """Ends what overlapping faults have left behind."""
+    async def _clear_faults(self) -> None:
+        """Ends all faults; overlapping faults may have left some active."""
         fleet = self._fleet
         await fleet.platform_faults()
-        for before in fleet.relays.values():
-            before.towards = before.back = relay.Mode.PASS
+        for node_relay in fleet.relays.values():
+            node_relay.towards = node_relay.back = relay.Mode.PASS
         for process in fleet.processes.values():
             process.signal(signal.SIGCONT)
         for number in range(schedules.TARGETS):
@@ -265,51 +274,53 @@
             await fleet.target_fault(f"target-{number}")
         for name in fleet.nodes:
             if not fleet.is_running(name):
-                self._found(checks.Promise.EXIT, f"{name} has ended")
+                self._add_finding(
+                    checks.Promise.EXIT, f"{name} exited unexpectedly"
+                )
                 await fleet.start_node(name)
 
-    async def _look(self) -> None:
-        """Writes down which version each start of a node has in force."""
-        timeout = aiohttp.ClientTimeout(total=_ASK_SECONDS)
+    async def _record_versions(self) -> None:
+        """Records the version in force at each incarnation of a node."""
+        timeout = aiohttp.ClientTimeout(total=_OPERATOR_TIMEOUT_SECONDS)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 for name in self._fleet.nodes:
                     start = self._fleet.starts[name]
-                    version = await self._in_force(session, name)
-                    # A start that came meanwhile may have answered instead.
-                    same = start == self._fleet.starts[name]
-                    if version is not None and same:
+                    version = await self._version_in_force(session, name)
+                    # A new incarnation may have responded instead.
+                    is_same_incarnation = start == self._fleet.starts[name]
+                    if version is not None and is_same_incarnation:
                         self._versions[f"{name}.{start}"].append(version)
                 await asyncio.sleep(LOOK_SECONDS)
 
-    async def _in_force(
+    async def _version_in_force(
         self, session: aiohttp.ClientSession, name: str
     ) -> int | None:
-        """The service's version at a node; None where it does not answer."""
+        """Returns the service's version at a node, None without a response."""
         url = self._fleet.operators_url(name)
-        query = {"object": _OBJECT}
+        query = {"object": _OBJECT_NAME}
         try:
             async with session.get(
                 url + configuration.PATH, params=query
             ) as response:
-                answer = await response.json()
-                return int(answer["nodes"][name][_OBJECT]["in_force"])
+                status = await response.json()
+                return int(status["nodes"][name][_OBJECT_NAME]["in_force"])
         except (TimeoutError, aiohttp.ClientError, KeyError):
             return None
 
-    async def _recovered(self) -> None:
-        """Waits until each node answers some look-ups in a row."""
+    async def _wait_for_recovery(self) -> None:
+        """Waits until each node serves PROBES_PER_NODE look-ups in a row."""
         end = self._now() + RECOVERY_SECONDS
-        failed = "no probe was sent"
+        failure = "no probe was sent"
         while self._now() < end:
-            failed = await self._probe()
-            if not failed:
+            failure = await self._probe()
+            if not failure:
                 return
             await asyncio.sleep(LOOK_SECONDS)
-        self._found(checks.Promise.RECOVERED, failed)
+        self._add_finding(checks.Promise.RECOVERED, failure)
 
     async def _probe(self) -> str:
-        """What fails of some look-ups at each node; empty if none does."""
+        """Returns the first failed look-up at any node, or an empty string."""
         timeout = aiohttp.ClientTimeout(total=4)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             for name, url in self._fleet.callers_urls().items():
@@ -323,21 +334,21 @@
                         return f"{name}: {type(error).__name__} {error}"
         return ""
 
-    async def _agreed(self) -> None:
+    async def _wait_for_agreement(self) -> None:
         """Waits until all nodes have the same version in force."""
         end = self._now() + RECOVERY_SECONDS
         versions: dict[str, int | None] = {}
-        timeout = aiohttp.ClientTimeout(total=_ASK_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=_OPERATOR_TIMEOUT_SECONDS)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while self._now() < end:
                 versions = {
-                    name: await self._in_force(session, name)
+                    name: await self._version_in_force(session, name)
                     for name in self._fleet.nodes
                 }
                 if len(set(versions.values())) == 1 and all(versions.values()):
                     return
                 await asyncio.sleep(LOOK_SECONDS)
-        self._found(checks.Promise.AGREED, json.dumps(versions))
+        self._add_finding(checks.Promise.AGREED, json.dumps(versions))
 
     def _check(self, told: list[checks.Told]) -> Outcome:
         runs = self._fleet.runs
@@ -349,7 +360,7 @@
                 told,
                 runs,
                 fleets.RETRY_PERCENT / 100,
-                # The reserve counts in every window of ten seconds.
+                # The reserve applies to each window of ten seconds.
                 fleets.RETRY_RESERVE * (1 + self._schedule.seconds / 10),
             ),
         ]
@@ -358,11 +369,11 @@
         answered = sum(item.status == 200 for item in told)
         return Outcome(self._schedule, len(told), answered, tuple(findings))
 
-    def _found(self, promise: checks.Promise, detail: str) -> None:
+    def _add_finding(self, promise: checks.Promise, detail: str) -> None:
         self._findings.append(checks.Finding(promise, detail))
 
     def _now(self) -> float:
-        return asyncio.get_running_loop().time() - self._began
+        return asyncio.get_running_loop().time() - self._run_start
 
-    async def _until(self, seconds: float) -> None:
+    async def _sleep_until(self, seconds: float) -> None:
         await asyncio.sleep(max(0.0, seconds - self._now()))
--- a/endivewind/soak/schedules.py
+++ b/endivewind/soak/schedules.py
@@ -1,4 +1,7 @@
-"""What goes wrong in one run of the soak, and when: drawn from a seed."""
+"""Schedules of the soak: faults and their times, generated from a seed.
+
+Also converts schedules to and from JSON, and shrinks failing ones.
+"""
 
 import collections.abc
 import dataclasses
@@ -9,13 +12,15 @@
 
 
 class Kind(enum.StrEnum):
-    """One kind of fault; all come from outside the processes.
-
-    NODE_, TARGET_: signals to a process. A stopped or killed one is started
-    again when the fault ends; a paused one goes on. LINK_: the relay before
-    one node's address for other nodes. PLATFORM_: the platform's stand-in;
-    FORGETS loses its history, EMPTIES the whole store, RESTORES goes back to
-    its state at the run's begin. SUBMIT_RACE: two operators submit at once.
+    """Kind of a fault; all faults are injected from outside the processes.
+
+    NODE_*, TARGET_*: signals to a process, or faults of the target stand-in.
+    A stopped or killed process is restarted when the fault ends, a paused one
+    is resumed. LINK_*: faults of the relay in front of one node's address for
+    other nodes; DEAF drops bytes to the node, MUTE bytes from it.
+    PLATFORM_*: faults of the platform stand-in; FORGETS discards its log of
+    writes, EMPTIES the whole store, and RESTORES restores the state at the
+    start of the run. SUBMIT_RACE: two operators submit concurrently.
     """
 
     NODE_STOPS = "node-stops"
@@ -46,7 +51,7 @@
 
 NODES = 4
 TARGETS = 6
-# A fault for every second on average, so that most overlap with others.
+# Frequent enough that most faults overlap with others.
 FAULTS_PER_SECOND = 0.8
 SHORTEST_SECONDS = 0.2
 LONGEST_SECONDS = 5.0
@@ -57,10 +62,11 @@
     """One fault.
 
     Attributes:
-      kind: what goes wrong.
-      at: seconds after the run's begin.
-      lasts: seconds until it ends.
-      subject: number of the node or target that it hits.
+      kind: kind of the fault.
+      at: start, in seconds after the start of the run.
+      lasts: duration in seconds.
+      subject: number that selects the affected node or target, modulo their
+        count.
     """
 
     kind: Kind
@@ -70,18 +76,18 @@
 
     @property
     def ends(self) -> float:
-        """Seconds after the run's begin."""
+        """End, in seconds after the start of the run."""
         return self.at + self.lasts
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Schedule:
-    """All faults of one run, in order.
+    """All faults of one run.
 
     Attributes:
-      seed: of the faults and of the callers' choices.
-      seconds: how long faults begin.
-      faults: in the order of their begin.
+      seed: seed of the faults and of the callers' random choices.
+      seconds: length of the period in which faults start.
+      faults: in the order of their start.
     """
 
     seed: int
@@ -89,18 +95,18 @@
     faults: tuple[Fault, ...]
 
     def to_json(self) -> str:
-        """The schedule as text that from_json takes."""
+        """Returns the schedule as JSON, which from_json parses."""
         return json.dumps(dataclasses.asdict(self), indent=1)
 
     @classmethod
     def from_json(cls, text: str) -> "Schedule":
-        """A schedule from its text.
+        """Parses a schedule from JSON.
 
         Raises:
-          ValueError: the text is no schedule.
+          ValueError: the text is no valid schedule.
         """
         try:
-            given: dict[str, Any] = json.loads(text)
+            data: dict[str, Any] = json.loads(text)
             faults = tuple(
                 Fault(
                     Kind(item["kind"]),
@@ -108,24 +114,22 @@
                     float(item["lasts"]),
                     int(item["subject"]),
                 )
-                for item in given["faults"]
+                for item in data["faults"]
             )
-            return cls(int(given["seed"]), float(given["seconds"]), faults)
+            return cls(int(data["seed"]), float(data["seconds"]), faults)
         except (KeyError, TypeError) as error:
-            raise ValueError(f"no schedule: {error}") from error
+            raise ValueError(f"not a valid schedule: {error}") from error
 
-    def without(self, dropped: int) -> "Schedule":
-        """The same schedule without one of its faults, by its number."""
+    def without(self, index: int) -> "Schedule":
+        """Returns the schedule without the fault at an index."""
         kept = [
-            fault
-            for number, fault in enumerate(self.faults)
-            if number != dropped
+            fault for index, fault in enumerate(self.faults) if index != index
         ]
         return dataclasses.replace(self, faults=tuple(kept))
 
 
 def draw(seed: int, seconds: float) -> Schedule:
-    """The schedule of a seed; the same every time."""
+    """Generates the schedule of a seed, deterministically."""
     rng = random.Random(seed)
     count = max(1, round(FAULTS_PER_SECOND * seconds * rng.uniform(0.5, 1.5)))
     kinds = list(Kind)
@@ -138,10 +142,10 @@
         )
         for _ in range(count)
     ]
-    return Schedule(seed, seconds, tuple(sorted(faults, key=_begin)))
+    return Schedule(seed, seconds, tuple(sorted(faults, key=_start_time)))
 
 
-def _begin(fault: Fault) -> float:
+def _start_time(fault: Fault) -> float:
     return fault.at
 
 
@@ -151,12 +155,12 @@
         [Schedule], collections.abc.Awaitable[bool]
     ],
 ) -> Schedule:
-    """Drops faults, one at a time, as long as the run stays red."""
-    number = 0
-    while number < len(schedule.faults):
-        smaller = schedule.without(number)
+    """Removes faults one by one as long as the run still fails."""
+    index = 0
+    while index < len(schedule.faults):
+        smaller = schedule.without(index)
         if await is_red(smaller):
             schedule = smaller
         else:
-            number += 1
+            index += 1
     return schedule
--- a/endivewind/standins/world.py
+++ b/endivewind/standins/world.py
@@ -1,8 +1,9 @@
-"""A few nodes on one virtual loop, with a fault at any step of an exchange.
+"""A simulated cluster on one virtual loop, with faults at exchange steps.
 
-The code of tickets, gateway, hand-over and dispatch is the product's; links
-and the targets' HTTP are fakes at its interfaces that fail on demand. It
-plays no load and measures no time.
+Tickets, gateway and dispatch run the production code. Links and the HTTP
+client to targets are fakes that inject faults. The fault matrix and the
+fuzz test of the at-most-once guarantee use it; it generates no load and
+measures no latency.
 """
 
 import asyncio
@@ -40,7 +41,7 @@
 ROUTE = objects.Route(service=SERVICE, repeat=objects.Repeat.NEVER)
 DEADLINE = datetime.timedelta(seconds=5)
 DELAY_SECONDS = 0.5
-# A second copy comes while the first one is still worked on.
+# The second copy arrives while the first one is still being processed.
 DUPLICATE_SECONDS = 0.05
 PAUSE_SECONDS = 30.0
 WORK_SECONDS = 0.2
@@ -48,14 +49,14 @@
 SETTLED = datetime.timedelta(minutes=1)
 ENTRIES = ("entry-1", "entry-2")
 HOMES = ("home-1", "home-2")
-_SLOTS = 4
-_KEPT_BYTES = 1024
+_SLOTS_PER_TARGET = 4
+_MAX_KEPT_BYTES = 1024
 
 AnswerResult = gateway.AnswerResult
 
 
 class Step(enum.StrEnum):
-    """Where an exchange can fail."""
+    """A step of an exchange at which a fault can be injected."""
 
     ISSUER_CONNECT = "issuer-connect"
     ISSUER_REQUEST = "issuer-request"
@@ -70,7 +71,15 @@
 
 
 class Fault(enum.StrEnum):
-    """What happens there."""
+    """What happens at a step.
+
+    DROP and TRUNCATE break the connection and lose the message. CROSS breaks
+    it, too, but a request over a link is still delivered. DUPLICATE delivers
+    a request over a link twice; DELAY delivers a message later. PARTITION and
+    SILENCE deliver nothing while the connection stays open; so does PAUSE,
+    but the receiver handles a request after its pause. CRASH crashes the
+    receiver. A fault that does not apply to a step has no effect there.
+    """
 
     DROP = "drop"
     DUPLICATE = "duplicate"
@@ -83,88 +92,95 @@
     SILENCE = "silence"
 
 
-# Faults after which the sender hears nothing and gives up by itself.
-_UNHEARD = frozenset({Fault.PARTITION, Fault.SILENCE, Fault.PAUSE})
-_BROKEN = frozenset({Fault.DROP, Fault.TRUNCATE, Fault.CROSS})
+# Faults after which the sender gets no response and has to time out.
+_NO_RESPONSE_FAULTS = frozenset({Fault.PARTITION, Fault.SILENCE, Fault.PAUSE})
+_LINK_LOST_FAULTS = frozenset({Fault.DROP, Fault.TRUNCATE, Fault.CROSS})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Hop:
-    """The three steps of one exchange over a link."""
+class _LinkSteps:
+    """The three steps of an exchange over one link."""
 
     connect: Step
     request: Step
     answer: Step
 
 
-_TO_ISSUER = _Hop(Step.ISSUER_CONNECT, Step.ISSUER_REQUEST, Step.ISSUER_ANSWER)
-_TO_HOME = _Hop(Step.HOME_CONNECT, Step.HOME_REQUEST, Step.HOME_ANSWER)
+_ISSUER_STEPS = _LinkSteps(
+    Step.ISSUER_CONNECT, Step.ISSUER_REQUEST, Step.ISSUER_ANSWER
+)
+_HOME_STEPS = _LinkSteps(Step.HOME_CONNECT, Step.HOME_REQUEST, Step.HOME_ANSWER)
 
 
 @dataclasses.dataclass(slots=True)
 class Told:
-    """What callers were told under one key, and what ran."""
+    """The work of one key and the results that its callers received.
+
+    Attributes:
+      work: id of the work.
+      results: results of the requests sent with the key.
+    """
 
     work: str
     results: list[AnswerResult] = dataclasses.field(default_factory=list)
 
 
 class Violation(Exception):
-    """A promise to callers that was broken."""
+    """A guarantee to callers that was violated."""
 
 
 class World:
-    """Nodes, targets and callers."""
+    """A simulated cluster of nodes, targets and callers."""
 
     def __init__(self, loop: virtual.VirtualLoop) -> None:
-        """Starts two entries and two homes, on which all targets are."""
+        """Starts two entry nodes and two homes with one target each."""
         self.loop = loop
         self.clock = virtual.LoopClock(loop)
         self.faults: dict[Step, Fault] = {}
         self.runs: collections.Counter[str] = collections.Counter()
         self.told: dict[str, Told] = {}
         self.names = [*ENTRIES, *HOMES]
-        self._numbers = itertools.count(1)
+        self._counter = itertools.count(1)
         self._tasks: set[asyncio.Task[Any]] = set()
         self.nodes: dict[str, Member] = {}
         for name in self.names:
-            self.nodes[name] = Member(self, name, next(self._numbers))
+            self.nodes[name] = Member(self, name, next(self._counter))
         for name in self.names:
             self.announce(name)
         self.run(asyncio.sleep(RENEWAL_SECONDS))
 
     def announce(self, name: str) -> None:
-        """Lets every node hear of a node's present start and its target."""
+        """Tells all nodes a node's present incarnation and its target."""
         member = self.nodes[name]
         for node in self.nodes.values():
             node.hear(member)
             member.hear(node)
 
     def crash(self, name: str) -> None:
-        """Ends a node and starts it again; the others have not heard yet."""
+        """Crashes a node and restarts it, without telling the other nodes."""
         self.nodes[name].end()
-        fresh = Member(self, name, next(self._numbers))
+        fresh = Member(self, name, next(self._counter))
         self.nodes[name] = fresh
         for node in self.nodes.values():
             fresh.hear(node)
 
     def fault(self, step: Step) -> Fault | None:
-        """The fault of a step, once."""
+        """Returns the fault of a step and removes it."""
         return self.faults.pop(step, None)
 
     def issue(self, entry: str) -> str:
-        """A fresh key of a node, for work of its own."""
+        """Issues a new key (a ticket) at a node and assigns work to it."""
         key = self.nodes[entry].ticketing.issue("boat")
-        self.told[key] = Told(f"work-{next(self._numbers)}")
+        self.told[key] = Told(f"work-{next(self._counter)}")
         return key
 
     def send(self, entry: str, key: str) -> asyncio.Task[Any]:
-        """Sends the work of a key to a node."""
+        """Sends the work of a key to a node, as a caller does."""
         member = self.nodes[entry]
         return member.start(self._send(member, key))
 
     def settle(self) -> None:
-        """Lets everything end that is still on its way."""
+        """Lets time pass until all pending requests have ended."""
         self.run(asyncio.sleep(SETTLED.total_seconds()))
 
     def wait(self, seconds: float) -> None:
@@ -172,64 +188,72 @@
         self.run(asyncio.sleep(seconds))
 
     def run(self, work: collections.abc.Coroutine[Any, Any, Any]) -> Any:
-        """Runs work on the loop."""
+        """Runs a coroutine on the loop until it completes."""
         return self.loop.run_until_complete(work)
 
     def close(self) -> None:
-        """Ends every node."""
+        """Stops all nodes and closes the loop."""
         for member in self.nodes.values():
             member.end()
         self.run(asyncio.sleep(0))
         self.loop.close()
 
     def check(self) -> None:
-        """Raises Violation if a caller was told what is not so."""
-        for key, told in self.told.items():
-            runs = self.runs[told.work]
+        """Compares the callers' results with what ran.
+
+        Raises:
+          GuaranteeViolation: work ran twice, or a result is false.
+        """
+        for key, record in self.told.items():
+            runs = self.runs[record.work]
             if runs > 1:
-                raise Violation(f"{told.work} ran {runs} times")
-            for result in told.results:
-                _check(told, result, runs, key)
+                raise Violation(f"{record.work} ran {runs} times")
+            for result in record.results:
+                _check_result(record, result, runs, key)
 
     async def _send(self, member: "Member", key: str) -> None:
-        told = self.told[key]
+        record = self.told[key]
         head = exchange.RequestHead(
-            request_id=told.work,
+            request_id=record.work,
             method="POST",
             path="/payouts",
-            headers=((b"work", told.work.encode()),),
+            headers=((b"work", record.work.encode()),),
             service=SERVICE,
             workspace="boat",
             remaining=DEADLINE,
             ticket=key,
         )
-        body = exchange.RequestBody(told.work.encode())
+        body = exchange.RequestBody(record.work.encode())
         sending = member.ticketing.serve(ROUTE, head, body)
         if self.fault(Step.CALLER_ANSWER) is not None:
-            # The caller leaves at once; what it would hear is lost.
+            # The caller disconnects, so the response is lost.
             task = member.start(sending)
             await asyncio.sleep(WORK_SECONDS / 2)
             task.cancel()
             return
-        told.results.append(await sending)
+        record.results.append(await sending)
 
 
-def _check(told: Told, result: AnswerResult, runs: int, key: str) -> None:
+def _check_result(
+    record: Told, result: AnswerResult, runs: int, key: str
+) -> None:
     if result.is_ok():
-        if result.ok.body != told.work.encode():
-            raise Violation(f"{told.work} got {result.ok.body!r}")
+        if result.ok.body != record.work.encode():
+            raise Violation(f"{record.work} got response {result.ok.body!r}")
         if runs != 1:
-            raise Violation(f"{told.work} was answered and ran {runs} times")
+            raise Violation(
+                f"{record.work} got a response but ran {runs} times"
+            )
         return
     outcome = result.error.outcome
     if outcome is exchange.Outcome.NOT_RUN and runs:
-        raise Violation(f"{told.work} ran after {result.error} ({key})")
+        raise Violation(f"{record.work} ran after {result.error} ({key})")
     if outcome is exchange.Outcome.RAN and runs != 1:
-        raise Violation(f"{told.work} did not run, but {result.error}")
+        raise Violation(f"{record.work} did not run despite {result.error}")
 
 
 class Member:
-    """One start of a node, with one target at home."""
+    """One incarnation of a node; homes have one target."""
 
     def __init__(self, world: World, name: str, incarnation: int) -> None:
         self._world = world
@@ -241,7 +265,7 @@
         rng = random.Random(incarnation)
         identity = registry.HomeIdentity(name, incarnation, "r", "z")
         self.targets = registry.TargetRegistry(identity, world.clock)
-        session = cast(aiohttp.ClientSession, _Session(world))
+        session = cast(aiohttp.ClientSession, _FaultySession(world))
         self.dispatcher = dispatch.Dispatcher(
             self.targets,
             session,
@@ -250,7 +274,7 @@
             dispatch.Unobserved(),
             handover.HandOverLedger(),
         )
-        pool = cast(links.LinkPool, _Pool(world, self))
+        pool = cast(links.LinkPool, _FaultyLinkPool(world, self))
         served = gateway.Gateway(
             name,
             placement.Placement(
@@ -275,18 +299,18 @@
         )
         self.ticketing = ticketing.Ticketing(
             issuer,
-            ticket_book.TicketBook(kept_answer_bytes=_KEPT_BYTES),
+            ticket_book.TicketBook(kept_answer_bytes=_MAX_KEPT_BYTES),
             served,
             self.fleet,
             pool,
             world.clock,
-            _KEPT_BYTES,
+            _MAX_KEPT_BYTES,
         )
         if name in HOMES:
-            self.start(self._hold_target())
+            self.start(self._renew_target_lease())
 
     def hear(self, other: "Member") -> None:
-        """Takes another start of a node, and its target, into the view."""
+        """Adds another node's incarnation and its target to the view."""
         self.fleet.put_node(other.record)
         if other.name not in HOMES:
             return
@@ -298,7 +322,7 @@
             sequence=1,
             region="r",
             zone="z",
-            slots=_SLOTS,
+            slots=_SLOTS_PER_TARGET,
             weight=1,
             state=records.State.READY,
             health=records.Health.NORMAL,
@@ -307,27 +331,29 @@
             other.name, other.record.incarnation, 1, (record,)
         )
 
-    async def _hold_target(self) -> None:
-        """Keeps the lease of this home's target."""
+    async def _renew_target_lease(self) -> None:
+        """Renews the lease of this home's target."""
         announcement = registry.Announcement(
             service=SERVICE, address="http://target", lease_ms=60_000
         )
         while True:
             self.targets.expire()
-            self.targets.announce(f"target-{self.name}", announcement, _SLOTS)
+            self.targets.announce(
+                f"target-{self.name}", announcement, _SLOTS_PER_TARGET
+            )
             await asyncio.sleep(RENEWAL_SECONDS)
 
     def start(
         self, work: collections.abc.Coroutine[Any, Any, Any]
     ) -> asyncio.Task[Any]:
-        """Runs work that ends with this start of the node."""
+        """Starts a task that ends with this incarnation of the node."""
         task = self._world.loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def end(self) -> None:
-        """Crashes: nothing of this start goes on."""
+        """Crashes the node: cancels all tasks of this incarnation."""
         self.alive = False
         for task in self._tasks:
             task.cancel()
@@ -339,8 +365,8 @@
 ]
 
 
-class _Pool:
-    """Links that fail as told; the same verdicts as links.LinkPool."""
+class _FaultyLinkPool:
+    """A fake links.LinkPool that injects faults and returns its results."""
 
     def __init__(self, world: World, owner: Member) -> None:
         self._world = world
@@ -353,7 +379,7 @@
         head: exchange.RequestHead,
         body: exchange.RequestBody,
     ) -> AnswerResult:
-        """As LinkPool.forward."""
+        """Forwards a request to a home, as LinkPool.forward does."""
 
         async def deliver(member: Member) -> AnswerResult:
             return await member.dispatcher.run_forwarded(
@@ -361,7 +387,7 @@
             )
 
         return await self._call(
-            home.name, _TO_HOME, deliver, links.HOME_FAILURES
+            home.name, _HOME_STEPS, deliver, links.HOME_FAILURES
         )
 
     async def forward_to_issuer(
@@ -372,7 +398,7 @@
         body: exchange.RequestBody,
         priority: str,
     ) -> AnswerResult:
-        """As LinkPool.forward_to_issuer."""
+        """Forwards to an issuer, as LinkPool.forward_to_issuer does."""
 
         async def deliver(member: Member) -> AnswerResult:
             return await member.ticketing.execute(
@@ -380,13 +406,17 @@
             )
 
         return await self._call(
-            issuer.name, _TO_ISSUER, deliver, links.ISSUER_FAILURES
+            issuer.name, _ISSUER_STEPS, deliver, links.ISSUER_FAILURES
         )
 
     async def _call(
-        self, name: str, hop: _Hop, deliver: Deliver, failures: links.Failures
+        self,
+        name: str,
+        steps: _LinkSteps,
+        deliver: Deliver,
+        failures: links.Failures,
     ) -> AnswerResult:
-        match self._world.fault(hop.connect):
+        match self._world.fault(steps.connect):
             case None | Fault.DUPLICATE | Fault.CROSS | Fault.TRUNCATE:
                 pass
             case Fault.DELAY:
@@ -399,25 +429,25 @@
             case _:
                 await asyncio.sleep(links.CONNECT_TIMEOUT.total_seconds())
                 return expression.Error(failures.unreachable("no answer"))
-        result = await self._exchange(name, hop, deliver)
+        result = await self._send_request(name, steps, deliver)
         if result is None:
             return expression.Error(failures.lost("link broken"))
         return result
 
-    async def _exchange(
-        self, name: str, hop: _Hop, deliver: Deliver
+    async def _send_request(
+        self, name: str, steps: _LinkSteps, deliver: Deliver
     ) -> AnswerResult | None:
-        """Sends over an open link; None where the link was lost."""
+        """Sends over an open link; returns None if the link was lost."""
         member = self._world.nodes[name]
         silence = links.SILENCE_LIMIT.total_seconds()
-        fault = self._world.fault(hop.request)
+        fault = self._world.fault(steps.request)
         if fault is Fault.CRASH:
             self._world.crash(name)
             return None
         if fault is Fault.PAUSE:
-            # What lies in the paused node's sockets is handled later.
-            member.start(_later(PAUSE_SECONDS, deliver, member))
-        if fault in _UNHEARD:
+            # The paused node handles the request in its socket buffer later.
+            member.start(_deliver_later(PAUSE_SECONDS, deliver, member))
+        if fault in _NO_RESPONSE_FAULTS:
             await asyncio.sleep(silence)
             return None
         if fault in (Fault.DROP, Fault.TRUNCATE):
@@ -425,25 +455,25 @@
         if fault is Fault.DELAY:
             await asyncio.sleep(DELAY_SECONDS)
         if fault is Fault.DUPLICATE:
-            member.start(_later(DUPLICATE_SECONDS, deliver, member))
+            member.start(_deliver_later(DUPLICATE_SECONDS, deliver, member))
         running = member.start(deliver(member))
-        return await self._answer(name, hop, running, fault)
+        return await self._await_response(name, steps, running, fault)
 
-    async def _answer(
+    async def _await_response(
         self,
         name: str,
-        hop: _Hop,
+        steps: _LinkSteps,
         running: asyncio.Task[AnswerResult],
         request_fault: Fault | None,
     ) -> AnswerResult | None:
-        fault = self._world.fault(hop.answer)
-        if fault in _UNHEARD:
+        fault = self._world.fault(steps.answer)
+        if fault in _NO_RESPONSE_FAULTS:
             await asyncio.sleep(links.SILENCE_LIMIT.total_seconds())
             return None
         try:
             result = await running
         except asyncio.CancelledError:
-            if not running.cancelled() or self._owner_leaves():
+            if not running.cancelled() or self._is_caller_cancelled():
                 running.cancel()
                 raise
             return None
@@ -452,22 +482,24 @@
             return None
         if fault is Fault.DELAY:
             await asyncio.sleep(DELAY_SECONDS)
-        if fault in _BROKEN or request_fault is Fault.CROSS:
+        if fault in _LINK_LOST_FAULTS or request_fault is Fault.CROSS:
             return None
         return result
 
-    def _owner_leaves(self) -> bool:
+    def _is_caller_cancelled(self) -> bool:
         task = asyncio.current_task()
         return task is not None and task.cancelling() > 0
 
 
-async def _later(seconds: float, deliver: Deliver, member: Member) -> None:
+async def _deliver_later(
+    seconds: float, deliver: Deliver, member: Member
+) -> None:
     await asyncio.sleep(seconds)
     await deliver(member)
 
 
-class _Session:
-    """The HTTP client towards targets, which fails as told."""
+class _FaultySession:
+    """A fake HTTP client for targets that injects faults."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -481,7 +513,7 @@
         allow_redirects: bool,
         trace_request_ctx: Any,
     ) -> Any:
-        """As aiohttp.ClientSession.request, with the dispatcher's errors."""
+        """Acts as aiohttp.ClientSession.request and its connection errors."""
         await self._connect()
         trace_request_ctx.connected = True
         work = headers["work"]
@@ -491,13 +523,15 @@
             case Fault.SILENCE | Fault.PARTITION:
                 await asyncio.sleep(SETTLED.total_seconds())
             case Fault.PAUSE:
-                self._world.loop.call_later(PAUSE_SECONDS, self._ran, work)
+                self._world.loop.call_later(
+                    PAUSE_SECONDS, self._record_run, work
+                )
                 await asyncio.sleep(SETTLED.total_seconds())
             case Fault.DELAY:
                 await asyncio.sleep(DELAY_SECONDS)
             case _:
                 pass
-        self._ran(work)
+        self._record_run(work)
         await asyncio.sleep(WORK_SECONDS)
         match self._world.fault(Step.TARGET_ANSWER):
             case Fault.DROP | Fault.TRUNCATE | Fault.CRASH | Fault.CROSS:
@@ -522,12 +556,12 @@
             case _:
                 pass
 
-    def _ran(self, work: str) -> None:
+    def _record_run(self, work: str) -> None:
         self._world.runs[work] += 1
 
 
 class _Response:
-    """A whole answer of a target: the name of the work."""
+    """A target's complete response, whose body is the id of the work."""
 
     status = 200
     raw_headers: exchange.HeaderList = ()
@@ -537,8 +571,8 @@
         self.content_length = len(body)
 
     async def read(self) -> bytes:
-        """The body."""
+        """Returns the body."""
         return self._body
 
     def close(self) -> None:
-        """Nothing is held."""
+        """Does nothing, since no connection is held."""
