--- a/endivewind/bench/experiment.py
+++ b/endivewind/bench/experiment.py
@@ -1,4 +1,7 @@
-"""One experiment: callers, targets and a policy in virtual time."""
+"""One experiment of `endivewind-bench decisions`.
+
+A discrete-event simulation of callers, targets and one policy.
+"""
 
 import collections
 import dataclasses
@@ -31,21 +34,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """What one experiment shows.
+    """Result of one experiment.
 
     Attributes:
-      detection_seconds: from the first failing request to the last normal
-        one that the sick target got before its ejection; None if it was not
-        ejected while sick.
-      work_lost: requests that ended in failure for their callers.
-      false_ejections: of targets that were not sick.
-      return_seconds: from the end of the fault to normal work; None if the
-        target was not out then.
-      p50_ms: of the callers' answers.
-      p99_ms: of the callers' answers.
-      refusals: requests that no target saw.
-      amplification: tries for each request.
-      least_slots: lowest capacity in normal use.
+      detection_seconds: from the first request that the fault affects to the
+        ejection of the unhealthy target, or to its last request under normal
+        load balancing if that is later; None if it was not ejected while
+        unhealthy.
+      sick_requests: number of requests that an unhealthy target received.
+      work_lost: number of requests that failed for their callers.
+      false_ejections: number of ejections of healthy targets.
+      true_ejections: number of ejections of unhealthy targets.
+      return_seconds: from the end of the fault to the end of the ejection;
+        None if no ejection ended then.
+      p50_ms: median latency of the callers' responses.
+      p99_ms: 99th percentile of the latency of the callers' responses.
+      refusals: number of requests that reached no target.
+      amplification: attempts per request.
+      least_slots: minimum of the slots under normal load balancing.
     """
 
     scenario: str
@@ -69,16 +75,16 @@
     __slots__ = ("ended", "repeatable", "started", "tried", "work")
 
     def __init__(
-        self, work: scenarios.Work, repeatable: bool, started: float
+        self, work: scenarios.Work, is_idempotent: bool, started: float
     ) -> None:
         self.work = work
-        self.repeatable = repeatable
+        self.repeatable = is_idempotent
         self.started = started
         self.tried: set[str] = set()
         self.ended = False
 
 
-class _Try:
+class _Attempt:
     __slots__ = ("ended", "number", "request", "started", "target")
 
     def __init__(
@@ -92,7 +98,7 @@
 
 
 class Experiment:
-    """Open callers with Poisson arrivals, targets with slots, one entry."""
+    """Poisson arrivals (open loop) at one entry node; targets with slots."""
 
     def __init__(
         self,
@@ -106,91 +112,98 @@
         self._seed = seed
         self._time = virtual.VirtualTime()
         self._policy_name = policy
-        self._policy = self._build(policy, profile)
+        self._policy = self._make_policy(policy, profile)
         self._budget = retries.RetryBudget(
             retries.RetryLimits(RETRY_PERCENT / 100)
         )
         self._queue: collections.deque[_Request] = collections.deque()
-        self._running: dict[str, dict[_Try, None]] = collections.defaultdict(
-            dict
+        self._running_attempts: dict[str, dict[_Attempt, None]] = (
+            collections.defaultdict(dict)
         )
         self._latencies: list[float] = []
-        self._requests = self._tries = self._lost = self._refused = 0
-        self._false = self._true = self._sick_requests = 0
-        self._first_sick: float | None = None
-        self._last_normal: float | None = None
-        self._detected: float | None = None
-        self._out: set[int] = set()
-        self._returned: float | None = None
+        self._request_count = self._attempt_count = self._failed_count = (
+            self._refused_count
+        ) = 0
+        self._false_ejections = self._true_ejections = self._sick_requests = 0
+        self._first_affected_at: float | None = None
+        self._last_normal_at: float | None = None
+        self._detected_at: float | None = None
+        self._ejected_targets: set[int] = set()
+        self._returned_at: float | None = None
         self._least_slots = scenarios.TARGETS * scenarios.SLOTS
 
     def run(self) -> Row:
-        """Runs it to its end."""
+        """Runs the experiment and returns its result."""
         if self._scenario.fault is not None:
-            self._time.after(scenarios.FAULT_FROM, self._fault_begins)
-        self._arrive()
+            self._time.after(scenarios.FAULT_FROM, self._start_fault)
+        self._handle_arrival()
         self._time.run(self._scenario.end)
-        return self._row()
+        return self._result()
 
-    def _build(self, policy: str, profile: objects.Profile) -> policies.Policy:
+    def _make_policy(
+        self, policy: str, profile: objects.Profile
+    ) -> policies.Policy:
         if policy == "round-robin":
             return policies.RoundRobin()
         if policy == "consecutive-errors":
-            return policies.ConsecutiveErrors(self._time, self._ejected)
+            return policies.ConsecutiveErrors(self._time, self._record_ejection)
         return policies.Own(
-            profile, self._time, random.Random(self._seed), self._ejected
+            profile,
+            self._time,
+            random.Random(self._seed),
+            self._record_ejection,
         )
 
-    def _arrive(self) -> None:
+    def _handle_arrival(self) -> None:
         scenario = self._scenario
         slots = scenarios.TARGETS * scenarios.SLOTS
         rate = scenario.load * slots / scenario.mean_seconds()
-        count = 1
+        request_count = 1
         if scenario.skewed and self._rng.random() < 0.05:
-            count = 10
+            request_count = 10
         if scenario.skewed:
             rate /= 1.45
-        for _ in range(count):
-            self._request()
-        self._time.after(self._rng.expovariate(rate), self._arrive)
+        for _ in range(request_count):
+            self._create_request()
+        self._time.after(self._rng.expovariate(rate), self._handle_arrival)
 
-    def _request(self) -> None:
+    def _create_request(self) -> None:
         work = self._scenario.work(self._rng)
-        repeatable = self._rng.random() < REPEATABLE
-        request = _Request(work, repeatable, self._time.seconds)
-        self._requests += 1
+        is_idempotent = self._rng.random() < REPEATABLE
+        request = _Request(work, is_idempotent, self._time.seconds)
+        self._request_count += 1
         self._budget.record_request(self._time.monotonic())
-        if self._place(request):
+        if self._start_attempt(request):
             return
         if len(self._queue) >= QUEUE_LIMIT:
-            self._refused += 1
+            self._refused_count += 1
             return
         self._queue.append(request)
 
-    def _place(self, request: _Request) -> bool:
+    def _start_attempt(self, request: _Request) -> bool:
         target = self._policy.choose(request.repeatable, request.tried)
         if target is None:
             return False
         request.tried.add(target)
-        self._tries += 1
+        self._attempt_count += 1
         number = self._policy.started(target)
-        attempt = _Try(request, target, number, self._time.seconds)
-        in_use = len(self._running[target])
-        self._running[target][attempt] = None
+        attempt = _Attempt(request, target, number, self._time.seconds)
+        in_use = len(self._running_attempts[target])
+        self._running_attempts[target][attempt] = None
         self._serve(attempt, in_use)
         return True
 
-    def _serve(self, attempt: _Try, in_use: int) -> None:
+    def _serve(self, attempt: _Attempt, in_use: int) -> None:
         now = self._time.seconds
         target = policies.number_of(attempt.target)
         work = attempt.request.work
         effect = scenarios.WELL
         if self._scenario.is_sick(target, now):
-            self._note_sick(attempt.target, now)
+            self._record_affected_request(attempt.target, now)
             assert self._scenario.fault is not None
             since = now - scenarios.FAULT_FROM
             effect = self._scenario.fault(work, in_use, since, self._rng)
-        left = DEADLINE - (now - attempt.request.started)
+        remaining = DEADLINE - (now - attempt.request.started)
         if effect.refuses or effect.sheds or effect.fails:
             kind = evidence.Kind.ERROR
             if effect.sheds:
@@ -198,31 +211,34 @@
             if effect.refuses:
                 kind = evidence.Kind.REFUSED_CONNECTION
             self._time.after(
-                ERROR_SECONDS, functools.partial(self._end, attempt, kind)
+                ERROR_SECONDS,
+                functools.partial(self._end_attempt, attempt, kind),
             )
             return
         seconds = work.seconds * effect.factor
-        if effect.hangs or seconds >= left:
-            kind, seconds = evidence.Kind.TIMEOUT, max(left, 0.0)
+        if effect.hangs or seconds >= remaining:
+            kind, seconds = evidence.Kind.TIMEOUT, max(remaining, 0.0)
         else:
             kind = evidence.Kind.SUCCESS
-        self._time.after(seconds, functools.partial(self._end, attempt, kind))
+        self._time.after(
+            seconds, functools.partial(self._end_attempt, attempt, kind)
+        )
 
-    def _note_sick(self, target: str, now: float) -> None:
+    def _record_affected_request(self, target: str, now: float) -> None:
         self._sick_requests += 1
-        if self._first_sick is None:
-            self._first_sick = now
-        told = self._detected is not None and (
-            now > self._detected + 2 * policies.GOSSIP_SECONDS
+        if self._first_affected_at is None:
+            self._first_affected_at = now
+        is_propagated = self._detected_at is not None and (
+            now > self._detected_at + 2 * policies.GOSSIP_SECONDS
         )
-        if not told and self._policy.is_normal(target):
-            self._last_normal = now
+        if not is_propagated and self._policy.is_normal(target):
+            self._last_normal_at = now
 
-    def _end(self, attempt: _Try, kind: evidence.Kind) -> None:
+    def _end_attempt(self, attempt: _Attempt, kind: evidence.Kind) -> None:
         if attempt.ended:
             return
         attempt.ended = True
-        del self._running[attempt.target][attempt]
+        del self._running_attempts[attempt.target][attempt]
         now = self._time.seconds
         request = attempt.request
         self._policy.finished(
@@ -232,26 +248,32 @@
             now - attempt.started,
             f"workspace-{request.work.workspace}",
         )
-        self._answer(request, kind)
+        self._handle_result(request, kind)
         self._drain_queue()
 
-    def _answer(self, request: _Request, kind: evidence.Kind) -> None:
+    def _handle_result(self, request: _Request, kind: evidence.Kind) -> None:
         now = self._time.seconds
         if kind is evidence.Kind.SUCCESS:
             if self._is_measured(request):
                 self._latencies.append(now - request.started)
             return
         not_run = kind is evidence.Kind.REFUSED_CONNECTION
-        again = request.repeatable or not_run
-        may = kind in _FAILURES and again and len(request.tried) < MAX_TRIES
-        paid = may and self._budget.take(self._time.monotonic())
-        if paid and self._place(request):
+        is_repeatable = request.repeatable or not_run
+        can_retry = (
+            kind in _FAILURES
+            and is_repeatable
+            and len(request.tried) < MAX_TRIES
+        )
+        is_retry_allowed = can_retry and self._budget.take(
+            self._time.monotonic()
+        )
+        if is_retry_allowed and self._start_attempt(request):
             return
-        self._lost += 1
+        self._failed_count += 1
 
     def _is_measured(self, request: _Request) -> bool:
-        """All after the fault began; of a whole day, one in a hundred."""
-        if self._scenario.end > LONG and self._requests % 100:
+        """Whether to record latency: after the fault start; 1 % of long runs."""
+        if self._scenario.end > LONG and self._request_count % 100:
             return False
         return request.started >= scenarios.FAULT_FROM
 
@@ -260,18 +282,20 @@
             request = self._queue[0]
             if self._time.seconds - request.started >= DEADLINE:
                 self._queue.popleft()
-                self._refused += 1
+                self._refused_count += 1
                 continue
-            if not self._place(request):
+            if not self._start_attempt(request):
                 return
             self._queue.popleft()
 
-    def _fault_begins(self) -> None:
-        """A crash loses what is at the target."""
+    def _start_fault(self) -> None:
+        """Fails the running requests of targets whose fault is a crash."""
         for target in self._scenario.sick:
             if self._crashes(target):
-                for attempt in list(self._running[policies.name_of(target)]):
-                    self._end(attempt, evidence.Kind.LOST)
+                for attempt in list(
+                    self._running_attempts[policies.name_of(target)]
+                ):
+                    self._end_attempt(attempt, evidence.Kind.LOST)
 
     def _crashes(self, target: int) -> bool:
         fault = self._scenario.fault
@@ -280,53 +304,58 @@
             fault(work, 0, 0.0, random.Random(0)).refuses
         )
 
-    def _ejected(self, target: int, is_ejected: bool) -> None:
+    def _record_ejection(self, target: int, is_ejected: bool) -> None:
         now = self._time.seconds
         self._least_slots = min(
             self._least_slots, self._policy.admitted_slots()
         )
         if not is_ejected:
-            self._out.discard(target)
-            if now >= self._scenario.fault_to and self._returned is None:
-                self._returned = now
+            self._ejected_targets.discard(target)
+            if now >= self._scenario.fault_to and self._returned_at is None:
+                self._returned_at = now
             return
-        self._out.add(target)
-        innocent = self._scenario.kind is scenarios.Class.INNOCENT
-        # A flapping target is sick in its well phases too.
+        self._ejected_targets.add(target)
+        is_innocent = self._scenario.kind is scenarios.Class.INNOCENT
+        # A flapping target also counts as unhealthy in its healthy phases.
         in_fault = scenarios.FAULT_FROM <= now < self._scenario.fault_to + 2
-        hit = target in self._scenario.sick and in_fault
-        if innocent or not hit or self._scenario.fault is None:
-            self._false += 1
+        is_affected = target in self._scenario.sick and in_fault
+        if is_innocent or not is_affected or self._scenario.fault is None:
+            self._false_ejections += 1
             return
-        self._true += 1
-        if self._detected is None:
-            self._detected = now
+        self._true_ejections += 1
+        if self._detected_at is None:
+            self._detected_at = now
 
-    def _row(self) -> Row:
-        found = self._latencies
-        found.sort()
+    def _result(self) -> Row:
+        latencies = self._latencies
+        latencies.sort()
         detection = None
-        if self._detected is not None and self._first_sick is not None:
-            last = self._last_normal or self._detected
-            detection = max(last, self._detected) - self._first_sick
+        if (
+            self._detected_at is not None
+            and self._first_affected_at is not None
+        ):
+            last_normal_at = self._last_normal_at or self._detected_at
+            detection = (
+                max(last_normal_at, self._detected_at) - self._first_affected_at
+            )
         returned = None
-        if self._returned is not None:
-            returned = self._returned - self._scenario.fault_to
+        if self._returned_at is not None:
+            returned = self._returned_at - self._scenario.fault_to
         return Row(
             scenario=self._scenario.name,
             policy=self._policy_name,
             seed=self._seed,
-            requests=self._requests,
+            requests=self._request_count,
             detection_seconds=detection,
             sick_requests=self._sick_requests,
-            work_lost=self._lost,
-            false_ejections=self._false,
-            true_ejections=self._true,
+            work_lost=self._failed_count,
+            false_ejections=self._false_ejections,
+            true_ejections=self._true_ejections,
             return_seconds=returned,
-            p50_ms=_quantile(found, 0.5) * 1000,
-            p99_ms=_quantile(found, 0.99) * 1000,
-            refusals=self._refused,
-            amplification=self._tries / max(1, self._requests),
+            p50_ms=_quantile(latencies, 0.5) * 1000,
+            p99_ms=_quantile(latencies, 0.99) * 1000,
+            refusals=self._refused_count,
+            amplification=self._attempt_count / max(1, self._request_count),
             least_slots=self._least_slots,
         )
 
--- a/endivewind/bench/policies.py
+++ b/endivewind/bench/policies.py
@@ -1,4 +1,8 @@
-"""The decisions that are compared: the node's own, and two baselines."""
+"""The load balancing policies that `endivewind-bench decisions` compares.
+
+The node's own policy, and two baselines: round robin, and ejection after
+consecutive errors.
+"""
 
 import collections.abc
 import datetime
@@ -20,7 +24,7 @@
 from endivewind.targets import registry
 
 SERVICE = "riders"
-# A verdict reaches an entry by gossip after about this time.
+# Approximate time until a status change reaches an entry node by gossip.
 GOSSIP_SECONDS = 0.2
 FLOOR_SLOTS = 18
 
@@ -28,34 +32,36 @@
 
 _REGION = "andina"
 _ZONE = "andina-a"
-_ANSWERS = {
+_RESPONSES = {
     evidence.Kind.SUCCESS: expression.Ok(exchange.Response(200, ())),
     evidence.Kind.ERROR: expression.Ok(exchange.Response(500, ())),
     evidence.Kind.SHED: expression.Ok(exchange.Response(503, ())),
 }
-_LOST = expression.Error(exchange.outcome_unknown(exchange.Reason.TARGET_LOST))
+_LOST_RESULT = expression.Error(
+    exchange.outcome_unknown(exchange.Reason.TARGET_LOST)
+)
 
 
 class Ejected(Protocol):
-    """Hears of each change of a target's status."""
+    """Callback for changes of a target's ejection status."""
 
     def __call__(self, target: int, is_ejected: bool) -> None:
-        """Takes one change."""
+        """Handles one change."""
 
 
 class Policy(Protocol):
-    """Where requests go, and what is learnt from them."""
+    """Chooses targets and learns from the results of requests."""
 
     def choose(
         self, repeatable: bool, tried: collections.abc.Set[str]
     ) -> str | None:
-        """A target with a free slot, or None."""
+        """Returns a target with a free slot, or None."""
 
     def is_normal(self, target: str) -> bool:
-        """Whether a target gets normal work, and not trials only."""
+        """Whether a target gets normal traffic, not only trial requests."""
 
     def started(self, target: str) -> int:
-        """Takes the start of a request; returns its number."""
+        """Records the start of a request and returns its number."""
 
     def finished(
         self,
@@ -65,24 +71,24 @@
         latency: float,
         workspace: str,
     ) -> None:
-        """Takes the end of a request."""
+        """Records the end of a request."""
 
     def admitted_slots(self) -> int:
-        """Slots of the targets that get normal work."""
+        """Returns the number of slots of targets that get normal traffic."""
 
 
 def name_of(target: int) -> str:
-    """The id of a target."""
+    """Returns the id of a target."""
     return f"riders-{target:02}"
 
 
 def number_of(name: str) -> int:
-    """The target of an id."""
+    """Returns the number of the target with an id."""
     return int(name.rpartition("-")[2])
 
 
 class Own:
-    """The node's own judge, floor and placing."""
+    """The node's own outlier monitor, capacity floor and load balancing."""
 
     def __init__(
         self,
@@ -92,7 +98,7 @@
         ejected: Ejected,
     ) -> None:
         self._time = time
-        self._ejected = ejected
+        self._on_ejection = ejected
         home = registry.HomeIdentity("node-a", 1, _REGION, _ZONE)
         self._registry = registry.TargetRegistry(home, time)
         self._announce()
@@ -100,9 +106,12 @@
         self._fleet.put_node(
             view.NodeRecord("node-a", 1, "192.0.2.1:1", _REGION, _ZONE)
         )
-        self._spread()
-        self._judge = judge.Judge(
-            self._registry, lambda service: profile, time, self._changed
+        self._publish_state()
+        self._outlier_monitor = judge.Judge(
+            self._registry,
+            lambda service: profile,
+            time,
+            self._handle_status_changes,
         )
         self._placement = placement.Placement(
             load_balancing.Locality("node-a", _REGION, _ZONE),
@@ -111,29 +120,29 @@
             time,
             rng,
         )
-        self._health = dict.fromkeys(
+        self._statuses = dict.fromkeys(
             range(scenarios.TARGETS), records.Health.NORMAL
         )
-        self._advance()
+        self._run_checks()
 
     def choose(
         self, repeatable: bool, tried: collections.abc.Set[str]
     ) -> str | None:
-        """A target with a free slot, or None."""
+        """Returns a target with a free slot, or None."""
         found = self._placement.choose(
             SERVICE, load_balancing.Demand(repeatable, tried)
         )
         return found.id if found else None
 
     def is_normal(self, target: str) -> bool:
-        """Whether a target gets normal work, and not trials only."""
+        """Whether a target gets normal traffic, not only trial requests."""
         record = self._fleet.targets(SERVICE)[target]
         return record.health is records.Health.NORMAL
 
     def started(self, target: str) -> int:
-        """Takes the start of a request; returns its number."""
+        """Records the start of a request and returns its number."""
         self._placement.started(self._fleet.targets(SERVICE)[target])
-        return self._judge.started(target, SERVICE)
+        return self._outlier_monitor.started(target, SERVICE)
 
     def finished(
         self,
@@ -143,20 +152,22 @@
         latency: float,
         workspace: str,
     ) -> None:
-        """Takes the end of a request."""
-        span = datetime.timedelta(seconds=latency)
+        """Records the end of a request."""
+        duration = datetime.timedelta(seconds=latency)
         record = self._fleet.targets(SERVICE)[target]
-        self._placement.ended(record, _ANSWERS.get(kind, _LOST), span)
-        self._judge.finished(
-            evidence.Sample(target, SERVICE, workspace, kind, span, number)
+        self._placement.ended(
+            record, _RESPONSES.get(kind, _LOST_RESULT), duration
+        )
+        self._outlier_monitor.finished(
+            evidence.Sample(target, SERVICE, workspace, kind, duration, number)
         )
 
     def admitted_slots(self) -> int:
-        """Slots of the targets that get normal work."""
+        """Returns the number of slots of targets that get normal traffic."""
         return self._placement.admitted_slots(SERVICE)
 
     def _announce(self) -> None:
-        """Keeps the leases of all targets."""
+        """Renews the leases of all targets."""
         announcement = registry.Announcement(
             service=SERVICE, address="http://192.0.2.2", lease_ms=60_000
         )
@@ -166,30 +177,30 @@
             )
         self._time.after(RENEW_SECONDS, self._announce)
 
-    def _advance(self) -> None:
-        self._judge.advance()
-        self._time.after(judge.PERIOD.total_seconds(), self._advance)
+    def _run_checks(self) -> None:
+        self._outlier_monitor.advance()
+        self._time.after(judge.PERIOD.total_seconds(), self._run_checks)
 
-    def _changed(self) -> None:
+    def _handle_status_changes(self) -> None:
         for record in self._registry.announced():
             target = number_of(record.id)
-            if record.health is not self._health[target]:
-                self._health[target] = record.health
-                self._tell(target, record.health)
-        self._time.after(GOSSIP_SECONDS, self._spread)
+            if record.health is not self._statuses[target]:
+                self._statuses[target] = record.health
+                self._notify(target, record.health)
+        self._time.after(GOSSIP_SECONDS, self._publish_state)
 
-    def _tell(self, target: int, health: records.Health) -> None:
+    def _notify(self, target: int, health: records.Health) -> None:
         if health is not records.Health.TRIAL:
-            self._ejected(target, health is records.Health.EJECTED)
+            self._on_ejection(target, health is records.Health.EJECTED)
 
-    def _spread(self) -> None:
+    def _publish_state(self) -> None:
         self._fleet.put_home_state(
             "node-a", 1, self._registry.sequence, self._registry.announced()
         )
 
 
 class RoundRobin:
-    """Baseline: each target in turn that has a free slot, none ejected."""
+    """Baseline: round robin over targets with a free slot, no ejection."""
 
     def __init__(self) -> None:
         self._in_use = dict.fromkeys(map(name_of, range(scenarios.TARGETS)), 0)
@@ -199,21 +210,21 @@
     def choose(
         self, repeatable: bool, tried: collections.abc.Set[str]
     ) -> str | None:
-        """A target with a free slot, or None."""
+        """Returns a target with a free slot, or None."""
         for _ in self._names:
             name = self._names[self._next]
             self._next = (self._next + 1) % len(self._names)
-            free = self._in_use[name] < scenarios.SLOTS
-            if free and name not in tried and self.is_normal(name):
+            has_free_slot = self._in_use[name] < scenarios.SLOTS
+            if has_free_slot and name not in tried and self.is_normal(name):
                 return name
         return None
 
     def is_normal(self, target: str) -> bool:
-        """Whether a target gets work."""
+        """Whether a target is not ejected."""
         return True
 
     def started(self, target: str) -> int:
-        """Takes the start of a request."""
+        """Records the start of a request."""
         self._in_use[target] += 1
         return 0
 
@@ -225,21 +236,21 @@
         latency: float,
         workspace: str,
     ) -> None:
-        """Takes the end of a request."""
+        """Records the end of a request."""
         self._in_use[target] -= 1
 
     def admitted_slots(self) -> int:
-        """Slots of the targets that get work."""
+        """Returns the number of slots of targets that are not ejected."""
         return scenarios.SLOTS * sum(map(self.is_normal, self._names))
 
 
 class ConsecutiveErrors(RoundRobin):
-    """Baseline: N errors in a row eject, as common proxies do it.
+    """Baseline: ejection after consecutive errors, as in common proxies.
 
-    Five errors in a row eject at once, for 30 s times the number of times;
-    every 10 s the ends of the holds are looked for; at most a tenth of the
-    targets is out. An answer of 5xx, a lost connection and a timeout are
-    errors; latency is not looked at.
+    Five consecutive errors eject a target for 30 s times the number of its
+    ejections. A sweep every 10 s ends ejections that have expired. At most a
+    tenth of the targets is ejected at a time. Errors are 5xx responses, lost
+    connections and timeouts; latency is ignored.
     """
 
     ERRORS = 5
@@ -247,7 +258,7 @@
     HOLD_SECONDS = 30.0
     MOST_EJECTED = scenarios.TARGETS // 10
 
-    _ERRORS = frozenset(
+    _ERROR_KINDS = frozenset(
         {
             evidence.Kind.ERROR,
             evidence.Kind.SHED,
@@ -260,15 +271,15 @@
     def __init__(self, time: virtual.VirtualTime, ejected: Ejected) -> None:
         super().__init__()
         self._time = time
-        self._ejected = ejected
-        self._errors = dict.fromkeys(self._names, 0)
-        self._times = dict.fromkeys(self._names, 0)
-        self._until: dict[str, float] = {}
+        self._on_ejection = ejected
+        self._consecutive_errors = dict.fromkeys(self._names, 0)
+        self._ejection_counts = dict.fromkeys(self._names, 0)
+        self._ejected_until: dict[str, float] = {}
         self._sweep()
 
     def is_normal(self, target: str) -> bool:
-        """Whether a target gets work."""
-        return target not in self._until
+        """Whether a target is not ejected."""
+        return target not in self._ejected_until
 
     def finished(
         self,
@@ -278,24 +289,28 @@
         latency: float,
         workspace: str,
     ) -> None:
-        """Takes the end of a request."""
+        """Records the end of a request."""
         super().finished(target, number, kind, latency, workspace)
-        if kind not in self._ERRORS:
-            self._errors[target] = 0
+        if kind not in self._ERROR_KINDS:
+            self._consecutive_errors[target] = 0
             return
-        self._errors[target] += 1
-        full = len(self._until) >= self.MOST_EJECTED
-        if self._errors[target] < self.ERRORS or full or target in self._until:
+        self._consecutive_errors[target] += 1
+        is_limit_reached = len(self._ejected_until) >= self.MOST_EJECTED
+        if (
+            self._consecutive_errors[target] < self.ERRORS
+            or is_limit_reached
+            or target in self._ejected_until
+        ):
             return
-        self._times[target] += 1
-        hold = self.HOLD_SECONDS * self._times[target]
-        self._until[target] = self._time.seconds + hold
-        self._ejected(number_of(target), True)
+        self._ejection_counts[target] += 1
+        ejection_seconds = self.HOLD_SECONDS * self._ejection_counts[target]
+        self._ejected_until[target] = self._time.seconds + ejection_seconds
+        self._on_ejection(number_of(target), True)
 
     def _sweep(self) -> None:
-        for name, until in list(self._until.items()):
+        for name, until in list(self._ejected_until.items()):
             if until <= self._time.seconds:
-                del self._until[name]
-                self._errors[name] = 0
-                self._ejected(number_of(name), False)
+                del self._ejected_until[name]
+                self._consecutive_errors[name] = 0
+                self._on_ejection(number_of(name), False)
         self._time.after(self.INTERVAL_SECONDS, self._sweep)
--- a/endivewind/soak/schedules.py
+++ b/endivewind/soak/schedules.py
@@ -123,7 +123,9 @@
     def without(self, index: int) -> "Schedule":
         """Returns the schedule without the fault at an index."""
         kept = [
-            fault for index, fault in enumerate(self.faults) if index != index
+            fault
+            for position, fault in enumerate(self.faults)
+            if position != index
         ]
         return dataclasses.replace(self, faults=tuple(kept))
 
