--- a/endivewind/bench/experiment.py
+++ b/endivewind/bench/experiment.py
@@ -72,13 +72,13 @@
 
 
 class _Request:
-    __slots__ = ("ended", "repeatable", "started", "tried", "work")
+    __slots__ = ("ended", "is_idempotent", "started", "tried", "work")
 
     def __init__(
         self, work: scenarios.Work, is_idempotent: bool, started: float
     ) -> None:
         self.work = work
-        self.repeatable = is_idempotent
+        self.is_idempotent = is_idempotent
         self.started = started
         self.tried: set[str] = set()
         self.ended = False
@@ -146,12 +146,14 @@
         if policy == "round-robin":
             return policies.RoundRobin()
         if policy == "consecutive-errors":
-            return policies.ConsecutiveErrors(self._time, self._record_ejection)
+            return policies.ConsecutiveErrors(
+                self._time, self._record_status_change
+            )
         return policies.Own(
             profile,
             self._time,
             random.Random(self._seed),
-            self._record_ejection,
+            self._record_status_change,
         )
 
     def _handle_arrival(self) -> None:
@@ -181,7 +183,7 @@
         self._queue.append(request)
 
     def _start_attempt(self, request: _Request) -> bool:
-        target = self._policy.choose(request.repeatable, request.tried)
+        target = self._policy.choose(request.is_idempotent, request.tried)
         if target is None:
             return False
         request.tried.add(target)
@@ -258,7 +260,7 @@
                 self._latencies.append(now - request.started)
             return
         not_run = kind is evidence.Kind.REFUSED_CONNECTION
-        is_repeatable = request.repeatable or not_run
+        is_repeatable = request.is_idempotent or not_run
         can_retry = (
             kind in _FAILURES
             and is_repeatable
@@ -304,7 +306,7 @@
             fault(work, 0, 0.0, random.Random(0)).refuses
         )
 
-    def _record_ejection(self, target: int, is_ejected: bool) -> None:
+    def _record_status_change(self, target: int, is_ejected: bool) -> None:
         now = self._time.seconds
         self._least_slots = min(
             self._least_slots, self._policy.admitted_slots()
--- a/endivewind/bench/scenarios.py
+++ b/endivewind/bench/scenarios.py
@@ -19,7 +19,7 @@
 FAULT_FROM = 20.0
 FAULT_TO = 50.0
 END = 90.0
-# Two seeds make a day; they take a quarter of an hour of CPU time.
+# Two seeds of it make a day; one takes a quarter of an hour of CPU time.
 HALF_DAY = 12 * 3600.0
 SICK = 0
 
--- a/endivewind/commands/bench.py
+++ b/endivewind/commands/bench.py
@@ -1,4 +1,4 @@
-"""The binary endivewind-bench: one module for each measurement."""
+"""The program endivewind-bench, with one module for each measurement."""
 
 from endivewind.commands import running
 
@@ -20,5 +20,5 @@
 
 
 def run() -> None:
-    """Entry point of the console script."""
+    """Runs the console script."""
     BINARY.run()
--- a/endivewind/commands/bench_matrix.py
+++ b/endivewind/commands/bench_matrix.py
@@ -1,7 +1,7 @@
 """endivewind-bench matrix: every fault at every step of an exchange.
 
-Single faults, or pairs with --pairs; each cell asserts what callers were told
-against what ran. It needs no network and gives the same verdict every time.
+Runs single faults, and pairs with --pairs. Each case compares the results
+that callers received with what ran. It is deterministic and uses no network.
 """
 
 import dataclasses
@@ -15,26 +15,28 @@
 USAGE = "matrix [--pairs] [--format=json]"
 
 _PAIRS = flags.DEFINE_boolean(
-    "pairs", False, "Two faults at two different steps as well."
+    "pairs", False, "Also run pairs of faults at two different steps."
 )
 flags.declare_key_flag("format")
 
-_MOST_SHOWN = 20
+_MAX_SHOWN_FAILURES = 20
 
 
 def main(arguments: list[str]) -> int:
-    """Runs the matrix; 1 if a cell broke a promise."""
+    """Runs the matrix; returns 1 if a case violated a guarantee."""
     if arguments:
         raise exceptions.UsageError(f"usage: endivewind-bench {USAGE}")
     runs = {"single faults": matrix.run(matrix.singles())}
     if _PAIRS.value:
         runs["pairs"] = matrix.run(matrix.pairs())
-    report = {name: _figures(outcome) for name, outcome in runs.items()}
-    options.show(report, "\n".join(_text(*item) for item in runs.items()))
+    report = {name: _to_json(outcome) for name, outcome in runs.items()}
+    options.show(
+        report, "\n".join(_format_result(*item) for item in runs.items())
+    )
     return 1 if any(outcome.red for outcome in runs.values()) else 0
 
 
-def _figures(outcome: matrix.Outcome) -> dict[str, object]:
+def _to_json(outcome: matrix.Outcome) -> dict[str, object]:
     return {
         **dataclasses.asdict(outcome),
         "red": len(outcome.red),
@@ -43,11 +45,11 @@
     }
 
 
-def _text(name: str, outcome: matrix.Outcome) -> str:
+def _format_result(name: str, outcome: matrix.Outcome) -> str:
     passed = outcome.cells - len(outcome.red)
     lines = [
-        f"{name}: {outcome.cells} cells, {passed} passed, "
-        f"{len(outcome.red)} red, {outcome.unreached} with a fault that the "
-        "other fault kept from coming"
+        f"{name}: {outcome.cells} cases, {passed} passed, "
+        f"{len(outcome.red)} failed, {outcome.unreached} with a fault that "
+        "was not triggered"
     ]
-    return "\n".join([*lines, *outcome.red[:_MOST_SHOWN]])
+    return "\n".join([*lines, *outcome.red[:_MAX_SHOWN_FAILURES]])
--- a/endivewind/commands/bench_soak.py
+++ b/endivewind/commands/bench_soak.py
@@ -1,11 +1,11 @@
-"""endivewind-bench soak: real processes under faults, drawn from seeds.
+"""endivewind-bench soak: real processes under random faults.
 
 Each seed is one run: a platform, nodes and targets as processes, callers, and
-faults that overlap. It checks what callers were told against what targets
-ran. The schedule and all logs of a run stay in a folder of its own;
---replay=FILE plays a schedule again, --shrink drops faults from a red one as
-long as it stays red. --other_release=FOLDER runs every other node from another
-checkout, as during a roll-out. Exit code 1 if a promise was broken.
+overlapping faults. The run compares the callers' results with what the targets
+ran. Its schedule and logs are kept in a folder of its own. --replay=FILE runs
+a schedule again; --shrink removes faults as long as the run still fails.
+--other_release=FOLDER runs every second node from another checkout, as during
+a rolling upgrade. The exit code is 1 if a guarantee was violated.
 """
 
 import asyncio
@@ -26,90 +26,103 @@
 )
 
 _SOAK_SECONDS = flags.DEFINE_float(
-    "soak_seconds", 12, "How long faults begin in each run."
+    "soak_seconds", 12, "Seconds in each run in which faults start."
 )
 _AT_ONCE = flags.DEFINE_integer(
-    "at_once", 2, "Runs at once; each has eleven processes.", lower_bound=1
+    "at_once", 2, "Concurrent runs; each has eleven processes.", lower_bound=1
+)
+_LOGS = flags.DEFINE_string(
+    "logs", "soak-logs", "Folder for schedules and logs."
+)
+_REPLAY = flags.DEFINE_string(
+    "replay", "", "File with a schedule to run again."
 )
-_LOGS = flags.DEFINE_string("logs", "soak-logs", "Folder for schedules, logs.")
-_REPLAY = flags.DEFINE_string("replay", "", "A schedule to play again.")
 _OTHER_RELEASE = flags.DEFINE_string(
-    "other_release", "", "Checkout whose code every other node runs."
+    "other_release", "", "Checkout that every second node runs."
+)
+_SHRINK = flags.DEFINE_boolean(
+    "shrink", False, "Remove faults while the run fails."
 )
-_SHRINK = flags.DEFINE_boolean("shrink", False, "Drop faults while it is red.")
 flags.declare_key_flag("seeds")
 flags.declare_key_flag("format")
 
 
 def main(arguments: list[str]) -> int:
-    """Plays the seeds, or one schedule; 1 if a promise was broken."""
+    """Runs the seeds or one schedule; returns 1 on a violated guarantee."""
     if arguments or bool(bench_options.SEEDS.value) == bool(_REPLAY.value):
         raise exceptions.UsageError(f"usage: endivewind-bench {USAGE}")
-    return running.loop(_soak(_schedule()))
+    return running.loop(_run_all(_read_schedule()))
 
 
-def _schedule() -> schedules.Schedule | None:
-    """The schedule to replay, if one is given."""
+def _read_schedule() -> schedules.Schedule | None:
+    """Returns the schedule to replay, or None without --replay."""
     if not _REPLAY.value:
         return None
     try:
         text = pathlib.Path(_REPLAY.value).read_text()
         return schedules.Schedule.from_json(text)
     except (OSError, ValueError) as error:
-        raise exceptions.EndivewindError(f"can't replay: {error}") from error
+        raise exceptions.EndivewindError(
+            f"can't read the schedule: {error}"
+        ) from error
 
 
-async def _soak(replayed: schedules.Schedule | None) -> int:
+async def _run_all(replayed: schedules.Schedule | None) -> int:
     folder = pathlib.Path(_LOGS.value)
     if replayed is not None:
-        outcomes = [await _replay(replayed, folder)]
+        outcomes = [await _run_replay(replayed, folder)]
     else:
-        gate = asyncio.Semaphore(_AT_ONCE.value)
+        semaphore = asyncio.Semaphore(_AT_ONCE.value)
         outcomes = await asyncio.gather(
-            *(_one(seed, folder, gate) for seed in bench_options.seeds(""))
+            *(
+                _run_seed(seed, folder, semaphore)
+                for seed in bench_options.seeds("")
+            )
         )
-    red = [item for item in outcomes if item.findings]
+    failed = [item for item in outcomes if item.findings]
     requests = sum(item.requests for item in outcomes)
     options.show(
-        [_json(item) for item in outcomes],
-        f"{len(outcomes)} runs, {requests} requests, {len(red)} red",
+        [_to_json(item) for item in outcomes],
+        f"{len(outcomes)} runs, {requests} requests, {len(failed)} red",
     )
-    return 1 if red else 0
+    return 1 if failed else 0
 
 
-async def _one(
-    seed: int, folder: pathlib.Path, gate: asyncio.Semaphore
+async def _run_seed(
+    seed: int, folder: pathlib.Path, semaphore: asyncio.Semaphore
 ) -> runs.Outcome:
-    async with gate:
+    async with semaphore:
         schedule = schedules.draw(seed, _SOAK_SECONDS.value)
-        outcome = await _run(schedule, folder / f"seed-{seed}").play()
-    _tell(outcome)
+        outcome = await _make_run(schedule, folder / f"seed-{seed}").play()
+    _print_outcome(outcome)
     return outcome
 
 
-def _run(schedule: schedules.Schedule, folder: pathlib.Path) -> runs.Run:
-    other = pathlib.Path(_OTHER_RELEASE.value).resolve()
-    return runs.Run(schedule, folder, other if _OTHER_RELEASE.value else None)
+def _make_run(schedule: schedules.Schedule, folder: pathlib.Path) -> runs.Run:
+    other_release = pathlib.Path(_OTHER_RELEASE.value).resolve()
+    return runs.Run(
+        schedule, folder, other_release if _OTHER_RELEASE.value else None
+    )
 
 
-async def _replay(
+async def _run_replay(
     schedule: schedules.Schedule, folder: pathlib.Path
 ) -> runs.Outcome:
-    outcome = await _run(schedule, folder / "replay").play()
-    _tell(outcome)
+    outcome = await _make_run(schedule, folder / "replay").play()
+    _print_outcome(outcome)
     if not (_SHRINK.value and outcome.findings):
         return outcome
 
     async def is_red(smaller: schedules.Schedule) -> bool:
-        again = await _run(smaller, folder / "shrink").play()
-        return bool(again.findings)
+        outcome_again = await _make_run(smaller, folder / "shrink").play()
+        return bool(outcome_again.findings)
 
     smallest = await schedules.shrink(schedule, is_red)
-    print(f"{len(smallest.faults)} faults are left:\n{smallest.to_json()}")
+    print(f"{len(smallest.faults)} faults remain:\n{smallest.to_json()}")
     return outcome
 
 
-def _tell(outcome: runs.Outcome) -> None:
+def _print_outcome(outcome: runs.Outcome) -> None:
     if options.FORMAT.value == "json":
         return
     seed = outcome.schedule.seed
@@ -123,7 +136,7 @@
         print(f"  {finding.promise}: {finding.detail}", flush=True)
 
 
-def _json(outcome: runs.Outcome) -> dict[str, object]:
+def _to_json(outcome: runs.Outcome) -> dict[str, object]:
     return {
         "seed": outcome.schedule.seed,
         "faults": len(outcome.schedule.faults),
--- a/endivewind/commands/children.py
+++ b/endivewind/commands/children.py
@@ -1,6 +1,6 @@
-"""Processes that a measurement starts: nodes and stand-ins.
+"""Child processes of benchmarks and soak runs: nodes and stand-ins.
 
-Only endivewind-bench starts processes; no part of the product does.
+Only endivewind-bench starts processes; no other part of endivewind does.
 """
 
 import asyncio
@@ -16,75 +16,86 @@
 
 from endivewind import exceptions
 
-_START_SECONDS = 20
-# A debug line may name hundreds of targets.
+_START_TIMEOUT_SECONDS = 20
+# A line of the debug log may list hundreds of targets.
 MAX_LINE_BYTES = 1_048_576
 
 
 class Child:
-    """One started binary and what its line "listening" said."""
+    """One child process.
+
+    Attributes:
+      listening_line: its log line "listening", with the bound addresses.
+    """
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self._name = name
         self._process = process
         self.listening: dict[str, Any] = {}
-        self._drain: asyncio.Task[None] | None = None
+        self._reader: asyncio.Task[None] | None = None
 
     async def line(
-        self, wanted: collections.abc.Callable[[dict[str, Any]], bool]
+        self, matches: collections.abc.Callable[[dict[str, Any]], bool]
     ) -> dict[str, Any]:
-        """Reads log lines up to one that is wanted."""
+        """Reads log lines until one matches.
+
+        Args:
+          matches: predicate on a log line.
+
+        Raises:
+          exceptions.EndivewindError: no line matched in time.
+        """
         output = self._process.stdout
         assert output is not None
         try:
-            async with asyncio.timeout(_START_SECONDS):
+            async with asyncio.timeout(_START_TIMEOUT_SECONDS):
                 while raw := await output.readline():
                     line: dict[str, Any] = json.loads(raw)
-                    if wanted(line):
+                    if matches(line):
                         return line
         except TimeoutError:
             pass
         raise exceptions.EndivewindError(f"{self._name} did not start")
 
     def ignore_output(self) -> None:
-        """Reads on, so that the process never waits for its reader."""
+        """Discards further output, so that the process never blocks on it."""
         self.follow(lambda line: None)
 
     def follow(
-        self, take: collections.abc.Callable[[dict[str, Any]], None]
+        self, handle_line: collections.abc.Callable[[dict[str, Any]], None]
     ) -> None:
-        """Hands every further log line on until the process has ended."""
-        self._drain = asyncio.create_task(self._read_on(take))
+        """Passes every further log line to a callback until the exit."""
+        self._reader = asyncio.create_task(self._read_lines(handle_line))
 
     @property
     def running(self) -> bool:
-        """Whether the process has not ended yet."""
+        """Whether the process has not exited yet."""
         return self._process.returncode is None
 
     def signal(self, number: int) -> None:
-        """Sends a signal to this process alone; none where it has ended."""
+        """Sends a signal to this process, unless it has exited."""
         if self.running:
             self._process.send_signal(number)
 
     async def ended(self) -> int:
-        """Waits for its end; returns the exit code."""
+        """Waits until the process exits; returns the exit code."""
         code = await self._process.wait()
-        if self._drain is not None:
-            await self._drain
+        if self._reader is not None:
+            await self._reader
         return code
 
     async def end(self) -> None:
-        """Stops the process as planned and waits for its end."""
+        """Sends SIGTERM and waits until the process exits."""
         if self._process.returncode is None:
             self._process.terminate()
-        if self._drain is None:
+        if self._reader is None:
             self.ignore_output()
         await self._process.wait()
-        if self._drain is not None:
-            await self._drain
+        if self._reader is not None:
+            await self._reader
 
-    async def _read_on(
-        self, take: collections.abc.Callable[[dict[str, Any]], None]
+    async def _read_lines(
+        self, handle_line: collections.abc.Callable[[dict[str, Any]], None]
     ) -> None:
         output = self._process.stdout
         assert output is not None
@@ -93,11 +104,11 @@
                 line = json.loads(raw)
             except ValueError:
                 line = {"message": raw.decode(errors="replace")}
-            take(line)
+            handle_line(line)
 
 
 class Children:
-    """Starts binaries and ends every one of them at the end."""
+    """Starts child processes and stops them all on exit of the context."""
 
     def __init__(self) -> None:
         self._stack = contextlib.AsyncExitStack()
@@ -118,13 +129,14 @@
         *arguments: str,
         checkout: pathlib.Path | None = None,
     ) -> Child:
-        """Starts a binary and waits until it listens.
+        """Starts a program and waits until it listens.
 
         Args:
-          name: for errors.
-          binary: its module in commands/.
-          *arguments: for the binary.
-          checkout: folder whose code it runs; that of this process if None.
+          name: name in error messages.
+          binary: module of the program in commands/.
+          *arguments: arguments of the program.
+          checkout: folder whose code it runs; None runs the code of this
+            process.
         """
         process = await spawn(binary, *arguments, checkout=checkout)
         child = Child(name, process)
@@ -135,7 +147,7 @@
         return child
 
     def write_settings(self, settings: dict[str, Any]) -> pathlib.Path:
-        """Writes a node's settings file, or writes it anew."""
+        """Writes or overwrites a node's settings file; returns its path."""
         file = self._folder / f"{settings['name']}.yaml"
         file.write_text(yaml.safe_dump(settings))
         return file
@@ -143,7 +155,7 @@
     async def node(
         self, settings: dict[str, Any], checkout: pathlib.Path | None = None
     ) -> Child:
-        """Starts a node with settings of its own, from a checkout if given."""
+        """Starts a node with these settings, from a checkout if given."""
         file = self.write_settings(settings)
         return await self.start(
             settings["name"], "node", f"--settings={file}", checkout=checkout
@@ -153,7 +165,7 @@
 async def spawn(
     binary: str, *arguments: str, checkout: pathlib.Path | None = None
 ) -> asyncio.subprocess.Process:
-    """Starts a binary by its module in commands/; output is to be read."""
+    """Starts a program by its module in commands/, with piped output."""
     code = f"from endivewind.commands import {binary}; {binary}.run()"
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -162,17 +174,17 @@
         *arguments,
         stdout=asyncio.subprocess.PIPE,
         limit=MAX_LINE_BYTES,
-        # With -c, Python imports from its working directory first.
+        # With -c, Python imports from the working directory first.
         cwd=checkout,
     )
 
 
 async def output_of(binary: str, *arguments: str) -> Any:
-    """Runs a binary to its end and returns its JSON output."""
+    """Runs a program until it exits and returns its JSON output."""
     process = await spawn(binary, *arguments)
     output, _ = await process.communicate()
     if process.returncode:
         raise exceptions.EndivewindError(
-            f"{binary} ended with {process.returncode}"
+            f"{binary} exited with code {process.returncode}"
         )
     return json.loads(output)
--- a/endivewind/commands/standin.py
+++ b/endivewind/commands/standin.py
@@ -1,7 +1,9 @@
-"""endivewind-standin: plays the platform, a target, a hop or load, for trials.
+"""endivewind-standin: runs a stand-in or load generator for tests.
+
+The stand-ins are the platform, a target and a bare proxy hop.
 
 It runs until SIGTERM or SIGINT and logs JSON lines; the line "listening"
-names the address that was bound.
+names the bound address.
 """
 
 import asyncio
@@ -23,64 +25,64 @@
 
 log = logging.getLogger(__name__)
 
-_ADDRESS = flags.DEFINE_string("address", "127.0.0.1", "IP number to bind.")
-_PORT = flags.DEFINE_integer("port", 0, "Port to bind; 0 takes a free one.")
-_NAME = flags.DEFINE_string("name", "", "target: its id.")
-_SERVICE = flags.DEFINE_string("service", "", "target: its service.")
+_ADDRESS = flags.DEFINE_string("address", "127.0.0.1", "IP address to bind.")
+_PORT = flags.DEFINE_integer("port", 0, "Port to bind; 0 selects a free port.")
+_NAME = flags.DEFINE_string("name", "", "target: id of the target.")
+_SERVICE = flags.DEFINE_string("service", "", "target: service of the target.")
 _NODES = flags.DEFINE_list(
-    "nodes", [], "target: addresses of nodes to announce to, best first."
+    "nodes", [], "target: node addresses to announce to, preferred first."
 )
 
 _NEXT = flags.DEFINE_string("next", "", "hop: URL to forward to.")
 _URL = flags.DEFINE_string("url", "", "load: URL to send to.")
 _HOST = flags.DEFINE_string("host", "", "load: Host header.")
 _CONNECTIONS = flags.DEFINE_integer(
-    "connections", 16, "load: connections kept busy."
+    "connections", 16, "load: number of busy connections if --rate=0."
 )
 _RATE = flags.DEFINE_float(
-    "rate", 0, "load: requests a second; 0 is as many as are answered."
+    "rate", 0, "load: requests per second; 0 is as many as possible."
 )
-_SECONDS = flags.DEFINE_float("seconds", 5, "load: how long.")
+_SECONDS = flags.DEFINE_float("seconds", 5, "load: duration in seconds.")
 
 USAGE = "endivewind-standin platform|target|hop|load [flags]"
 
 
 def run() -> None:
-    """Entry point of the console script."""
+    """Runs the console script."""
     running.single(USAGE, sys.modules[__name__])
 
 
 def main(arguments: list[str]) -> int:
-    """Runs the stand-in that the first argument names."""
+    """Runs the stand-in named by the first argument."""
     match arguments:
         case ["platform"]:
-            return running.loop(_platform())
+            return running.loop(_run_platform())
         case ["target"]:
             if not (_NAME.value and _SERVICE.value and _NODES.value):
                 raise exceptions.UsageError(
                     "a target needs --name, --service and --nodes"
                 )
-            return running.loop(_target())
+            return running.loop(_run_target())
         case ["hop"]:
             if not _NEXT.value:
                 raise exceptions.UsageError("a hop needs --next")
-            return running.loop(_hop())
+            return running.loop(_run_hop())
         case ["load"]:
             if not _URL.value:
                 raise exceptions.UsageError("load needs --url")
-            return running.loop(_load())
+            return running.loop(_run_load())
         case _:
             raise exceptions.UsageError(f"usage: {USAGE}")
 
 
-async def _platform() -> int:
+async def _run_platform() -> int:
     store = platform.ObjectStore()
     await _serve(platform.PlatformStandin(store).application())
     await running.until_signal()
     return 0
 
 
-async def _target() -> int:
+async def _run_target() -> int:
     standin = target.TargetStandin(_NAME.value, _SERVICE.value, _NODES.value)
     address = await _serve(standin.application())
     task = asyncio.create_task(standin.announce(address))
@@ -91,13 +93,13 @@
     return 0
 
 
-async def _hop() -> int:
+async def _run_hop() -> int:
     await _serve(hop.Hop(_NEXT.value).application())
     await running.until_signal()
     return 0
 
 
-async def _load() -> int:
+async def _run_load() -> int:
     request = load.Request(_URL.value, _HOST.value)
     samples = load.Samples()
     seconds = _SECONDS.value
