--- a/endivewind/commands/bench_control.py
+++ b/endivewind/commands/bench_control.py
@@ -1,8 +1,8 @@
-"""endivewind-bench control: what one node spends on control.
+"""endivewind-bench control: control-plane cost of one node.
 
-One real node runs as a process with its configuration and its targets'
-renewals; the other nodes are played by the same pure cores in this process
-and speak the real messages over loopback.
+One real node runs as a process, with a configuration and the lease renewals of
+its targets. The other nodes are simulated in this process by the same protocol
+code and exchange real messages with it over loopback.
 """
 
 import asyncio
@@ -33,20 +33,31 @@
 
 flags.declare_key_flag("format")
 flags.declare_key_flag("nodes")
-_TARGETS = flags.DEFINE_integer("targets", 12_000, "Targets in all.")
+_TARGETS = flags.DEFINE_integer("targets", 12_000, "Total number of targets.")
 _DAY_SECONDS = flags.DEFINE_integer(
-    "day_seconds", 30, "Length of the ordinary day."
+    "day_seconds",
+    30,
+    "Seconds of measurement at an ordinary day's rate of changes.",
+)
+_ROUTES = flags.DEFINE_integer(
+    "routes", 3_700, "Number of routes in the configuration."
+)
+_WORKSPACES = flags.DEFINE_integer(
+    "workspaces", 29_000, "Number of workspaces in the configuration."
+)
+_RESTART = flags.DEFINE_bool("restart", False, "Also measure a mass restart.")
+_SWEEP = flags.DEFINE_bool(
+    "sweep", False, "Measure several sizes and fit slopes."
+)
+_CHECK = flags.DEFINE_string(
+    "check", "", "Page with a table to compare the figures with."
 )
-_ROUTES = flags.DEFINE_integer("routes", 3_700, "Routes in force.")
-_WORKSPACES = flags.DEFINE_integer("workspaces", 29_000, "Workspaces in force.")
-_RESTART = flags.DEFINE_bool("restart", False, "Measure a mass restart too.")
-_SWEEP = flags.DEFINE_bool("sweep", False, "Several sizes; fits slopes.")
-_CHECK = flags.DEFINE_string("check", "", "Page to compare a sweep with.")
 
 FULL_NODES = 760
 REAL = "node-real"
-# 2,269 VMs fail or restart on an ordinary day at 12,000 targets: about five
-# changes each, and all targets of 135 nodes move: 15,400 changes, doubled.
+# Changes per target and second. On an ordinary day with 12,000 targets, 2,269
+# VMs fail or restart, with about five changes each, and all targets of 135
+# nodes move: 15,400 changes. The rate is twice that.
 ORDINARY_CHANGES = 0.36 / 12_000
 RESTARTED_SHARE = 0.2
 RESTART_TIME = datetime.timedelta(seconds=10)
@@ -55,7 +66,7 @@
 JOIN_LIMIT = datetime.timedelta(seconds=45)
 SETTLE = datetime.timedelta(seconds=12)
 SPREAD_RUNS = 3
-# How often the bench looks whether a state has been reached.
+# Interval of checks whether a state has been reached.
 LOOK = datetime.timedelta(milliseconds=20)
 SHARD_SIZE = 500
 GROUP_SIZE = 100
@@ -63,14 +74,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What the real node spent in one measurement.
+    """Resource usage of the real node in one measurement.
 
     Attributes:
-      cpu_percent: of one core, user and system.
-      rss_mb: resident memory at its end, in 10^6 bytes.
-      gossip_bytes_per_second: datagrams, payload, both ways together.
-      link_bytes_per_second: link frames of control, both ways together.
-      renewal_bytes_per_second: its targets' renewals by HTTP, both ways.
+      cpu_percent: user and system time in percent of one core.
+      rss_mb: resident memory at the end, in 10^6 bytes.
+      gossip_bytes_per_second: payload of gossip datagrams, sent and received.
+      link_bytes_per_second: control frames on links, sent and received.
+      renewal_bytes_per_second: HTTP lease renewals of its targets, sent and
+        received.
     """
 
     cpu_percent: float
@@ -82,16 +94,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """One size.
+    """Results at one fleet size.
 
     Attributes:
-      nodes: the real one included.
-      targets: in all.
-      join_seconds: until the real node knew every target.
-      day: an ordinary day's rate of changes.
-      withdrawal_seconds: until all others knew of a target's end; worst.
-      restart: a fifth of the nodes restarted within ten seconds.
-      restart_seconds: from its start until the real node knew all again.
+      nodes: number of nodes, including the real one.
+      targets: number of targets of all nodes.
+      join_seconds: time until the real node knew every target.
+      day: usage at an ordinary day's rate of changes.
+      withdrawal_seconds: longest time until all other nodes knew of a target's
+        withdrawal.
+      restart: usage while a fifth of the nodes restarted within ten seconds.
+      restart_seconds: time from the start of the restarts until the real node
+        knew all targets again.
     """
 
     nodes: int
@@ -104,7 +118,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Count:
+class _Counters:
     ticks: int
     gossip: int
     link: int
@@ -113,7 +127,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Measures and prints."""
+    """Runs the measurements and prints the results."""
     nodes = bench_options.NODES.value or FULL_NODES
     if arguments or nodes < 2:
         raise exceptions.UsageError(f"usage: endivewind-bench {USAGE}")
@@ -135,7 +149,7 @@
 
 
 def slopes(reports: list[Report]) -> dict[str, dict[str, float]]:
-    """Each figure as a line over the number of nodes."""
+    """Fits each figure as a linear function of the number of nodes."""
     nodes = [item.nodes for item in reports]
     found = {}
     for field in dataclasses.fields(Load):
@@ -148,14 +162,14 @@
     return found
 
 
-# Of a shared machine, a share of a core varies more than memory does.
-_TOLERANCES = {"cpu": 0.6, "rss": 0.1, "bytes": 0.25}
+# On a shared machine, CPU time varies more than memory.
+_RELATIVE_TOLERANCES = {"cpu": 0.6, "rss": 0.1, "bytes": 0.25}
 
 
 def compare(page: str, reports: list[Report]) -> list[str]:
-    """Where the page's table and the measurement differ.
+    """Returns the differences between the page's table and the reports.
 
-    The table's rows are `| nodes | targets | cpu % | RSS MB | bytes/s |`.
+    The rows of the table are `| nodes | targets | cpu % | RSS MB | bytes/s |`.
     """
     rows = {}
     for line in page.splitlines():
@@ -170,16 +184,20 @@
         if size not in rows:
             found.append(f"the page has no row for {size}")
             continue
-        measured = (report.day.cpu_percent, report.day.rss_mb, _bytes(report))
+        measured = (
+            report.day.cpu_percent,
+            report.day.rss_mb,
+            _bytes_per_second(report),
+        )
         for name, old, new in zip(
-            _TOLERANCES, rows[size], measured, strict=True
+            _RELATIVE_TOLERANCES, rows[size], measured, strict=True
         ):
-            if abs(new - old) > _TOLERANCES[name] * old:
+            if abs(new - old) > _RELATIVE_TOLERANCES[name] * old:
                 found.append(f"{size}: {name}: page {old}, measured {new:.2f}")
     return found
 
 
-def _bytes(report: Report) -> float:
+def _bytes_per_second(report: Report) -> float:
     day = report.day
     return (
         day.gossip_bytes_per_second
@@ -190,12 +208,12 @@
 
 async def _measure(nodes: int, targets: int) -> Report:
     async with contextlib.AsyncExitStack() as stack:
-        bench = await _Bench.start(stack, nodes, targets)
+        bench = await _ControlBench.start(stack, nodes, targets)
         return await bench.run()
 
 
-class _Bench:
-    """One real node among played ones."""
+class _ControlBench:
+    """One real node in a fleet of simulated ones."""
 
     def __init__(
         self,
@@ -209,23 +227,23 @@
         self._pid = pid
         self._listening = listening
         self._renewal_bytes = 0
-        self._own = fleet.targets_of(len(fleet.played))
+        self._own_targets = fleet.targets_of(len(fleet.played))
 
     @classmethod
     async def start(
         cls, stack: contextlib.AsyncExitStack, nodes: int, targets: int
-    ) -> "_Bench":
-        """Starts the platform, the played nodes and the real one."""
+    ) -> "_ControlBench":
+        """Starts the platform, the simulated nodes and the real one."""
         fleet = control_fleet.PlayedFleet(nodes - 1, targets, REAL)
         await fleet.start()
         stack.push_async_callback(fleet.stop)
         objects = platform.ObjectStore()
-        _configure(objects)
+        _store_configuration(objects)
         for node in fleet.played:
             value = dataclasses.asdict(node.record)
             del value["name"]
             objects.put("node", node.name, value, 0)
-        url = await _serve(stack, objects)
+        url = await _serve_platform(stack, objects)
         session = await stack.enter_async_context(aiohttp.ClientSession())
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         file = _write_settings(folder, url)
@@ -236,142 +254,154 @@
         listening: dict[str, Any] = {}
         while listening.get("message") != "listening":
             listening = json.loads(await child.stdout.readline())
-        drain = asyncio.create_task(_drain(child.stdout))
+        drain = asyncio.create_task(_discard_lines(child.stdout))
         stack.callback(drain.cancel)
         fleet.real_address = listening["nodes"]
         return cls(fleet, session, child.pid, listening)
 
     async def run(self) -> Report:
-        """Joins, an ordinary day, withdrawals and a mass restart."""
-        renewals = asyncio.create_task(self._renew())
-        join = await self._until_known()
-        rate = max(ORDINARY_CHANGES * self._total, 0.01)
+        """Measures the join, ordinary load, withdrawals and a mass restart."""
+        renewals = asyncio.create_task(self._renew_all())
+        join = await self._wait_for_complete_view()
+        rate = max(ORDINARY_CHANGES * self._target_count, 0.01)
         changes = asyncio.create_task(self._fleet.change(rate))
         await asyncio.sleep(SETTLE.total_seconds())
-        day = await self._load(_DAY_SECONDS.value)
+        day = await self._measure_load(_DAY_SECONDS.value)
         changes.cancel()
-        worst = max([await self._withdrawal() for _ in range(SPREAD_RUNS)])
+        worst = max(
+            [await self._measure_withdrawal() for _ in range(SPREAD_RUNS)]
+        )
         restart, seconds = None, None
         if _RESTART.value:
-            restart, seconds = await self._restart()
+            restart, seconds = await self._measure_restart()
         renewals.cancel()
         nodes = len(self._fleet.played) + 1
         return Report(
-            nodes, self._total, join, day, round(worst, 2), restart, seconds
+            nodes,
+            self._target_count,
+            join,
+            day,
+            round(worst, 2),
+            restart,
+            seconds,
         )
 
     @property
-    def _total(self) -> int:
+    def _target_count(self) -> int:
         played = range(len(self._fleet.played) + 1)
         return sum(len(self._fleet.targets_of(number)) for number in played)
 
-    async def _until_known(self) -> float:
+    async def _wait_for_complete_view(self) -> float:
         loop = asyncio.get_running_loop()
         start = loop.time()
-        while not await self._knows_all():
+        while not await self._has_complete_view():
             if loop.time() - start > JOIN_LIMIT.total_seconds():
-                raise exceptions.UnavailableError("the node does not join")
+                raise exceptions.UnavailableError(
+                    "the node did not join in time"
+                )
             await asyncio.sleep(0.2)
         return round(loop.time() - start, 2)
 
-    async def _knows_all(self) -> bool:
-        """Whether the real node agrees with a played one, and is ready."""
-        members = await self._members()
+    async def _has_complete_view(self) -> bool:
+        """Whether the real node agrees with a simulated one and is ready."""
+        members = await self._query_members()
         agreed = members["digest"] == self._fleet.played[0].core.summary
-        all_known = members["targets"] == self._total
-        return agreed and all_known and await self._ready()
+        all_known = members["targets"] == self._target_count
+        return agreed and all_known and await self._is_ready()
 
-    async def _withdrawal(self) -> float:
-        """Until every played node knows that a target has gone."""
+    async def _measure_withdrawal(self) -> float:
+        """Measures the time until all simulated nodes know of a withdrawal."""
         loop = asyncio.get_running_loop()
-        target = self._own[0]
+        target = self._own_targets[0]
         played = self._fleet.played
         before = played[0].view.home_version(REAL).sequence
-        async with self._session.delete(self._url(target)) as response:
+        async with self._session.delete(self._target_url(target)) as response:
             response.raise_for_status()
         start = loop.time()
         limit = start + JOIN_LIMIT.total_seconds()
         while self._fleet.knowing(REAL, before + 1) < len(played):
             if loop.time() > limit:
-                raise exceptions.UnavailableError("a change does not spread")
+                raise exceptions.UnavailableError(
+                    "a change did not reach all nodes in time"
+                )
             await asyncio.sleep(LOOK.total_seconds())
         seconds = loop.time() - start
-        await self._put(target)
+        await self._renew_lease(target)
         await asyncio.sleep(2)
         return seconds
 
-    async def _restart(self) -> tuple[Load, float]:
+    async def _measure_restart(self) -> tuple[Load, float]:
         loop = asyncio.get_running_loop()
         count = max(1, round(len(self._fleet.played) * RESTARTED_SHARE))
         start = loop.time()
-        before = await self._count()
+        before = await self._read_counters()
         await self._fleet.restart(count, RESTART_TIME)
-        await self._until_known()
+        await self._wait_for_complete_view()
         seconds = loop.time() - start
-        load = self._load_between(before, await self._count())
+        load = self._load_between(before, await self._read_counters())
         return load, round(seconds, 2)
 
-    async def _load(self, seconds: float) -> Load:
-        before = await self._count()
+    async def _measure_load(self, seconds: float) -> Load:
+        before = await self._read_counters()
         await asyncio.sleep(seconds)
-        return self._load_between(before, await self._count())
+        return self._load_between(before, await self._read_counters())
 
-    def _load_between(self, before: _Count, after: _Count) -> Load:
+    def _load_between(self, before: _Counters, after: _Counters) -> Load:
         seconds = after.time - before.time
         ticks = os.sysconf("SC_CLK_TCK")
         cpu = (after.ticks - before.ticks) / ticks / seconds * 100
         return Load(
             round(cpu, 2),
-            round(_rss(self._pid) / 1e6, 1),
+            round(_read_rss_bytes(self._pid) / 1e6, 1),
             round((after.gossip - before.gossip) / seconds, 1),
             round((after.link - before.link) / seconds, 1),
             round((after.renewal - before.renewal) / seconds, 1),
         )
 
-    async def _count(self) -> _Count:
-        members = await self._members()
-        return _Count(
-            _cpu_ticks(self._pid),
+    async def _read_counters(self) -> _Counters:
+        members = await self._query_members()
+        return _Counters(
+            _read_cpu_ticks(self._pid),
             members["datagram_bytes_sent"] + members["datagram_bytes_received"],
             self._fleet.link_bytes,
             self._renewal_bytes,
             asyncio.get_running_loop().time(),
         )
 
-    async def _members(self) -> dict[str, Any]:
+    async def _query_members(self) -> dict[str, Any]:
         url = f"http://{self._listening['operators']}/v1/members"
         async with self._session.get(url) as response:
             found: dict[str, Any] = await response.json()
             return found
 
-    async def _ready(self) -> bool:
+    async def _is_ready(self) -> bool:
         url = f"http://{self._listening['operators']}/readyz"
         async with self._session.get(url) as response:
             return response.status == 200
 
-    async def _renew(self) -> None:
-        """Keeps the real node's targets announced, each by a task of its own.
+    async def _renew_all(self) -> None:
+        """Renews the leases of the real node's targets, each in its own task.
 
-        One after another, they would lapse at sizes where this process is
-        busy with the nodes that it plays.
+        Renewed sequentially, leases would expire at fleet sizes where this
+        process is busy with the simulated nodes.
         """
         async with asyncio.TaskGroup() as group:
-            for number, target in enumerate(self._own):
-                group.create_task(self._renew_one(target, number))
+            for number, target in enumerate(self._own_targets):
+                group.create_task(self._renew_periodically(target, number))
 
-    async def _renew_one(self, target: str, number: int) -> None:
+    async def _renew_periodically(self, target: str, number: int) -> None:
         loop = asyncio.get_running_loop()
         period = LEASE.total_seconds() / 3
-        due = loop.time() + period * number / len(self._own)
+        due = loop.time() + period * number / len(self._own_targets)
         while True:
             await asyncio.sleep(due - loop.time())
-            await self._put(target)
+            await self._renew_lease(target)
             due = max(due + period, loop.time())
 
-    def _url(self, target: str) -> str:
+    def _target_url(self, target: str) -> str:
         return f"http://{self._listening['targets']}/v1/targets/{target}"
 
-    async def _put(self, target: str) -> None:
+    async def _renew_lease(self, target: str) -> None:
         body = json.dumps(
             {
                 "service": control_fleet.service_of(target),
@@ -380,7 +410,9 @@
                 "lease_ms": int(LEASE.total_seconds() * 1000),
             }
         )
-        async with self._session.put(self._url(target), data=body) as response:
+        async with self._session.put(
+            self._target_url(target), data=body
+        ) as response:
             answer = await response.read()
             sent = response.request_info.headers
             got = response.raw_headers
@@ -398,7 +430,7 @@
     return str(file)
 
 
-async def _serve(
+async def _serve_platform(
     stack: contextlib.AsyncExitStack, objects: platform.ObjectStore
 ) -> str:
     application = platform.PlatformStandin(objects).application()
@@ -409,7 +441,7 @@
     return f"http://127.0.0.1:{runner.addresses[0][1]}"
 
 
-def _configure(objects: platform.ObjectStore) -> None:
+def _store_configuration(objects: platform.ObjectStore) -> None:
     for number in range(control_fleet.SERVICES):
         spec = {"slots": 3, "floor_slots": 20}
         _put_object(objects, store.SERVICE, f"service-{number:03}", spec)
@@ -444,17 +476,17 @@
     objects.put(kind, name, envelope.model_dump(mode="json"), 0)
 
 
-async def _drain(stream: asyncio.StreamReader) -> None:
+async def _discard_lines(stream: asyncio.StreamReader) -> None:
     while await stream.readline():
         pass
 
 
-def _cpu_ticks(pid: int) -> int:
+def _read_cpu_ticks(pid: int) -> int:
     stat = pathlib.Path(f"/proc/{pid}/stat").read_text(encoding="utf-8")
     fields = stat.rpartition(")")[2].split()
     return int(fields[11]) + int(fields[12])
 
 
-def _rss(pid: int) -> int:
+def _read_rss_bytes(pid: int) -> int:
     pages = pathlib.Path(f"/proc/{pid}/statm").read_text(encoding="utf-8")
     return int(pages.split()[1]) * os.sysconf("SC_PAGE_SIZE")
--- a/endivewind/commands/bench_decisions.py
+++ b/endivewind/commands/bench_decisions.py
@@ -1,8 +1,9 @@
 """endivewind-bench decisions: detection time and false ejections.
 
-Runs the node's own judge, floor and placing in virtual time against targets
-that fail in many ways, and two baselines under the same callers: round robin
-without ejection, and five consecutive errors. No sockets, no processes.
+Simulates the node's own outlier detection, capacity floor and load balancing
+in virtual time with targets that fail in many ways. Two baselines run under
+the same load: round robin without ejection, and ejection after five
+consecutive errors. It uses no sockets and no processes.
 """
 
 import collections.abc
@@ -30,24 +31,30 @@
 POLICIES = ("own", "consecutive-errors", "round-robin")
 
 _SCENARIO = flags.DEFINE_list(
-    "scenario", [], "Scenarios; all but those of half a day unless given."
+    "scenario", [], "Scenarios to run; default: all except those of half a day."
 )
 _PROFILE = flags.DEFINE_enum_class(
-    "profile", objects.Profile.DETECTION, objects.Profile, "Error bounds."
+    "profile",
+    objects.Profile.DETECTION,
+    objects.Profile,
+    "Preset of the ejection settings.",
 )
-_SEED = flags.DEFINE_integer("seed", None, "One seed instead of several.")
+_SEED = flags.DEFINE_integer("seed", None, "Run this single seed.")
 flags.declare_key_flag("seeds")
-_POLICIES = flags.DEFINE_list("policies", list(POLICIES), "What to compare.")
+_POLICIES = flags.DEFINE_list(
+    "policies", list(POLICIES), "Policies to compare."
+)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Figures:
-    """Several seeds of one scenario and policy.
+    """Results of several seeds of one scenario and policy.
 
     Attributes:
-      detected: seeds in which the sick target was ejected while sick.
-      median_detection_seconds: over those seeds.
-      worst_detection_seconds: over those seeds.
+      detected: number of seeds in which the unhealthy target was ejected
+        during its fault.
+      median_detection_seconds: median over these seeds.
+      worst_detection_seconds: maximum over these seeds.
     """
 
     scenario: str
@@ -71,9 +78,9 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Runs the command; returns the exit code."""
+    """Runs the command and returns the exit code."""
     logging.getLogger("endivewind").setLevel(logging.ERROR)
-    chosen = _chosen(_SCENARIO.value)
+    selected = _select_scenarios(_SCENARIO.value)
     seeds = bench_options.seeds(DEFAULT_SEEDS)
     if _SEED.value is not None:
         seeds = range(_SEED.value, _SEED.value + 1)
@@ -82,10 +89,12 @@
         raise exceptions.UsageError(f"--policies: unknown {unknown}")
     found = [
         measure(scenario, policy, _PROFILE.value, seeds)
-        for scenario in chosen
+        for scenario in selected
         for policy in _POLICIES.value
     ]
-    options.show([dataclasses.asdict(item) for item in found], _text(found))
+    options.show(
+        [dataclasses.asdict(item) for item in found], _format_table(found)
+    )
     return 0
 
 
@@ -95,13 +104,13 @@
     profile: objects.Profile,
     seeds: collections.abc.Iterable[int],
 ) -> Figures:
-    """Runs a scenario with each seed and puts the rows together."""
+    """Runs a scenario with each seed and aggregates the results."""
     rows = [
         experiment.Experiment(scenario, policy, profile, seed).run()
         for seed in seeds
     ]
-    detections = _known(row.detection_seconds for row in rows)
-    returns = _known(row.return_seconds for row in rows)
+    detections = _without_none(row.detection_seconds for row in rows)
+    returns = _without_none(row.return_seconds for row in rows)
     return Figures(
         scenario=scenario.name,
         policy=policy,
@@ -109,13 +118,13 @@
         seeds=len(rows),
         requests=sum(row.requests for row in rows),
         detected=len(detections),
-        median_detection_seconds=_median(detections),
-        worst_detection_seconds=_rounded(max(detections, default=None)),
+        median_detection_seconds=_median_or_none(detections),
+        worst_detection_seconds=_round_or_none(max(detections, default=None)),
         sick_requests=_mean(row.sick_requests for row in rows),
         work_lost=_mean(row.work_lost for row in rows),
         false_ejections=sum(row.false_ejections for row in rows),
         true_ejections=sum(row.true_ejections for row in rows),
-        median_return_seconds=_median(returns),
+        median_return_seconds=_median_or_none(returns),
         p50_ms=_mean(row.p50_ms for row in rows),
         p99_ms=_mean(row.p99_ms for row in rows),
         refusals=_mean(row.refusals for row in rows),
@@ -126,18 +135,20 @@
     )
 
 
-def _chosen(wanted: list[str]) -> list[scenarios.Scenario]:
+def _select_scenarios(requested: list[str]) -> list[scenarios.Scenario]:
     known = {item.name: item for item in scenarios.SCENARIOS}
-    for name in wanted:
+    for name in requested:
         if name not in known:
             hint = names.suggest(name, known)
             raise exceptions.UsageError(f"unknown scenario {name!r}{hint}")
-    if wanted:
-        return [known[name] for name in wanted]
+    if requested:
+        return [known[name] for name in requested]
     return [item for item in known.values() if item.end < scenarios.HALF_DAY]
 
 
-def _known(values: collections.abc.Iterable[float | None]) -> list[float]:
+def _without_none(
+    values: collections.abc.Iterable[float | None],
+) -> list[float]:
     return [value for value in values if value is not None]
 
 
@@ -145,15 +156,15 @@
     return round(statistics.fmean(values), 1)
 
 
-def _median(values: list[float]) -> float | None:
-    return _rounded(statistics.median(values)) if values else None
+def _median_or_none(values: list[float]) -> float | None:
+    return _round_or_none(statistics.median(values)) if values else None
 
 
-def _rounded(value: float | None) -> float | None:
+def _round_or_none(value: float | None) -> float | None:
     return None if value is None else round(value, 3)
 
 
-def _text(found: list[Figures]) -> str:
+def _format_table(found: list[Figures]) -> str:
     titles = (
         "scenario",
         "policy",
@@ -174,11 +185,11 @@
             item.scenario,
             item.policy,
             f"{item.detected}/{item.seeds}",
-            _cell(item.median_detection_seconds),
-            _cell(item.worst_detection_seconds),
+            _format_cell(item.median_detection_seconds),
+            _format_cell(item.worst_detection_seconds),
             item.work_lost,
             item.false_ejections,
-            _cell(item.median_return_seconds),
+            _format_cell(item.median_return_seconds),
             item.p50_ms,
             item.p99_ms,
             item.refusals,
@@ -190,5 +201,5 @@
     return tables.table(titles, rows)
 
 
-def _cell(value: float | None) -> str:
+def _format_cell(value: float | None) -> str:
     return "-" if value is None else f"{value:.2f}"
--- a/endivewind/commands/bench_overhead.py
+++ b/endivewind/commands/bench_overhead.py
@@ -1,10 +1,11 @@
-"""endivewind-bench overhead: what endivewind adds to a request.
-
-In one run, on one machine and with one target: direct, through one and two
-bare aiohttp hops, through endivewind at home (the entry is the target's home)
-and across (entry and home are two nodes). Latencies at a fixed rate, the five
-paths taking turns so that what else the machine does hits them alike; then
-requests a second at saturation. Each request is a POST of 256 bytes.
+"""endivewind-bench overhead: latency and throughput overhead of endivewind.
+
+Compares five paths to one target on one machine: direct, through one and two
+bare aiohttp hops, through one endivewind node (the entry node is the target's
+home), and across two nodes (entry node and home). It measures latency at a
+fixed rate, alternating between the paths so that other load on the machine
+affects all alike, and then the throughput at saturation. Each request is a
+POST of 256 bytes.
 """
 
 import asyncio
@@ -27,15 +28,15 @@
 
 USAGE = "overhead [--rate=184] [--seconds=20] [--format=json]"
 
-_RATE = flags.DEFINE_float("rate", 184, "Requests a second.", lower_bound=1)
+_RATE = flags.DEFINE_float("rate", 184, "Requests per second.", lower_bound=1)
 _SECONDS = flags.DEFINE_float(
-    "seconds", 20, "Seconds at that rate on each path.", lower_bound=1
+    "seconds", 20, "Seconds at this rate on each path.", lower_bound=1
 )
 _SATURATION_SECONDS = flags.DEFINE_float(
     "saturation_seconds", 5, "Seconds of saturation on each path."
 )
 _TURNS = flags.DEFINE_integer(
-    "turns", 4, "Turns that each path takes.", lower_bound=1
+    "turns", 4, "Number of turns of each path.", lower_bound=1
 )
 flags.declare_key_flag("format")
 
@@ -48,11 +49,11 @@
 _HOST = "overhead.example"
 _SERVICE = "overhead"
 _WARM_UP_SECONDS = 2
-# Two load processes of so many connections keep any of the paths busy.
-_LOADS = 2
+# Two load processes with this many connections each saturate any path.
+_LOAD_PROCESSES = 2
 _CONNECTIONS = 16
-_MOST_ADDED_MS = 2.7
-_LEAST_SATURATION = 0.8
+_MAX_ADDED_MS = 2.7
+_MIN_SATURATION_SHARE = 0.8
 _CONFIGURATION = {
     "services": {_SERVICE: {"slots": 1000, "queue_limit": 1000}},
     "route_groups": {
@@ -65,7 +66,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Path:
-    """One way to the target, and what was measured on it."""
+    """One path to the target and its results."""
 
     name: str
     request: load.Request
@@ -74,7 +75,7 @@
     saturation_failures: int = 0
 
     def as_json(self) -> dict[str, Any]:
-        """The figures as plain JSON values."""
+        """Returns the figures as JSON values."""
         return {
             "answers": len(self.samples.latencies),
             "failures": self.samples.failures + self.saturation_failures,
@@ -85,36 +86,36 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Measures and prints; 1 where the aims are not reached."""
+    """Measures and prints; returns 1 if a goal is missed."""
     if arguments:
         raise exceptions.UsageError(f"usage: endivewind-bench {USAGE}")
-    return running.loop(_bench())
+    return running.loop(_run_benchmark())
 
 
-async def _bench() -> int:
+async def _run_benchmark() -> int:
     async with children.Children() as started:
-        paths = await _paths(started)
+        paths = await _start_paths(started)
         async with load.session() as session:
-            await _at_rate(session, paths)
+            await _measure_latency(session, paths)
         for path in paths:
-            await _saturate(path)
+            await _measure_saturation(path)
     figures = {path.name: path.as_json() for path in paths}
-    aims = judge(figures)
+    goals = judge(figures)
     value = {
         "rate": _RATE.value,
         "seconds": _SECONDS.value,
         "paths": figures,
-        "aims": aims,
+        "aims": goals,
     }
-    options.show(value, _text(figures, aims))
-    return 0 if all(aim["reached"] for aim in aims.values()) else 1
+    options.show(value, _format_tables(figures, goals))
+    return 0 if all(goal["reached"] for goal in goals.values()) else 1
 
 
-async def _paths(started: children.Children) -> list[Path]:
+async def _start_paths(started: children.Children) -> list[Path]:
     platform = await started.start("platform", "standin", "platform")
     url = f"http://{platform.listening['address']}"
-    home = await started.node(_settings("node-home", url))
-    entry = await started.node(_settings("node-entry", url))
+    home = await started.node(_node_settings("node-home", url))
+    entry = await started.node(_node_settings("node-entry", url))
     target = await started.start(
         "target",
         "standin",
@@ -123,25 +124,25 @@
         f"--service={_SERVICE}",
         f"--nodes={home.listening['targets']}",
     )
-    hop = await _hop(started, "hop-1", target.listening["address"])
-    second = await _hop(started, "hop-2", hop.listening["address"])
+    hop = await _start_hop(started, "hop-1", target.listening["address"])
+    second = await _start_hop(started, "hop-2", hop.listening["address"])
     for child in (platform, home, entry, target, hop, second):
         child.ignore_output()
-    await _submit(url)
+    await _submit_configuration(url)
     paths = [
-        _path(DIRECT, target.listening["address"]),
-        _path(ONE_HOP, hop.listening["address"]),
-        _path(TWO_HOPS, second.listening["address"]),
-        _path(AT_HOME, home.listening["callers"]),
-        _path(ACROSS, entry.listening["callers"]),
+        _make_path(DIRECT, target.listening["address"]),
+        _make_path(ONE_HOP, hop.listening["address"]),
+        _make_path(TWO_HOPS, second.listening["address"]),
+        _make_path(AT_HOME, home.listening["callers"]),
+        _make_path(ACROSS, entry.listening["callers"]),
     ]
     async with load.session() as session:
         for path in paths:
-            await _answered(session, path)
+            await _wait_and_warm_up(session, path)
     return paths
 
 
-async def _hop(
+async def _start_hop(
     started: children.Children, name: str, address: str
 ) -> children.Child:
     return await started.start(
@@ -149,11 +150,11 @@
     )
 
 
-def _path(name: str, address: str) -> Path:
+def _make_path(name: str, address: str) -> Path:
     return Path(name, load.Request(f"http://{address}/overhead", _HOST))
 
 
-def _settings(name: str, platform: str) -> dict[str, Any]:
+def _node_settings(name: str, platform: str) -> dict[str, Any]:
     return {
         "name": name,
         "region": "andina",
@@ -162,7 +163,7 @@
     }
 
 
-async def _submit(platform: str) -> None:
+async def _submit_configuration(platform: str) -> None:
     with tempfile.TemporaryDirectory() as folder:
         file = pathlib.Path(folder) / "configuration.yaml"
         file.write_text(yaml.safe_dump(_CONFIGURATION))
@@ -175,21 +176,23 @@
         )
 
 
-async def _answered(session: aiohttp.ClientSession, path: Path) -> None:
-    """Waits until a path answers, then warms it up."""
+async def _wait_and_warm_up(session: aiohttp.ClientSession, path: Path) -> None:
+    """Waits until a path responds, then warms it up."""
     for _ in range(100):
         samples = load.Samples()
         await load.at_rate(session, path.request, 50, 0.1, samples)
         if not samples.failures:
             break
     else:
-        raise exceptions.UnavailableError(f"{path.name} does not answer")
+        raise exceptions.UnavailableError(f"path {path.name} does not respond")
     await load.at_rate(
         session, path.request, _RATE.value, _WARM_UP_SECONDS, load.Samples()
     )
 
 
-async def _at_rate(session: aiohttp.ClientSession, paths: list[Path]) -> None:
+async def _measure_latency(
+    session: aiohttp.ClientSession, paths: list[Path]
+) -> None:
     seconds = _SECONDS.value / _TURNS.value
     for _ in range(_TURNS.value):
         for path in paths:
@@ -198,7 +201,7 @@
             )
 
 
-async def _saturate(path: Path) -> None:
+async def _measure_saturation(path: Path) -> None:
     found = await asyncio.gather(
         *(
             children.output_of(
@@ -209,7 +212,7 @@
                 f"--connections={_CONNECTIONS}",
                 f"--seconds={_SATURATION_SECONDS.value}",
             )
-            for _ in range(_LOADS)
+            for _ in range(_LOAD_PROCESSES)
         )
     )
     path.saturation = sum(item["per_second"] for item in found)
@@ -219,44 +222,44 @@
 def judge(
     figures: collections.abc.Mapping[str, dict[str, Any]],
 ) -> dict[str, dict[str, Any]]:
-    """Compares what endivewind adds with what bare hops add."""
+    """Compares the overhead of endivewind with that of bare hops."""
 
-    def added(name: str) -> float:
+    def added_p99_ms(name: str) -> float:
         return figures[name]["p99_ms"] - figures[DIRECT]["p99_ms"]
 
-    def share(name: str, of: str) -> float:
+    def saturation_share(name: str, baseline: str) -> float:
         key = "saturation_per_second"
-        return figures[name][key] / max(figures[of][key], 1)
+        return figures[name][key] / max(figures[baseline][key], 1)
 
     return {
-        "across p99 added, against two hops (ms)": _most(
-            added(ACROSS), added(TWO_HOPS)
+        "across p99 added, against two hops (ms)": _at_most(
+            added_p99_ms(ACROSS), added_p99_ms(TWO_HOPS)
         ),
-        "across p99 added (ms)": _most(added(ACROSS), _MOST_ADDED_MS),
-        "at home p99 added, against one hop (ms)": _most(
-            added(AT_HOME), added(ONE_HOP)
+        "across p99 added (ms)": _at_most(added_p99_ms(ACROSS), _MAX_ADDED_MS),
+        "at home p99 added, against one hop (ms)": _at_most(
+            added_p99_ms(AT_HOME), added_p99_ms(ONE_HOP)
         ),
-        "at home saturation, share of one hop": _least(
-            share(AT_HOME, ONE_HOP), _LEAST_SATURATION
+        "at home saturation, share of one hop": _at_least(
+            saturation_share(AT_HOME, ONE_HOP), _MIN_SATURATION_SHARE
         ),
-        "across saturation, share of two hops": _least(
-            share(ACROSS, TWO_HOPS), _LEAST_SATURATION
+        "across saturation, share of two hops": _at_least(
+            saturation_share(ACROSS, TWO_HOPS), _MIN_SATURATION_SHARE
         ),
-        "failures": _most(
+        "failures": _at_most(
             sum(item["failures"] for item in figures.values()), 0
         ),
     }
 
 
-def _most(value: float, limit: float) -> dict[str, Any]:
-    return _aim(value, limit, value <= limit)
+def _at_most(value: float, limit: float) -> dict[str, Any]:
+    return _make_goal(value, limit, value <= limit)
 
 
-def _least(value: float, limit: float) -> dict[str, Any]:
-    return _aim(value, limit, value >= limit)
+def _at_least(value: float, limit: float) -> dict[str, Any]:
+    return _make_goal(value, limit, value >= limit)
 
 
-def _aim(value: float, limit: float, reached: bool) -> dict[str, Any]:
+def _make_goal(value: float, limit: float, reached: bool) -> dict[str, Any]:
     return {
         "value": round(value, 3),
         "limit": round(limit, 3),
@@ -264,24 +267,24 @@
     }
 
 
-def _text(
-    figures: dict[str, dict[str, Any]], aims: dict[str, dict[str, Any]]
+def _format_tables(
+    figures: dict[str, dict[str, Any]], goals: dict[str, dict[str, Any]]
 ) -> str:
     rows = [
         (name, item["p50_ms"], item["p99_ms"], item["saturation_per_second"])
         for name, item in figures.items()
     ]
     paths = tables.table(("PATH", "P50 MS", "P99 MS", "SATURATION/S"), rows)
-    verdicts = tables.table(
+    goal_table = tables.table(
         ("AIM", "VALUE", "LIMIT", "REACHED"),
         [
             (
                 name,
-                aim["value"],
-                aim["limit"],
-                "yes" if aim["reached"] else "no",
+                goal["value"],
+                goal["limit"],
+                "yes" if goal["reached"] else "no",
             )
-            for name, aim in aims.items()
+            for name, goal in goals.items()
         ],
     )
-    return f"{paths}\n\n{verdicts}"
+    return f"{paths}\n\n{goal_table}"
--- a/endivewind/commands/bench_spreading.py
+++ b/endivewind/commands/bench_spreading.py
@@ -1,8 +1,8 @@
-"""endivewind-bench spreading: how soon a change is in force on N nodes.
+"""endivewind-bench spreading: time until a change is in force on N nodes.
 
-The nodes are the pure cores of config/spreading.py in one process and in
-virtual time; messages are encoded as they are on the wire. It measures
-spreading alone and simulates nothing else of a fleet.
+Simulates the configuration replication (config/replication.py) of all nodes
+in one process and in virtual time, with the size of messages as encoded on the
+wire. It simulates no other part of a fleet.
 """
 
 import collections.abc
@@ -35,26 +35,28 @@
 NEAR_LATENCY = datetime.timedelta(milliseconds=1.5)
 FAR_LATENCY = datetime.timedelta(milliseconds=30)
 GIVE_UP = datetime.timedelta(seconds=60)
-# Long enough for digests to make most of a quiet node's bytes.
+# Long enough that digests are most of the traffic of an idle node.
 QUIET = datetime.timedelta(seconds=30)
 LOADED_OBJECTS = 50
 CHANGED = store.Key(store.SERVICE, "riders")
 
 flags.declare_key_flag("nodes")
 DEFAULT_NODES = 50
-_LOSS = flags.DEFINE_float("loss", 0.1, "Share of messages lost.")
-_RUNS = flags.DEFINE_integer("runs", 5, "Runs, each with its own seed.")
+_LOSS = flags.DEFINE_float("loss", 0.1, "Share of messages that are lost.")
+_RUNS = flags.DEFINE_integer(
+    "runs", 5, "Number of runs, each with its own seed."
+)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SpreadingRun:
-    """One run.
+    """Result of one run.
 
     Attributes:
-      seconds: until the change is in force on every node; inf if never.
-      change_bytes: sent by a node on average until then.
-      most_bytes: sent until then by the node that sent most.
-      quiet_bytes_per_second: sent by a node on average with nothing to tell.
+      seconds: time until the change is in force on every node; inf if never.
+      change_bytes: mean bytes sent per node until then.
+      max_bytes: bytes sent until then by the node that sent most.
+      quiet_bytes_per_second: mean bytes per second sent by an idle node.
     """
 
     seconds: float
@@ -65,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SpreadingFigures:
-    """Several runs at one size."""
+    """Results of several runs with one number of nodes."""
 
     nodes: int
     loss: float
@@ -78,33 +80,33 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Member:
+class _NodeLocation:
     name: str
     region: str
     zone: str
 
 
 class Cores:
-    """N spreading cores joined by a lossy network in virtual time."""
+    """N replicators connected by a lossy network in virtual time."""
 
     def __init__(self, nodes: int, loss: float, seed: int) -> None:
         self._rng = random.Random(seed)
         self._loss = loss
-        self._order = itertools.count()
+        self._event_numbers = itertools.count()
         self._queue: list[tuple[float, int, str, spreading.Message | None]] = []
         self.members = {
-            f"node-{number:04d}": _Member(
+            f"node-{number:04d}": _NodeLocation(
                 f"node-{number:04d}", *ZONES[number % len(ZONES)]
             )
             for number in range(nodes)
         }
-        self.stores = {name: _loaded() for name in self.members}
+        self.stores = {name: _make_store() for name in self.members}
         self.cores = {
             name: spreading.Spreader(
                 name, member.region, self.stores[name], self._peers(name), rng
             )
             for (name, member), rng in zip(
-                self.members.items(), self._rngs(), strict=False
+                self.members.items(), self._make_rngs(), strict=False
             )
         }
         self.sent = dict.fromkeys(self.members, 0)
@@ -116,14 +118,14 @@
             self._push(phase, name, None)
 
     def write(self, name: str, key: store.Key, value: dict) -> None:
-        """Gives one node an object, as the platform's watch would."""
+        """Applies an object at one node, as its watch of the platform does."""
         before = self.stores[name].stamp(key)
         self.stores[name].apply(*key, 1, value)
         if self.stores[name].stamp(key) != before:
             self.cores[name].taken(key)
 
     def run_until(self, done: collections.abc.Callable[[], bool]) -> bool:
-        """Runs until done or GIVE_UP from now; returns whether it is done."""
+        """Runs until done, at most for RUN_TIMEOUT; returns whether done."""
         end = self.now + GIVE_UP
         while self.now < end:
             if done():
@@ -131,9 +133,9 @@
             self._step()
         return done()
 
-    def run_for(self, span: datetime.timedelta) -> None:
-        """Runs for a span of virtual time."""
-        end = self.now + span
+    def run_for(self, duration: datetime.timedelta) -> None:
+        """Runs for a duration of virtual time."""
+        end = self.now + duration
         while self.now < end:
             self._step()
 
@@ -153,18 +155,18 @@
             frame = codec.messages.Frame(configuration=wire)
             self.sent[name] += len(codec.encode_frame(frame))
             sender, receiver = self.members[name], self.members[item.to]
-            cut = (sender.zone, receiver.region) in self.cut
-            if cut or self._rng.random() < self._loss:
+            is_blocked = (sender.zone, receiver.region) in self.cut
+            if is_blocked or self._rng.random() < self._loss:
                 continue
-            near = sender.region == receiver.region
-            latency = NEAR_LATENCY if near else FAR_LATENCY
+            is_same_region = sender.region == receiver.region
+            latency = NEAR_LATENCY if is_same_region else FAR_LATENCY
             arrives = self.now + latency
             self._push(arrives.total_seconds(), item.to, item.message)
 
     def _push(
         self, seconds: float, name: str, message: spreading.Message | None
     ) -> None:
-        item = (seconds, next(self._order), name, message)
+        item = (seconds, next(self._event_numbers), name, message)
         heapq.heappush(self._queue, item)
 
     def _peers(
@@ -175,20 +177,20 @@
         ]
         return lambda: peers
 
-    def _rngs(self) -> collections.abc.Iterator[random.Random]:
+    def _make_rngs(self) -> collections.abc.Iterator[random.Random]:
         while True:
             yield random.Random(self._rng.random())
 
 
-def _loaded() -> store.ConfigurationStore:
-    loaded = store.ConfigurationStore()
+def _make_store() -> store.ConfigurationStore:
+    initial_store = store.ConfigurationStore()
     for number in range(LOADED_OBJECTS):
-        loaded.apply(store.SERVICE, f"service-{number}", 1, change(3, 1))
-    return loaded
+        initial_store.apply(store.SERVICE, f"service-{number}", 1, change(3, 1))
+    return initial_store
 
 
 def change(slots: int, version: int) -> dict:
-    """A value of a service."""
+    """Returns the value of a service object."""
     return {
         "spec": {"slots": slots},
         "operation": f"{version:032x}",
@@ -202,11 +204,11 @@
     seed: int,
     changed: tuple[store.Key, dict] | None = None,
 ) -> SpreadingRun:
-    """One change, heard from the platform by one node only.
+    """Simulates one change that a single node receives from the platform.
 
-    Every other watcher has lost the platform, and the zone of the one that
-    hears reaches no node of the other region, while it is heard itself: the
-    change has to walk round through other zones.
+    All other watchers have lost the platform. Messages from the zone of this
+    node to the other region are lost, while those in the other direction
+    arrive, so the change has to take a path through other zones.
     """
     key, value = changed or (CHANGED, change(5, 2))
     cores = Cores(nodes, loss, seed)
@@ -214,19 +216,21 @@
     other = {region for region, _ in ZONES if region != source.region}
     cores.cut = {(source.zone, region) for region in other}
     cores.run_for(QUIET)
-    quiet = statistics.mean(cores.sent.values()) / QUIET.total_seconds()
+    quiet_bytes_per_second = (
+        statistics.mean(cores.sent.values()) / QUIET.total_seconds()
+    )
     cores.sent = dict.fromkeys(cores.members, 0)
     start = cores.now
     cores.write(source.name, key, value)
     stores = cores.stores.values()
-    waiting = set(cores.members)
+    pending = set(cores.members)
 
     def done() -> bool:
-        while waiting:
-            name = next(iter(waiting))
+        while pending:
+            name = next(iter(pending))
             if cores.stores[name].in_force(key) != value["version"]:
                 return False
-            waiting.discard(name)
+            pending.discard(name)
         return all(item.in_force(key) == value["version"] for item in stores)
 
     reached = cores.run_until(done)
@@ -235,28 +239,28 @@
         seconds,
         statistics.mean(cores.sent.values()),
         max(cores.sent.values()),
-        quiet,
+        quiet_bytes_per_second,
     )
 
 
 def measure(nodes: int, loss: float = 0.1, runs: int = 5) -> SpreadingFigures:
-    """Several runs with seeds from 1."""
-    found = [run_once(nodes, loss, seed) for seed in range(1, runs + 1)]
-    seconds = [item.seconds for item in found]
+    """Aggregates several runs with seeds from 1."""
+    results = [run_once(nodes, loss, seed) for seed in range(1, runs + 1)]
+    seconds = [item.seconds for item in results]
     return SpreadingFigures(
         nodes,
         loss,
         runs,
         round(statistics.median(seconds), 3),
         round(max(seconds), 3),
-        round(statistics.mean(item.change_bytes for item in found)),
-        max(item.most_bytes for item in found),
-        round(statistics.mean(item.quiet_bytes_per_second for item in found)),
+        round(statistics.mean(item.change_bytes for item in results)),
+        max(item.most_bytes for item in results),
+        round(statistics.mean(item.quiet_bytes_per_second for item in results)),
     )
 
 
 def main(arguments: list[str]) -> int:
-    """Prints the figures for --nodes."""
+    """Measures and prints the figures for --nodes."""
     if (
         arguments
         or (bench_options.NODES.value or DEFAULT_NODES) < 2
--- a/endivewind/commands/control_fleet.py
+++ b/endivewind/commands/control_fleet.py
@@ -1,8 +1,8 @@
-"""Plays all nodes but one for `endivewind-bench control`.
+"""Simulates all nodes but one for `endivewind-bench control`.
 
-Each played node runs the pure cores that real nodes run, on its own UDP and
-TCP address on loopback. It measures one real node's share, and simulates
-nothing else: no requests, no faults.
+Each simulated node runs the gossip and membership code of real nodes on its
+own UDP and TCP address on loopback. It serves no requests and has no faults,
+since the benchmark measures only the control traffic of the real node.
 """
 
 import asyncio
@@ -31,22 +31,22 @@
     ("andina", "andina-c"),
     ("caribe", "caribe-a"),
 )
-# The real node is alone in the fifth zone, so that it holds the platform's
-# watch: the dearer one of the two roles.
+# The real node is alone in the fifth zone, so that it watches the platform,
+# which is the more expensive of the two roles.
 REAL_ZONE = ("caribe", "caribe-b")
 SERVICES = 310
 TICK = datetime.timedelta(milliseconds=100)
-_PHASES = 10
+_TICK_PHASES = 10
 
 
 class Played(link_server.Home):
-    """One played node."""
+    """One simulated node."""
 
     def __init__(self, fleet: "PlayedFleet", name: str, zone: int) -> None:
         self._fleet = fleet
         self.name = name
         self._region, self._zone = ZONES[zone % len(ZONES)]
-        self._socket = datagrams.DatagramSocket(self._received)
+        self._socket = datagrams.DatagramSocket(self._handle_datagram)
         self._server = link_server.LinkServer(self)
         self.record: view.NodeRecord
         self.view: view.FleetView
@@ -55,7 +55,7 @@
         self._sequence = 0
 
     async def bind(self) -> None:
-        """Binds its addresses."""
+        """Binds the UDP and TCP address."""
         address = await self._server.bind("127.0.0.1", 0)
         await self._server.serve()
         host, _, port = address.rpartition(":")
@@ -70,7 +70,7 @@
         fleet_view: view.FleetView,
         nodes: collections.abc.Iterable[view.NodeRecord],
     ) -> None:
-        """Starts its cores with all that the fleet knows."""
+        """Starts membership and gossip with the knowledge of the fleet."""
         clock, rng = self._fleet.clock, self._fleet.rng
         self.record = view.NodeRecord(
             self.name,
@@ -90,11 +90,11 @@
         self._sequence = self.view.home_version(self.name).sequence
 
     def tick(self) -> None:
-        """Runs the core's timers."""
+        """Runs the timers of the gossip core."""
         self.send(self.core.tick())
 
     def change(self, target: str, health: records.Health) -> None:
-        """Makes one change to one of its targets."""
+        """Originates one change of one of its targets."""
         self._sequence += 1
         record = records.TargetRecord(
             id=target,
@@ -113,7 +113,7 @@
         self.core.originate([records.TargetChange(record)])
 
     def send(self, sends: list[gossip_messages.Send]) -> None:
-        """Sends what a core wants sent."""
+        """Sends the messages of the gossip core."""
         for item in sends:
             if isinstance(item.message, gossip_messages.Datagram):
                 self._socket.send(item.address, item.message)
@@ -121,7 +121,7 @@
                 self._fleet.link(item.address, states.frame_out(item.message))
 
     def gossiped(self, frame: Any) -> None:
-        """Takes a link frame of gossip."""
+        """Handles a gossip frame received on a link."""
         message = states.frame_in(frame)
         if message.sender == self._fleet.real_name:
             self._fleet.count_in(frame)
@@ -131,10 +131,10 @@
         self.send(self.core.receive_state(message))
 
     def configuration(self, message: Any) -> None:
-        """Answers the real node's digest, and sends it the same back.
+        """Confirms the real node's digest, and sends it the same digest.
 
-        Played nodes hold no configuration; as many digests come to a node of
-        a fleet as it sends, and in a quiet fleet all are the same.
+        Simulated nodes have no configuration. In a fleet, a node receives as
+        many digests as it sends, and without changes all digests are equal.
         """
         self._fleet.count_in(codec.messages.Frame(configuration=message))
         if not message.digest:
@@ -151,18 +151,18 @@
             self._fleet.link(self._fleet.real_address, frame)
 
     async def stop(self) -> None:
-        """Closes its addresses."""
+        """Closes the UDP and TCP address."""
         self._socket.stop()
         await self._server.stop()
 
-    def _received(
+    def _handle_datagram(
         self, address: str, datagram: gossip_messages.Datagram
     ) -> None:
         self.send(self.core.receive(address, datagram))
 
 
 class PlayedFleet:
-    """All nodes but the real one, in this process."""
+    """All simulated nodes, in this process."""
 
     def __init__(self, count: int, targets: int, real_name: str) -> None:
         self.clock = clocks.SystemClock()
@@ -178,7 +178,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def start(self) -> None:
-        """Binds all, gives all the same knowledge and starts the ticks."""
+        """Binds all nodes, gives them the same state and starts the ticks."""
         for node in self.played:
             await node.bind()
         nodes = [node.record for node in self.played]
@@ -187,15 +187,18 @@
             template.put_node(record)
         for number, node in enumerate(self.played):
             template.put_home_state(
-                node.name, 1, 1, self._records(node, self.targets_of(number))
+                node.name,
+                1,
+                1,
+                self._make_records(node, self.targets_of(number)),
             )
         for node in self.played:
             node.join(1, template.copy(), nodes)
-        for phase in range(_PHASES):
-            self._start(self._tick(phase))
+        for phase in range(_TICK_PHASES):
+            self._start_task(self._run_ticks(phase))
 
     async def stop(self) -> None:
-        """Ends all."""
+        """Stops all nodes."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -204,7 +207,10 @@
         self._pool.close()
 
     def targets_of(self, number: int) -> list[str]:
-        """Ids of the targets of one played node; the rest are the real's."""
+        """Returns the ids of the targets of one node.
+
+        The number after the last simulated node is the real node's.
+        """
         homes = len(self.played) + 1
         return [
             f"target-{index:05}"
@@ -212,23 +218,23 @@
         ]
 
     def link(self, address: str, frame: Any) -> None:
-        """Sends a frame by a link."""
-        self._start(self._send(address, frame))
+        """Starts to send a frame over a link."""
+        self._start_task(self._send(address, frame))
 
     def answer(
         self,
         address: str,
         parts: collections.abc.Iterable[gossip_messages.FleetState],
     ) -> None:
-        """Sends an answer's parts one after the other, as a real node does."""
-        self._start(self._send_all(address, parts))
+        """Starts to send the parts of a response in order, as real nodes do."""
+        self._start_task(self._send_in_order(address, parts))
 
     def count_in(self, frame: Any) -> None:
-        """Counts a frame that came from the real node."""
+        """Counts the bytes of a frame received from the real node."""
         self.link_bytes += len(codec.encode_frame(frame))
 
     async def change(self, per_second: float) -> None:
-        """Makes changes at random nodes, at a rate, for ever."""
+        """Makes changes at random nodes, at a rate, until cancelled."""
         healths = (records.Health.EJECTED, records.Health.NORMAL)
         while True:
             await asyncio.sleep(self.rng.expovariate(per_second))
@@ -239,26 +245,26 @@
                 self.played[number].change(target, self.rng.choice(healths))
 
     async def restart(self, count: int, within: datetime.timedelta) -> None:
-        """Restarts some nodes within a time; their targets announce anew."""
+        """Restarts some nodes within a time; their targets reannounce."""
         nodes = [node.record for node in self.played]
         for number in self.rng.sample(range(len(self.played)), count):
             node = self.played[number]
-            fresh = node.view
-            fresh.remove_home(node.name)
-            node.join(node.record.incarnation + 1, fresh, nodes)
+            new_view = node.view
+            new_view.remove_home(node.name)
+            node.join(node.record.incarnation + 1, new_view, nodes)
             node.core.introduce()
             for target in self.targets_of(number):
                 node.change(target, records.Health.NORMAL)
             await asyncio.sleep(within.total_seconds() / count)
 
     def knowing(self, home: str, sequence: int) -> int:
-        """How many played nodes know a home's changes up to a sequence."""
+        """Counts the simulated nodes that know a home's changes so far."""
         return sum(
             node.view.home_version(home).sequence >= sequence
             for node in self.played
         )
 
-    def _records(
+    def _make_records(
         self, node: Played, targets: list[str]
     ) -> list[records.TargetRecord]:
         return [
@@ -284,7 +290,7 @@
             self.link_bytes += len(codec.encode_frame(frame))
         await self._pool.send(address, frame)
 
-    async def _send_all(
+    async def _send_in_order(
         self,
         address: str,
         parts: collections.abc.Iterable[gossip_messages.FleetState],
@@ -292,21 +298,23 @@
         for part in parts:
             await self._send(address, states.frame_out(part))
 
-    async def _tick(self, phase: int) -> None:
-        await asyncio.sleep(phase * TICK.total_seconds() / _PHASES)
+    async def _run_ticks(self, phase: int) -> None:
+        await asyncio.sleep(phase * TICK.total_seconds() / _TICK_PHASES)
         while True:
-            for node in self.played[phase::_PHASES]:
+            for node in self.played[phase::_TICK_PHASES]:
                 node.tick()
             await asyncio.sleep(TICK.total_seconds())
 
-    def _start(self, work: collections.abc.Coroutine[Any, Any, Any]) -> None:
+    def _start_task(
+        self, work: collections.abc.Coroutine[Any, Any, Any]
+    ) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
 
 def service_of(target: str) -> str:
-    """The service of a target."""
+    """Returns the service of a target."""
     return f"service-{int(target.rpartition('-')[2]) % SERVICES:03}"
 
 
@@ -314,7 +322,7 @@
 async def node_process(
     settings: str,
 ) -> collections.abc.AsyncGenerator[asyncio.subprocess.Process, None]:
-    """A real endivewind-node as a child, ended at the end."""
+    """Starts a real endivewind-node, and kills it on exit of the context."""
     child = await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
--- a/endivewind/tests/bench/experiment_tests.py
+++ b/endivewind/tests/bench/experiment_tests.py
@@ -1,7 +1,7 @@
-"""The measures that users ask for, on one fixed seed each.
+"""Tests of the detection goals, with one fixed seed each.
 
-The full figures take many seeds and a day of virtual time; these runs keep a
-change that loses a measure from passing unseen.
+The full figures take many seeds and a day of virtual time. These short runs
+catch changes that miss a goal.
 """
 
 import dataclasses
@@ -44,25 +44,25 @@
             with self.subTest(name):
                 self.assert_detected(_run(name), seconds)
 
-    def test_hard_failure_on_capacity(self):
+    def test_crash_with_capacity_profile(self):
         row = _run("crash", profile=objects.Profile.CAPACITY)
 
         self.assert_detected(row, 3)
 
-    def test_callers_hardly_notice_a_slow_target(self):
+    def test_slow_target_barely_affects_p99(self):
         healthy = _run("healthy")
         slow = _run("slow-3x")
 
         self.assertLess(slow.p99_ms, 1.5 * healthy.p99_ms)
 
-    def test_nobody_is_ejected_when_all_fail(self):
+    def test_no_ejection_when_all_targets_fail(self):
         row = _run("all-errors-100")
 
         self.assertEqual(0, row.false_ejections)
         self.assertLess(row.amplification, 1.2)
 
-    def test_consecutive_errors_miss_a_share_of_errors(self):
-        """The baseline must not look better than it is, nor be broken."""
+    def test_consecutive_errors_misses_partial_errors(self):
+        """The baseline misses a target with 10 % errors, but not with 100 %."""
         self.assertIsNone(
             _run("errors-10", "consecutive-errors").detection_seconds
         )
--- a/endivewind/tests/commands/bench_control_tests.py
+++ b/endivewind/tests/commands/bench_control_tests.py
@@ -1,4 +1,4 @@
-"""How the control bench compares a page with what it measured."""
+"""Tests of the comparison of a page with measured figures."""
 
 import unittest
 
@@ -17,21 +17,21 @@
 
 
 class CompareTest(unittest.TestCase):
-    """A page with one row."""
+    """Comparison with a page of one row, and fitted slopes."""
 
-    def test_same_figures_are_no_difference(self):
+    def test_equal_figures_are_no_difference(self):
         self.assertEqual([], bench_control.compare(PAGE, [_report()]))
 
-    def test_each_figure_that_differs_is_named(self):
+    def test_each_difference_is_reported(self):
         found = bench_control.compare(PAGE, [_report(2.0, 95.0, 3000.0)])
         self.assertEqual(3, len(found))
         self.assertIn("cpu: page 1.0, measured 2.00", found[0])
 
-    def test_missing_row_is_a_difference(self):
+    def test_missing_row_is_reported(self):
         found = bench_control.compare("nothing", [_report()])
         self.assertEqual(["the page has no row for (50, 800)"], found)
 
-    def test_slopes_are_lines_over_the_nodes(self):
+    def test_slopes_are_linear_in_number_of_nodes(self):
         small = bench_control.Report(
             10, 160, 1.0, bench_control.Load(1.0, 50.0, 100.0, 0.0, 0.0), 0.5
         )
--- a/endivewind/tests/commands/bench_options_tests.py
+++ b/endivewind/tests/commands/bench_options_tests.py
@@ -1,4 +1,4 @@
-"""Which seeds a flag names, and what is refused."""
+"""Tests of parsing the flag --seeds."""
 
 import unittest
 
@@ -18,12 +18,12 @@
         with flagsaver.flagsaver(seeds=text):
             return list(bench_options.seeds("2"))
 
-    def test_a_count_a_range_and_the_default(self):
+    def test_count_range_and_default(self):
         self.assertEqual([1, 2, 3], self.seeds("3"))
         self.assertEqual([7, 8, 9], self.seeds("7-9"))
         self.assertEqual([1, 2], self.seeds(""))
 
-    def test_what_names_no_seeds_is_a_usage_error(self):
+    def test_invalid_value_is_usage_error(self):
         for text in ("0", "9-7", "1-", "a", "1-2-3", "-3"):
             with (
                 self.subTest(text),
--- a/endivewind/tests/commands/bench_overhead_tests.py
+++ b/endivewind/tests/commands/bench_overhead_tests.py
@@ -1,4 +1,4 @@
-"""The overhead bench's verdicts, on figures given by hand."""
+"""Tests of the goals of the overhead benchmark, with given figures."""
 
 import unittest
 
@@ -24,39 +24,39 @@
 
 
 def _missed(figures) -> set[str]:
-    aims = bench.judge(figures)
-    return {name for name, aim in aims.items() if not aim["reached"]}
+    goals = bench.judge(figures)
+    return {name for name, goal in goals.items() if not goal["reached"]}
 
 
 class JudgeTest(unittest.TestCase):
-    """Each aim is missed by its own figure alone."""
+    """Each goal is missed if only its own figure is out of bounds."""
 
-    def test_all_reached_at_the_limits(self):
+    def test_goals_are_reached_at_limits(self):
         self.assertEqual(set(), _missed(_figures()))
 
-    def test_more_than_two_hops(self):
+    def test_more_latency_than_two_hops(self):
         self.assertEqual(
             {"across p99 added, against two hops (ms)"},
             _missed(_figures(p99_ms=3.1)),
         )
 
-    def test_more_than_allowed_in_all(self):
+    def test_more_latency_than_allowed(self):
         self.assertIn("across p99 added (ms)", _missed(_figures(p99_ms=3.8)))
 
-    def test_saturation(self):
+    def test_low_saturation(self):
         self.assertEqual(
             {"across saturation, share of two hops"},
             _missed(_figures(saturation_per_second=2300)),
         )
 
-    def test_a_failed_request(self):
+    def test_failed_request(self):
         self.assertEqual({"failures"}, _missed(_figures(failures=1)))
 
 
 class SamplesTest(unittest.TestCase):
-    """Percentiles by sorted samples."""
+    """Percentiles of latency samples."""
 
-    def test_percentile_is_a_sample_that_was_taken(self):
+    def test_percentile_is_one_of_the_samples(self):
         samples = load.Samples([n / 1000 for n in range(100, 0, -1)])
 
         self.assertAlmostEqual(99, samples.percentile_ms(99))
--- a/endivewind/tests/soak/__init__.py
+++ b/endivewind/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the soak: its schedules and its checks."""
+"""Tests of endivewind.soak."""
--- a/endivewind/tests/soak/checks_tests.py
+++ b/endivewind/tests/soak/checks_tests.py
@@ -1,4 +1,4 @@
-"""The soak's checks find each broken promise, and pass what is allowed."""
+"""Tests that the checks find each violation and accept allowed results."""
 
 import collections
 import dataclasses
@@ -10,20 +10,20 @@
 GOOD = checks.Told("w1", True, "node-0", 1.0, 2.0, 200, named="w1")
 
 
-def _promises(told, runs, outages=()):
-    found = checks.of_requests(
+def _violations(told, runs, outages=()):
+    findings = checks.of_requests(
         [told], collections.Counter({"w1": runs}), outages
     )
-    return [item.promise for item in found]
+    return [item.promise for item in findings]
 
 
 class RequestsTest(unittest.TestCase):
-    """One request, by what its caller was told and how often it ran."""
+    """Checks of one request, by its result and number of runs."""
 
-    def test_an_answer_of_work_that_ran_once_is_right(self):
-        self.assertEqual([], _promises(GOOD, 1))
+    def test_response_of_work_that_ran_once_is_accepted(self):
+        self.assertEqual([], _violations(GOOD, 1))
 
-    def test_each_broken_promise_is_found(self):
+    def test_each_violation_is_found(self):
         refused = dataclasses.replace(
             GOOD, status=503, outcome="not-run", named=""
         )
@@ -36,57 +36,60 @@
             (dataclasses.replace(GOOD, named=""), 1, Promise.OWN),
             (cut, 1, Promise.STOPS),
         )
-        for told, runs, promise in cases:
-            with self.subTest(promise):
-                self.assertEqual([promise], _promises(told, runs))
+        for told, runs, guarantee in cases:
+            with self.subTest(guarantee):
+                self.assertEqual([guarantee], _violations(told, runs))
 
-    def test_what_may_repeat_may_run_twice(self):
+    def test_idempotent_work_may_run_twice(self):
         self.assertEqual(
-            [], _promises(dataclasses.replace(GOOD, once=False), 2)
+            [], _violations(dataclasses.replace(GOOD, once=False), 2)
         )
 
-    def test_not_knowing_is_no_fault(self):
+    def test_unknown_outcome_is_accepted(self):
         unknown = dataclasses.replace(
             GOOD, status=502, outcome="unknown", named=""
         )
         for runs in (0, 1):
-            self.assertEqual([], _promises(unknown, runs))
+            self.assertEqual([], _violations(unknown, runs))
 
-    def test_a_killed_node_may_cut_and_another_may_not(self):
+    def test_only_killed_node_may_cut_connections(self):
         cut = dataclasses.replace(GOOD, status=0, named="", cut=True)
         killed = checks.Outage("node-0", 1.5, 3.0)
 
-        self.assertEqual([], _promises(cut, 1, [killed]))
+        self.assertEqual([], _violations(cut, 1, [killed]))
         for outage in (
             dataclasses.replace(killed, node="node-1"),
             checks.Outage("node-0", 2.5, 3.0),
             checks.Outage("node-0", 0.2, 0.5),
         ):
-            self.assertEqual([Promise.STOPS], _promises(cut, 1, [outage]))
+            self.assertEqual([Promise.STOPS], _violations(cut, 1, [outage]))
 
-    def test_a_broken_link_may_cut_a_stream_and_nothing_else(self):
-        """A home's link breaks while an answer comes through it in parts.
+    def test_broken_link_may_cut_only_streamed_responses(self):
+        """A link to a home breaks while a response is streamed through it.
 
-        The entry must not end the answer as if it were whole, so it cuts its
-        caller. One that did not come in parts is answered as unknown instead.
+        The entry node must not end the response as if it were complete, so it
+        closes the caller's connection. A request whose response was not
+        streamed gets the outcome unknown instead.
         """
         broken = checks.Outage(checks.ANY, 1.5, 3.0)
         cut = dataclasses.replace(GOOD, status=0, named="", cut=True)
         streamed = dataclasses.replace(cut, streamed=True)
 
-        self.assertEqual([], _promises(streamed, 1, [broken]))
-        self.assertEqual([Promise.STOPS], _promises(cut, 1, [broken]))
-        self.assertEqual([Promise.STOPS], _promises(streamed, 1))
+        self.assertEqual([], _violations(streamed, 1, [broken]))
+        self.assertEqual([Promise.STOPS], _violations(cut, 1, [broken]))
+        self.assertEqual([Promise.STOPS], _violations(streamed, 1))
 
 
-class OthersTest(unittest.TestCase):
-    def test_a_version_that_falls_is_found(self):
-        found = checks.of_versions({"a": [1, 2, 2, 3], "b": [2, 3, 2]})
+class RunTest(unittest.TestCase):
+    def test_decreasing_version_is_found(self):
+        findings = checks.of_versions({"a": [1, 2, 2, 3], "b": [2, 3, 2]})
 
-        self.assertEqual([Promise.REVERTED], [item.promise for item in found])
-        self.assertIn("b", found[0].detail)
+        self.assertEqual(
+            [Promise.REVERTED], [item.promise for item in findings]
+        )
+        self.assertIn("b", findings[0].detail)
 
-    def test_retries_above_the_budget_are_found(self):
+    def test_retries_above_budget_are_found(self):
         told = [
             dataclasses.replace(GOOD, work=f"w{number}", once=False)
             for number in range(10)
--- a/endivewind/tests/soak/runs_tests.py
+++ b/endivewind/tests/soak/runs_tests.py
@@ -1,4 +1,4 @@
-"""One short run of the soak, with real processes."""
+"""Tests a short run of the soak with real processes."""
 
 import pathlib
 import tempfile
@@ -11,13 +11,14 @@
 
 
 class RunTest(unittest.IsolatedAsyncioTestCase):
-    """Callers call while a home is killed, another stops, and links break."""
+    """A run with faults of nodes, a link, a target and the platform."""
 
-    async def test_a_short_run_keeps_the_promises(self):
-        """What callers heard is true of what targets ran.
+    async def test_short_run_has_no_findings(self):
+        """The callers' results match what the targets ran.
 
-        One node is killed and one stops as planned while a third one's link
-        is reset and a target fails; the platform loses answers meanwhile.
+        One node is killed and one stops gracefully while the link of a third
+        one is reset and a target fails; the platform loses responses
+        meanwhile.
         """
         faults = (
             schedules.Fault(Kind.PLATFORM_LOSES_ANSWERS, 0.0, 2.0, 0),
--- a/endivewind/tests/standins/hop_tests.py
+++ b/endivewind/tests/standins/hop_tests.py
@@ -1,4 +1,4 @@
-"""The bare hop that measurements compare with does pass everything on."""
+"""Tests of the bare proxy hop, the baseline of the overhead benchmark."""
 
 import unittest
 
@@ -9,10 +9,10 @@
 
 
 class HopTest(unittest.IsolatedAsyncioTestCase):
-    """Method, path, headers, body and status go through, both ways."""
+    """The hop forwards method, path, headers, body and status unchanged."""
 
-    async def test_request_and_answer_are_whole(self):
-        async def answer(request: web.Request) -> web.Response:
+    async def test_forwards_request_and_response(self):
+        async def respond(request: web.Request) -> web.Response:
             body = await request.read()
             return web.Response(
                 status=201,
@@ -21,7 +21,7 @@
             )
 
         target = web.Application()
-        target.router.add_route("*", "/{path:.*}", answer)
+        target.router.add_route("*", "/{path:.*}", respond)
         async with test_utils.TestServer(target) as server:
             served = hop.Hop(str(server.make_url("/"))).application()
             async with (
--- a/endivewind/tests/standins/relay_tests.py
+++ b/endivewind/tests/standins/relay_tests.py
@@ -1,4 +1,4 @@
-"""The relay fails as networks do."""
+"""Tests that faults of the relay behave as those of networks."""
 
 import asyncio
 import unittest
@@ -7,39 +7,43 @@
 
 
 class DroppedTest(unittest.IsolatedAsyncioTestCase):
-    async def test_nothing_follows_what_was_lost_on_a_connection(self):
-        """A direction drops bytes for a moment, then passes again.
+    async def test_connection_stays_silent_after_dropped_bytes(self):
+        """Guards against a TCP stream with a gap after a temporary drop.
 
-        Were later bytes of the same connection passed, its reader would get a
-        stream with a hole, which no network makes of TCP. A new connection
-        passes at once.
+        A direction drops bytes for a moment, then passes again. Later bytes
+        of the same connection must not arrive, since TCP never delivers bytes
+        after a gap. A new connection passes at once.
         """
-        got = asyncio.Queue()
+        received = asyncio.Queue()
 
         async def serve(reader, writer):
             while data := await reader.read(100):
-                got.put_nowait(data)
+                received.put_nowait(data)
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        async with relay.Relay() as between:
+        async with relay.Relay() as faulty_relay:
             port = server.sockets[0].getsockname()[1]
-            between.upstream = f"127.0.0.1:{port}"
-            host, _, own = between.address.rpartition(":")
-            _, first = await asyncio.open_connection(host, int(own))
-            first.write(b"one")
-            self.assertEqual(b"one", await got.get())
-            between.towards = relay.Mode.DROP
-            first.write(b"lost")
-            await first.drain()
-            await between.has_lost.wait()
-            between.towards = relay.Mode.PASS
-            first.write(b"late")
-            await first.drain()
-            _, second = await asyncio.open_connection(host, int(own))
-            second.write(b"two")
-            self.assertEqual(b"two", await got.get())
-            self.assertTrue(got.empty())
-            for writer in (first, second):
+            faulty_relay.upstream = f"127.0.0.1:{port}"
+            host, _, relay_port = faulty_relay.address.rpartition(":")
+            _, first_writer = await asyncio.open_connection(
+                host, int(relay_port)
+            )
+            first_writer.write(b"one")
+            self.assertEqual(b"one", await received.get())
+            faulty_relay.towards = relay.Mode.DROP
+            first_writer.write(b"lost")
+            await first_writer.drain()
+            await faulty_relay.has_lost.wait()
+            faulty_relay.towards = relay.Mode.PASS
+            first_writer.write(b"late")
+            await first_writer.drain()
+            _, second_writer = await asyncio.open_connection(
+                host, int(relay_port)
+            )
+            second_writer.write(b"two")
+            self.assertEqual(b"two", await received.get())
+            self.assertTrue(received.empty())
+            for writer in (first_writer, second_writer):
                 writer.close()
         server.close()
