--- a/endivewind/bench/__init__.py
+++ b/endivewind/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Simulations of the decisions in virtual time, without sockets or processes."""
+"""Simulations of the decisions in virtual time, without any sockets."""
--- a/endivewind/bench/experiment.py
+++ b/endivewind/bench/experiment.py
@@ -274,7 +274,7 @@
         self._failed_count += 1
 
     def _is_measured(self, request: _Request) -> bool:
-        """Whether to record latency: after the fault start; 1 % of long runs."""
+        """Whether to record latency: from the fault on; 1 % in long runs."""
         if self._scenario.end > LONG and self._request_count % 100:
             return False
         return request.started >= scenarios.FAULT_FROM
--- a/endivewind/commands/bench_overhead.py
+++ b/endivewind/commands/bench_overhead.py
@@ -184,7 +184,7 @@
         if not samples.failures:
             break
     else:
-        raise exceptions.UnavailableError(f"path {path.name} does not respond")
+        raise exceptions.UnavailableError(f"{path.name} does not respond")
     await load.at_rate(
         session, path.request, _RATE.value, _WARM_UP_SECONDS, load.Samples()
     )
--- a/endivewind/soak/checks.py
+++ b/endivewind/soak/checks.py
@@ -151,7 +151,7 @@
         str, collections.abc.Sequence[int]
     ],
 ) -> list[Finding]:
-    """Checks that versions in force never decrease at a node incarnation."""
+    """Checks that no incarnation of a node reverts to an older version."""
     return [
         Finding(Promise.REVERTED, f"{node}: {before} then {after}")
         for node, versions in versions_by_node.items()
--- a/endivewind/soak/fleets.py
+++ b/endivewind/soak/fleets.py
@@ -161,7 +161,7 @@
             self._follow_log(name)
 
     def _checkout(self, name: str) -> pathlib.Path | None:
-        """Returns the checkout of a node; None, this release, at even numbers."""
+        """Returns a node's checkout: at even numbers None, this release."""
         is_even = int(name.rpartition("-")[2]) % 2 == 0
         return None if is_even else self._other_release
 
@@ -190,7 +190,7 @@
         return process is not None and process.running
 
     async def stop(self, name: str) -> int | None:
-        """Stops a process gracefully; returns its exit code, None on timeout."""
+        """Stops a process gracefully; returns None if it does not exit."""
         process = self.processes[name]
         process.signal(signal.SIGTERM)
         try:
--- a/endivewind/standins/platform.py
+++ b/endivewind/standins/platform.py
@@ -162,7 +162,7 @@
         self._stale_store = self._store.copy()
 
     def application(self) -> web.Application:
-        """Returns the application, with the object API and the control paths."""
+        """Returns the application: the object API and the control paths."""
         app = web.Application(middlewares=[self._inject_faults])
         app.router.add_get(names.OBJECTS_PATH, self._list)
         app.router.add_post(names.OBJECTS_PATH, self._create)
--- a/endivewind/standins/target.py
+++ b/endivewind/standins/target.py
@@ -80,7 +80,7 @@
         return app
 
     async def announce(self, address: str) -> None:
-        """Renews the lease at one node; moves to another when that one fails."""
+        """Renews the lease at one node; moves only if that node fails."""
         async with aiohttp.ClientSession() as session:
             while True:
                 await self._announce_once(session, address)
