--- a/endivewind/soak/checks.py
+++ b/endivewind/soak/checks.py
@@ -175,6 +175,7 @@
     return [
         Finding(
             Promise.RETRIES,
-            f"{repeated_runs} retries of {len(work_ids)} requests, {limit:.0f} allowed",
+            f"{repeated_runs} retries of {len(work_ids)} requests, "
+            f"{limit:.0f} allowed",
         )
     ]
