--- a/endivewind/standins/world.py
+++ b/endivewind/standins/world.py
@@ -78,7 +78,8 @@
     a request over a link twice; DELAY delivers a message later. PARTITION and
     SILENCE deliver nothing while the connection stays open; so does PAUSE,
     but the receiver handles a request after its pause. CRASH crashes the
-    receiver. A fault that does not apply to a step has no effect there.
+    receiver. A fault that does not apply to a step has no effect there. At the
+    step CALLER_RESPONSE, every fault makes the caller disconnect.
     """
 
     DROP = "drop"
