--- a/endivewind/tests/proofs/__init__.py
+++ b/endivewind/tests/proofs/__init__.py
@@ -1,1 +1,1 @@
-"""Proofs of the promises on real processes."""
+"""End-to-end tests of the system's guarantees, on real processes."""
--- a/endivewind/tests/proofs/at_most_once_fuzz_tests.py
+++ b/endivewind/tests/proofs/at_most_once_fuzz_tests.py
@@ -1,8 +1,8 @@
-"""Fuzzing of tickets, hand-over and dispatch against a simple oracle.
+"""Model-based fuzzing of tickets, hand-over and dispatch.
 
-The oracle counts what ran at targets and compares it with what callers were
-told; it knows nothing of how the system does it. `make fuzz` runs it for
-longer, with a seed.
+A test oracle counts what ran at the targets and compares it with the responses
+that callers got; it is independent of the implementation. `make fuzz` runs the
+same state machine for longer, from a given seed.
 """
 
 import unittest
@@ -15,8 +15,8 @@
 from endivewind.standins import virtual
 from endivewind.standins import world
 
-EXAMPLES = 40
-STEPS = 25
+EXAMPLE_COUNT = 40
+STEPS_PER_EXAMPLE = 25
 
 STEP = strategies.sampled_from(world.Step)
 FAULT = strategies.sampled_from(world.Fault)
@@ -24,7 +24,11 @@
 
 
 class AtMostOnceMachine(stateful.RuleBasedStateMachine):
-    """Callers send and send again while faults come at any step."""
+    """Callers send and resend requests while faults occur at any step.
+
+    Hypothesis orders rules by their names: a rename that changes this order
+    changes which examples are generated.
+    """
 
     keys = stateful.Bundle("keys")
 
@@ -34,7 +38,7 @@
         self.tasks = []
 
     @stateful.rule(target=keys, node=NODE)
-    def ask(self, node):
+    def ask_for_key(self, node):
         return self.world.issue(node)
 
     @stateful.rule(key=keys, node=NODE)
@@ -42,24 +46,24 @@
         self.tasks.append(self.world.send(node, key))
 
     @stateful.rule(key=keys, nodes=strategies.tuples(NODE, NODE))
-    def send_at_once(self, key, nodes):
+    def send_concurrently(self, key, nodes):
         for node in nodes:
             self.send(key, node)
 
     @stateful.rule(step=STEP, fault=FAULT)
-    def arm(self, step, fault):
+    def arm_fault(self, step, fault):
         self.world.faults[step] = fault
 
     @stateful.rule(node=NODE)
-    def crash(self, node):
+    def crash_node(self, node):
         self.world.crash(node)
 
     @stateful.rule(node=NODE)
-    def hear(self, node):
+    def deliver_announcement(self, node):
         self.world.announce(node)
 
     @stateful.rule(node=NODE)
-    def leave(self, node):
+    def drain_node(self, node):
         self.world.nodes[node].ticketing.close()
 
     @stateful.rule(seconds=strategies.sampled_from([0.05, 0.3, 1.5, 7, 65]))
@@ -67,7 +71,7 @@
         self.world.wait(seconds)
 
     @stateful.invariant()
-    def promises_hold(self):
+    def guarantees_hold(self):
         self.world.check()
 
     def teardown(self):
@@ -87,19 +91,19 @@
 
 AtMostOnceMachine.TestCase.settings = hypothesis.settings(
     derandomize=True,
-    max_examples=EXAMPLES,
-    stateful_step_count=STEPS,
+    max_examples=EXAMPLE_COUNT,
+    stateful_step_count=STEPS_PER_EXAMPLE,
     deadline=None,
     suppress_health_check=list(hypothesis.HealthCheck),
 )
 
 
 class AtMostOnceFuzz(AtMostOnceMachine.TestCase):
-    """Any order of sends, faults, crashes and pauses."""
+    """Guarantees hold for any order of sends, faults, crashes and pauses."""
 
 
 class FaultMatrixTest(unittest.TestCase):
-    """Every single fault at every step."""
+    """Guarantees hold for each single fault at each step of an exchange."""
 
     def test_single_faults(self):
         outcome = matrix.run(matrix.singles())
--- a/endivewind/tests/proofs/at_most_once_tests.py
+++ b/endivewind/tests/proofs/at_most_once_tests.py
@@ -1,4 +1,4 @@
-"""Proofs on real processes that work under a ticket runs at most once."""
+"""End-to-end tests: a request with a ticket runs at most once."""
 
 import asyncio
 import contextlib
@@ -17,34 +17,35 @@
 
 
 class AtMostOnceTest(unittest.IsolatedAsyncioTestCase):
-    """An entry, a home with one target, and a caller who sends again."""
+    """An entry node, a home node with one target, and a caller that resends."""
 
-    async def test_sends_of_one_key(self):
+    async def test_resends_with_idempotency_key(self):
         async with _fleet() as (fleet, caller):
-            await self._first_send_is_asked_for_a_key(fleet, caller)
-            await self._resend_gets_the_kept_answer(fleet, caller)
-            await self._sends_at_once_share_one_run(fleet, caller)
-            await self._caller_leaves(fleet, caller)
-            await self._strange_keys(fleet, caller)
-            await self._target_closes(fleet, caller)
-            await self._large_answer(fleet, caller)
-            await self._python_caller(fleet, caller)
-
-    async def _first_send_is_asked_for_a_key(self, fleet, caller):
-        reply = await caller.send(fleet.nodes["entry"], work="unkeyed")
-
-        self.assertEqual((428, "not-run"), (reply.status, reply.outcome))
-        self.assertEqual("ticket-required", reply.reason)
-        self.assertTrue(reply.key)
-        self.assertEqual(0, (await caller.runs(fleet))["unkeyed"])
-
-    async def _resend_gets_the_kept_answer(self, fleet, caller):
-        """The clerk's connection breaks and the payout is sent again.
-
-        The resend reaches another node, which passes it to the key's issuer.
+            await self._check_send_without_key_gets_one(fleet, caller)
+            await self._check_resend_gets_stored_response(fleet, caller)
+            await self._check_concurrent_sends_share_one_run(fleet, caller)
+            await self._check_caller_disconnects(fleet, caller)
+            await self._check_invalid_keys(fleet, caller)
+            await self._check_target_closes(fleet, caller)
+            await self._check_large_response(fleet, caller)
+            await self._check_client_library(fleet, caller)
+
+    async def _check_send_without_key_gets_one(self, fleet, caller):
+        response = await caller.send(fleet.nodes["entry"], work="unkeyed")
+
+        self.assertEqual((428, "not-run"), (response.status, response.outcome))
+        self.assertEqual("ticket-required", response.reason)
+        self.assertTrue(response.key)
+        self.assertEqual(0, (await caller.run_counts(fleet))["unkeyed"])
+
+    async def _check_resend_gets_stored_response(self, fleet, caller):
+        """A resend after a broken connection gets the first response.
+
+        The resend reaches another node, which forwards it to the node that
+        issued the key.
         """
         entry, home = fleet.nodes["entry"], fleet.nodes["home"]
-        key = await caller.key(entry)
+        key = await caller.request_key(entry)
 
         first = await caller.send(entry, key=key, work="paid")
         again = await caller.send(home, key=key, work="paid")
@@ -56,32 +57,32 @@
             (422, "ran", "ticket-reused"),
             (other.status, other.outcome, other.reason),
         )
-        self.assertEqual(1, (await caller.runs(fleet))["paid"])
+        self.assertEqual(1, (await caller.run_counts(fleet))["paid"])
         self.assertNotIn(first.key, ("", key))
 
-    async def _sends_at_once_share_one_run(self, fleet, caller):
+    async def _check_concurrent_sends_share_one_run(self, fleet, caller):
         nodes = [fleet.nodes["entry"], fleet.nodes["home"]] * 3
-        key = await caller.key(nodes[0])
+        key = await caller.request_key(nodes[0])
 
-        replies = await asyncio.gather(
+        responses = await asyncio.gather(
             *(
                 caller.send(node, key=key, work="joined", fault="delay")
                 for node in nodes
             )
         )
 
-        self.assertEqual({200}, {reply.status for reply in replies})
-        self.assertEqual(1, len({reply.body for reply in replies}))
-        self.assertEqual(1, (await caller.runs(fleet))["joined"])
+        self.assertEqual({200}, {response.status for response in responses})
+        self.assertEqual(1, len({response.body for response in responses}))
+        self.assertEqual(1, (await caller.run_counts(fleet))["joined"])
 
-    async def _caller_leaves(self, fleet, caller):
-        """A skipper's phone loses its network while the payout runs.
+    async def _check_caller_disconnects(self, fleet, caller):
+        """The caller disconnects while its request runs.
 
-        The work is not cancelled with the caller, so that the resend gets
-        its answer and not an "unknown".
+        The request is not cancelled with the caller's connection, so that the
+        resend gets the response and not an "unknown" outcome.
         """
         entry = fleet.nodes["entry"]
-        key = await caller.key(entry)
+        key = await caller.request_key(entry)
         left = asyncio.create_task(
             caller.send(entry, key=key, work="left", fault="delay")
         )
@@ -91,37 +92,43 @@
         again = await caller.send(entry, key=key, work="left", fault="delay")
 
         self.assertEqual(200, again.status, again)
-        self.assertEqual(1, (await caller.runs(fleet))["left"])
+        self.assertEqual(1, (await caller.run_counts(fleet))["left"])
 
-    async def _strange_keys(self, fleet, caller):
+    async def _check_invalid_keys(self, fleet, caller):
         entry = fleet.nodes["entry"]
-        key = await caller.key(entry)
-        stranger = {"Endivewind_Workspace": "another"}
+        key = await caller.request_key(entry)
+        workspace = {"Endivewind_Workspace": "another"}
 
-        own = await caller.send(entry, key="chosen-by-me", work="strange")
+        unissued = await caller.send(entry, key="chosen-by-me", work="strange")
         forged = await caller.send(entry, key=key[:-2] + "xx", work="strange")
-        moved = await caller.send(entry, key=key, work="strange", **stranger)
-        early = key.split(":")
-        early[1] = str(int(early[1]) - 1)
-        gone = await caller.send(entry, key=":".join(early), work="strange")
+        other_workspace = await caller.send(
+            entry, key=key, work="strange", **workspace
+        )
+        key_parts = key.split(":")
+        key_parts[1] = str(int(key_parts[1]) - 1)
+        old_incarnation = await caller.send(
+            entry, key=":".join(key_parts), work="strange"
+        )
 
-        self.assertEqual((400, "not-run"), (own.status, own.outcome))
+        self.assertEqual((400, "not-run"), (unissued.status, unissued.outcome))
         self.assertEqual((400, "unknown"), (forged.status, forged.outcome))
-        self.assertEqual((400, "unknown"), (moved.status, moved.outcome))
-        self.assertEqual("issuer-lost", gone.reason)
-        self.assertEqual("unknown", gone.outcome)
-        self.assertNotIn("strange", await caller.runs(fleet))
+        self.assertEqual(
+            (400, "unknown"), (other_workspace.status, other_workspace.outcome)
+        )
+        self.assertEqual("issuer-lost", old_incarnation.reason)
+        self.assertEqual("unknown", old_incarnation.outcome)
+        self.assertNotIn("strange", await caller.run_counts(fleet))
 
-    async def _target_closes(self, fleet, caller):
-        """The target runs the work and closes without an answer.
+    async def _check_target_closes(self, fleet, caller):
+        """The target runs the request and closes without a response.
 
-        Neither the system nor its HTTP client sends it again, also for the
-        methods that HTTP calls idempotent.
+        Neither a node nor its HTTP client resends the request, not even for
+        the methods that HTTP defines as idempotent.
         """
         entry = fleet.nodes["entry"]
         for method in ("POST", "PUT", "DELETE", "PATCH"):
             work = f"closed-{method}"
-            key = await caller.key(entry, method)
+            key = await caller.request_key(entry, method)
             with self.subTest(method):
                 first = await caller.send(entry, method, key, work, "close")
                 again = await caller.send(entry, method, key, work, "close")
@@ -131,43 +138,46 @@
                 )
                 self.assertEqual("target-lost", first.reason)
                 self.assertEqual("unknown", again.outcome)
-                self.assertEqual(1, (await caller.runs(fleet))[work])
+                self.assertEqual(1, (await caller.run_counts(fleet))[work])
 
-    async def _large_answer(self, fleet, caller):
+    async def _check_large_response(self, fleet, caller):
         entry = fleet.nodes["entry"]
-        key = await caller.key(entry)
+        key = await caller.request_key(entry)
 
         first = await caller.send(entry, key=key, work="large", fault="large")
         again = await caller.send(entry, key=key, work="large", fault="large")
 
         self.assertEqual((200, 200_000), (first.status, len(first.body)))
         self.assertEqual("ran", again.outcome)
-        self.assertEqual(1, (await caller.runs(fleet))["large"])
+        self.assertEqual(1, (await caller.run_counts(fleet))["large"])
 
-    async def _python_caller(self, fleet, caller):
-        """The helper pays twice, with a dead node first in its list."""
+    async def _check_client_library(self, fleet, caller):
+        """The client library skips an unreachable first node in its list."""
         urls = [
             f"http://{n.listening['callers']}" for n in fleet.nodes.values()
         ]
         async with aiohttp.ClientSession(headers={"Work-Id": "py"}) as session:
-            helper = client.Caller(session, ["http://127.0.0.1:9", *urls])
-            replies = [
-                await helper.run_once("POST", "/payouts", str(trip).encode())
-                for trip in range(3)
+            library = client.Caller(session, ["http://127.0.0.1:9", *urls])
+            responses = [
+                await library.run_once(
+                    "POST", "/payouts", str(payment).encode()
+                )
+                for payment in range(3)
             ]
 
-        self.assertEqual([200] * 3, [reply.status for reply in replies])
-        self.assertEqual(3, (await caller.runs(fleet))["py"])
+        self.assertEqual([200] * 3, [response.status for response in responses])
+        self.assertEqual(3, (await caller.run_counts(fleet))["py"])
 
-    async def test_issuer_that_crashed_leaves_its_keys_unknown(self):
-        """The key's node dies while the payout runs, and comes back.
+    async def test_keys_of_crashed_issuer_have_unknown_outcome(self):
+        """The node that issued the key crashes during the run and restarts.
 
-        The caller's resend reaches another node, then the new start. Neither
-        knows how the run ended, so neither runs it again or denies it.
+        The caller's resend reaches another node, then the restarted one.
+        Neither knows how the run ended, so that neither may run the request
+        again or report it as not run.
         """
         async with _fleet() as (fleet, caller):
             entry, home = fleet.nodes["entry"], fleet.nodes["home"]
-            key = await caller.key(entry)
+            key = await caller.request_key(entry)
             cut = asyncio.create_task(
                 caller.send(entry, key=key, work="cut", fault="delay")
             )
@@ -181,17 +191,17 @@
             after = await caller.send(restarted, key=key, work="cut")
 
             self.assertEqual(0, lost.status)
-            for reply in (while_gone, after):
-                self.assertEqual("unknown", reply.outcome)
-                self.assertEqual("issuer-lost", reply.reason)
+            for response in (while_gone, after):
+                self.assertEqual("unknown", response.outcome)
+                self.assertEqual("issuer-lost", response.reason)
             self.assertIn("Retry-After", while_gone.headers)
             self.assertNotIn("Retry-After", after.headers)
-            self.assertEqual(1, (await caller.runs(fleet))["cut"])
+            self.assertEqual(1, (await caller.run_counts(fleet))["cut"])
 
 
 @contextlib.asynccontextmanager
 async def _fleet():
-    """An entry, a home with the target ledger-1, and a caller."""
+    """An entry node, a home node with the target ledger-1, and a caller."""
     async with processes.Fleet() as fleet, aiohttp.ClientSession() as session:
         entry = await fleet.node("entry", "north-a")
         home = await fleet.node("home", "north-b")
--- a/endivewind/tests/proofs/calls.py
+++ b/endivewind/tests/proofs/calls.py
@@ -1,4 +1,4 @@
-"""Calls of the proofs: a request through a node, and counts at targets."""
+"""Requests through nodes and run counts at targets, for end-to-end tests."""
 
 import asyncio
 import collections
@@ -13,34 +13,39 @@
 from endivewind.standins import target as standin
 from endivewind.tests import processes
 
-WAIT_SECONDS = 10
+TIMEOUT_SECONDS = 10
 
 
 @dataclasses.dataclass(frozen=True)
-class Reply:
-    """What a caller got; status 0 where there was no whole answer.
-
-    A connection that was never made cut nothing; one that broke later did.
+class CallerResponse:
+    """What a caller got for one request.
+
+    Attributes:
+      status: of the response; 0 if there was no complete response.
+      headers: of the response.
+      body: of the response.
+      was_cut: whether an established connection broke; false if the
+        connection could not be made.
     """
 
     status: int
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
     body: bytes = b""
-    cut: bool = False
+    was_cut: bool = False
 
     @property
     def outcome(self) -> str:
-        """What the system says of the outcome; empty for a target's answer."""
+        """The outcome that the node reports; empty for a target's response."""
         return self.headers.get(headers.OUTCOME, "")
 
     @property
     def reason(self) -> str:
-        """Why the system answered in place of a target."""
+        """Why the node refused the request."""
         return self.headers.get(headers.REASON, "")
 
     @property
     def key(self) -> str:
-        """The key that came with the answer."""
+        """The idempotency key in the response."""
         return self.headers.get(headers.IDEMPOTENCY_KEY, "")
 
     @property
@@ -50,7 +55,7 @@
 
 
 class Caller:
-    """A caller with connections of its own."""
+    """A caller with its own HTTP session."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
@@ -65,71 +70,77 @@
         body: Any = b"{}",
         path: str = "/work",
         **fields: str,
-    ) -> Reply:
-        """Sends one request; a broken connection is a reply as well."""
-        sent = {name.replace("_", "-"): value for name, value in fields.items()}
+    ) -> CallerResponse:
+        """Sends one request; a broken connection gives status 0."""
+        request_headers = {
+            name.replace("_", "-"): value for name, value in fields.items()
+        }
         if key:
-            sent[headers.IDEMPOTENCY_KEY] = key
+            request_headers[headers.IDEMPOTENCY_KEY] = key
         if work:
-            sent["Work-Id"] = work
+            request_headers["Work-Id"] = work
         if fault:
-            sent[standin.FAULT_HEADER] = fault
+            request_headers[standin.FAULT_HEADER] = fault
         url = f"http://{node.listening['callers']}{path}"
         try:
             async with (
-                asyncio.timeout(WAIT_SECONDS),
+                asyncio.timeout(TIMEOUT_SECONDS),
                 self._session.request(
                     method,
                     url,
-                    headers=sent,
+                    headers=request_headers,
                     data=body,
                     middlewares=(callers.never_resend,),
                 ) as response,
             ):
-                read = await response.read()
-                return Reply(response.status, dict(response.headers), read)
+                content = await response.read()
+                return CallerResponse(
+                    response.status, dict(response.headers), content
+                )
         except aiohttp.ClientConnectorError:
-            return Reply(0)
+            return CallerResponse(0)
         except (aiohttp.ClientError, callers.CutError):
-            return Reply(0, cut=True)
+            return CallerResponse(0, was_cut=True)
 
-    async def key(
+    async def request_key(
         self,
         node: processes.Process,
         method: str = "POST",
         path: str = "/work",
     ) -> str:
-        """A fresh key of a node."""
-        asked = await self.send(node, method, body=None, path=path)
-        return asked.key
+        """Requests a new idempotency key from a node."""
+        response = await self.send(node, method, body=None, path=path)
+        return response.key
 
-    async def runs(self, fleet: processes.Fleet) -> collections.Counter[str]:
-        """How often each work ran, over all targets."""
+    async def run_counts(
+        self, fleet: processes.Fleet
+    ) -> collections.Counter[str]:
+        """Counts the runs of each request by Work-Id, over all targets."""
         total: collections.Counter[str] = collections.Counter()
         for target in fleet.targets.values():
-            total.update(await self.runs_at(target))
+            total.update(await self.run_counts_at(target))
         return total
 
-    async def runs_at(
+    async def run_counts_at(
         self, target: processes.Process
     ) -> collections.Counter[str]:
-        """How often each work ran at one target."""
+        """Counts the runs of each request by Work-Id, at one target."""
         counts = await self._read(target, standin.COUNTS_PATH)
         return collections.Counter(counts)
 
-    async def events(self, target: processes.Process) -> dict[str, Any]:
-        """What broke off at a target."""
+    async def target_events(self, target: processes.Process) -> dict[str, Any]:
+        """Reads which requests a target saw break off."""
         return await self._read(target, standin.EVENTS_PATH)
 
-    async def states(self, node: processes.Process) -> dict[str, str]:
-        """The state of each target as a node knows it."""
+    async def target_states(self, node: processes.Process) -> dict[str, str]:
+        """Reads the state of each target from one node."""
         url = f"http://{node.listening['operators']}/v1/status"
         async with self._session.get(url) as response:
-            known = (await response.json())["targets"]
-            return {item["id"]: item["state"] for item in known}
+            targets = (await response.json())["targets"]
+            return {item["id"]: item["state"] for item in targets}
 
-    async def drain(self, target: processes.Process) -> None:
-        """Has a target announce that it is draining."""
+    async def start_draining(self, target: processes.Process) -> None:
+        """Makes a target announce that it is draining."""
         url = f"http://{target.listening['address']}{standin.FAULT_PATH}"
         async with self._session.put(url, json={"draining": True}) as response:
             response.raise_for_status()
--- a/endivewind/tests/proofs/configuration_tests.py
+++ b/endivewind/tests/proofs/configuration_tests.py
@@ -1,17 +1,17 @@
-"""Proofs on real processes: configuration comes into force and stays."""
+"""End-to-end tests: configuration takes effect on nodes and stays."""
 
 import aiohttp
 
 from endivewind.tests.proofs import fleets
 
 
-class InForceTest(fleets.FleetCase):
-    async def test_submit_waits_until_every_node_has_it(self):
-        await self.start("node-a", "node-b", "node-c")
+class ConfigurationInForceTest(fleets.FleetTestCase):
+    async def test_submit_waits_until_every_node_has_the_configuration(self):
+        await self.start_nodes("node-a", "node-b", "node-c")
         operators = self.fleet.nodes["node-a"].listening["operators"]
 
         code, found = await self.submit(
-            fleets.FIRST, "--wait", f"--operators={operators}"
+            fleets.FIRST_CONFIGURATION, "--wait", f"--operators={operators}"
         )
 
         self.assertEqual(0, code)
@@ -21,18 +21,19 @@
         )
         self.assertLess(found["in_force"]["seconds"], 8)
 
-    async def test_a_paused_node_is_named_and_nothing_is_claimed_of_it(self):
-        """A VM hangs while an operator submits.
+    async def test_paused_node_is_reported_as_not_known(self):
+        """A VM hangs while an operator submits a configuration.
 
-        It can't say what it has in force. The operator must see that one
-        node is not known, and not read that the change is everywhere.
+        The node can't report which version it has in force. The command must
+        list it as not known and must not report the change as in force
+        everywhere.
         """
-        await self.start("node-a", "node-b")
+        await self.start_nodes("node-a", "node-b")
         self.fleet.nodes["node-b"].pause()
         operators = self.fleet.nodes["node-a"].listening["operators"]
 
         code, found = await self.submit(
-            fleets.FIRST,
+            fleets.FIRST_CONFIGURATION,
             "--wait",
             "--wait_seconds=1",
             f"--operators={operators}",
@@ -44,27 +45,27 @@
         self.assertEqual(["node-b"], found["in_force"]["not_known"])
 
 
-class PlatformAwayTest(fleets.FleetCase):
-    async def test_a_node_joins_while_the_platform_is_away(self):
+class PlatformOutageTest(fleets.FleetTestCase):
+    async def test_node_joins_during_platform_outage(self):
         """A VM is replaced during an outage of the platform.
 
-        The new node has nothing on disk. It must not call itself ready, and
-        so take callers, before it has heard from its peers.
+        The new node has no stored configuration. It must not report itself
+        ready, and thereby get callers, before it has its peers' configuration.
         """
-        await self.start("node-a", "node-b")
-        _, found = await self.submit(fleets.FIRST)
-        version = found["versions"][fleets.RIDERS]
+        await self.start_nodes("node-a", "node-b")
+        _, found = await self.submit(fleets.FIRST_CONFIGURATION)
+        version = found["versions"][fleets.RIDERS_OBJECT]
         for name in ("node-a", "node-b"):
             await self.fleet.nodes[name].message("in force")
-        await self.control("fault", [{"mode": "outage"}])
+        await self.call_platform_control("fault", [{"mode": "outage"}])
 
-        await self.start("node-c", seeds=self.seed())
+        await self.start_nodes("node-c", seeds=self.seed_addresses())
 
-        states = await self.in_force("node-c")
+        states = await self.versions_in_force("node-c")
         self.assertEqual(version, states["node-c"])
 
-    async def test_a_node_alone_with_the_platform_away_is_not_ready(self):
-        await self.control("fault", [{"mode": "outage"}])
+    async def test_node_without_peers_is_not_ready_during_platform_outage(self):
+        await self.call_platform_control("fault", [{"mode": "outage"}])
         node = await self.fleet.node("node-a")
         await node.line(
             lambda line: str(line.get("message")).startswith("platform:")
--- a/endivewind/tests/proofs/ejection_tests.py
+++ b/endivewind/tests/proofs/ejection_tests.py
@@ -1,4 +1,4 @@
-"""Gray failures in real processes: targets that fail while they look well."""
+"""End-to-end tests of gray failures: targets that fail but look healthy."""
 
 import asyncio
 import collections
@@ -9,12 +9,12 @@
 from endivewind.tests import processes
 
 TARGETS = ("riders-1", "riders-2", "riders-3", "riders-4")
-AT_ONCE = 4
-# More than what the latencies of a service are judged by.
-WARM_UP = 320
-# Three of them end up at the target that hangs.
-CALLERS = 6
-# Longer than any wait of a test: what hangs never ends by its deadline.
+CONCURRENT_REQUESTS = 4
+# More than the history that a service needs for the judgment of latencies.
+WARM_UP_REQUESTS = 320
+# Three of them get stuck at the target that hangs.
+CALLER_COUNT = 6
+# Longer than any wait of a test, so that a hanging request never times out.
 TIMEOUT_MS = 120_000
 
 
@@ -25,7 +25,7 @@
                 "slots": 3,
                 "floor_slots": floor_slots,
                 "timeout_ms": TIMEOUT_MS,
-                # A retry would hide from the test which target failed.
+                # A retry would hide which target failed.
                 "retry_percent": 0,
             }
         },
@@ -35,111 +35,113 @@
     }
 
 
-class _Scene:
-    """A node that is entry and home, its targets, and callers at work."""
+class _Fixture:
+    """A node that is both entry and home node, its targets, and callers."""
 
     def __init__(self, session, node, targets) -> None:
         self._session = session
         self._node = node
         self._targets = targets
 
-    async def fault(self, target, **fault):
+    async def set_fault(self, target, **fault):
         address = self._targets[target].listening["address"]
         url = f"http://{address}/standin/fault"
         async with self._session.put(url, json=fault) as response:
             assert response.status == 204
 
-    async def ask(self):
+    async def send(self):
         url = f"http://{self._node.listening['callers']}/riders/1"
         async with self._session.get(url) as response:
             if response.status != 200:
                 return f"status {response.status}"
             return (await response.json())["target"]
 
-    async def ask_many(self, number, at_once=AT_ONCE):
-        """Answers by target; failures by status."""
-        seen = collections.Counter()
-        for _ in range(number // at_once):
-            answers = await asyncio.gather(
-                *(self.ask() for _ in range(at_once))
+    async def send_many(self, number, concurrency=CONCURRENT_REQUESTS):
+        """Sends requests; counts successes by target and failures by status."""
+        counts = collections.Counter()
+        for _ in range(number // concurrency):
+            results = await asyncio.gather(
+                *(self.send() for _ in range(concurrency))
             )
-            seen.update(answers)
-        return seen
+            counts.update(results)
+        return counts
 
-    async def ask_for_ever(self):
+    async def send_forever(self):
         while True:
-            await self.ask()
+            await self.send()
 
-    async def judged(self, target, health):
+    async def wait_until_judged(self, target, health):
         await self._node.message("target judged", target=target, health=health)
 
-    async def ask_until_judged(self, target, health):
-        """Keeps callers at work until the node has judged; counts answers."""
-        judged = asyncio.create_task(self.judged(target, health))
-        seen = collections.Counter()
+    async def send_until_judged(self, target, health):
+        """Sends requests until the node logs a judgment; counts results."""
+        judged = asyncio.create_task(self.wait_until_judged(target, health))
+        counts = collections.Counter()
         while not judged.done():
-            seen.update(await self.ask_many(AT_ONCE))
+            counts.update(await self.send_many(CONCURRENT_REQUESTS))
         await judged
-        return seen
+        return counts
 
 
-class _ProofTest(unittest.IsolatedAsyncioTestCase):
+class _EjectionTestCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.fleet = await self.enterAsyncContext(processes.Fleet())
 
-    async def scene(self, floor_slots):
+    async def make_fixture(self, floor_slots):
         node = await self.fleet.node("node-a")
         for name in TARGETS:
             await self.fleet.target(name, "riders", [node])
         await self.fleet.submit(_configuration(floor_slots))
         await node.message("in force", object="camerino")
         session = await self.enterAsyncContext(aiohttp.ClientSession())
-        scene = _Scene(session, node, self.fleet.targets)
-        await scene.ask_many(WARM_UP)
-        return scene
+        fixture = _Fixture(session, node, self.fleet.targets)
+        await fixture.send_many(WARM_UP_REQUESTS)
+        return fixture
 
 
-class GrayTargetTest(_ProofTest):
-    """A target answers its health checks and fails all real work.
+class GrayTargetTest(_EjectionTestCase):
+    """A target passes its health checks and fails all requests.
 
-    Callers see errors from one answer in four. The target keeps its lease,
-    so nothing but the outcome of real work tells; the node must stop sending
-    it work after a handful, and must send it work again once it has healed.
+    Callers get errors for one request in four. The target keeps its lease, so
+    that only the outcomes of requests show the fault. The node must eject the
+    target after a few failures and use it again once it has recovered.
     """
 
-    async def test_loses_work_and_returns_when_healed(self):
-        scene = await self.scene(floor_slots=6)
-        await scene.fault("riders-2", errors=1)
+    async def test_is_ejected_and_returns_after_recovery(self):
+        fixture = await self.make_fixture(floor_slots=6)
+        await fixture.set_fault("riders-2", errors=1)
 
-        failing = await scene.ask_until_judged("riders-2", "ejected")
-        after = await scene.ask_many(100)
-        await scene.fault("riders-2")
-        await scene.ask_until_judged("riders-2", "normal")
-        healed = await scene.ask_many(100)
+        failing = await fixture.send_until_judged("riders-2", "ejected")
+        after = await fixture.send_many(100)
+        await fixture.set_fault("riders-2")
+        await fixture.send_until_judged("riders-2", "normal")
+        recovered = await fixture.send_many(100)
 
         self.assertLess(failing["status 500"], 20)
         self.assertEqual(0, after["riders-2"])
         self.assertLess(after["status 500"], 3)
-        self.assertGreater(healed["riders-2"], 0)
+        self.assertGreater(recovered["riders-2"], 0)
 
 
-class HangingTargetTest(_ProofTest):
-    """A target takes requests and never answers them.
+class HangingTargetTest(_EjectionTestCase):
+    """A target accepts requests and never responds.
 
-    Nothing ends, so no outcome speaks against it: the callers on it wait for
-    their deadline. Requests that are overdue must count while they wait.
+    No request ends, so that no outcome counts against the target while its
+    callers wait for their deadlines. Overdue requests must count as evidence
+    while they are pending.
     """
 
-    async def test_is_out_before_any_request_ends(self):
-        scene = await self.scene(floor_slots=6)
-        await scene.fault("riders-3", hang=True)
+    async def test_is_ejected_before_any_request_ends(self):
+        fixture = await self.make_fixture(floor_slots=6)
+        await fixture.set_fault("riders-3", hang=True)
         callers = [
-            asyncio.create_task(scene.ask_for_ever()) for _ in range(CALLERS)
+            asyncio.create_task(fixture.send_forever())
+            for _ in range(CALLER_COUNT)
         ]
 
-        await scene.judged("riders-3", "ejected")
+        await fixture.wait_until_judged("riders-3", "ejected")
 
-        after = await scene.ask_many(40)
+        after = await fixture.send_many(40)
         self.assertEqual(0, after["riders-3"])
         self.assertEqual(0, after["status 503"])
         for caller in callers:
@@ -147,24 +149,24 @@
         await asyncio.gather(*callers, return_exceptions=True)
 
 
-class FloorTest(_ProofTest):
+class FloorTest(_EjectionTestCase):
     """Three of four targets start to fail, one after the other.
 
-    Ejecting each of them would leave one target for the work of four. The
-    floor of nine slots must keep three targets in use, failing or not, for
-    what the two that are well have no slots for.
+    Ejecting each of them would leave one target for the load of four. The
+    capacity floor of nine slots must keep three targets in use, failing or
+    not, for requests that the two healthy targets have no slots for.
     """
 
     async def test_holds_when_most_targets_fail(self):
-        scene = await self.scene(floor_slots=9)
-        await scene.fault("riders-1", errors=1)
-        await scene.ask_until_judged("riders-1", "ejected")
-        await scene.fault("riders-2", errors=1)
-        await scene.ask_until_judged("riders-2", "ejected")
+        fixture = await self.make_fixture(floor_slots=9)
+        await fixture.set_fault("riders-1", errors=1)
+        await fixture.send_until_judged("riders-1", "ejected")
+        await fixture.set_fault("riders-2", errors=1)
+        await fixture.send_until_judged("riders-2", "ejected")
 
         for name in ("riders-3", "riders-4"):
-            await scene.fault(name, delay_ms=100)
-        seen = await scene.ask_many(120, at_once=12)
+            await fixture.set_fault(name, delay_ms=100)
+        counts = await fixture.send_many(120, concurrency=12)
 
-        self.assertGreater(seen["status 500"], 10)
-        self.assertEqual(0, seen["status 503"])
+        self.assertGreater(counts["status 500"], 10)
+        self.assertEqual(0, counts["status 503"])
--- a/endivewind/tests/proofs/fleets.py
+++ b/endivewind/tests/proofs/fleets.py
@@ -1,4 +1,4 @@
-"""A fleet of processes for proofs of configuration."""
+"""Test case with a fleet of processes, for tests of configuration."""
 
 import asyncio
 import json
@@ -11,27 +11,32 @@
 
 from endivewind.tests import processes
 
-ZONE_OF = {"node-a": "andina-a", "node-b": "andina-b", "node-c": "caribe-a"}
-FIRST = {"services": {"riders": {"slots": 3}}}
-SECOND = {"services": {"riders": {"slots": 5}}}
-RIDERS = "service/riders"
+ZONES_BY_NODE = {
+    "node-a": "andina-a",
+    "node-b": "andina-b",
+    "node-c": "caribe-a",
+}
+FIRST_CONFIGURATION = {"services": {"riders": {"slots": 3}}}
+SECOND_CONFIGURATION = {"services": {"riders": {"slots": 5}}}
+RIDERS_OBJECT = "service/riders"
 
 
-class FleetCase(unittest.IsolatedAsyncioTestCase):
+class FleetTestCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.fleet = processes.Fleet()
         await self.enterAsyncContext(self.fleet)
 
-    async def start(self, *names, **settings):
-        """Starts nodes and waits until each is ready."""
+    async def start_nodes(self, *names, **settings):
+        """Starts nodes and waits until all are ready."""
         started = (
-            self.fleet.node(name, ZONE_OF[name], **settings) for name in names
+            self.fleet.node(name, ZONES_BY_NODE[name], **settings)
+            for name in names
         )
         for node in await asyncio.gather(*started):
             await node.message("ready")
 
     async def run_command(self, *arguments):
-        """Runs `endivewind`; returns its exit code and JSON output."""
+        """Runs the `endivewind` command; returns exit code and JSON output."""
         code = "from endivewind.commands import main; main.run()"
         child = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -46,16 +51,16 @@
         return child.returncode, json.loads(output or "null")
 
     async def submit(self, configuration, *flags, name="c.yaml"):
-        file = self.file(name, configuration)
+        file = self.write_file(name, configuration)
         return await self.run_command("submit", file, *flags)
 
-    def file(self, name, configuration):
+    def write_file(self, name, configuration):
         path = pathlib.Path(self.fleet._folder) / name
         path.write_text(yaml.safe_dump(configuration))
         return str(path)
 
-    async def control(self, action, faults=None):
-        """Uses the stand-in's control path."""
+    async def call_platform_control(self, action, faults=None):
+        """Calls the control interface of the fake platform."""
         url = f"{self.fleet.platform_url}/standin/{action}"
         method = "POST" if faults is None else "PUT"
         body = None if faults is None else {"faults": faults}
@@ -65,24 +70,24 @@
         ):
             self.assertEqual(204, response.status)
 
-    async def in_force(self, name):
-        """Version in force of each node, as one node hears it."""
+    async def versions_in_force(self, name):
+        """Returns the version in force on each node, as one node reports it."""
         operators = self.fleet.nodes[name].listening["operators"]
-        url = f"http://{operators}/v1/configuration?object={RIDERS}"
+        url = f"http://{operators}/v1/configuration?object={RIDERS_OBJECT}"
         async with (
             aiohttp.ClientSession() as session,
             session.get(url) as response,
         ):
-            answer = await response.json()
+            status = await response.json()
         return {
-            node: states[RIDERS]["in_force"]
-            for node, states in answer["nodes"].items()
+            node: states[RIDERS_OBJECT]["in_force"]
+            for node, states in status["nodes"].items()
         }
 
-    def seed(self):
+    def seed_addresses(self):
         return [self.fleet.nodes["node-a"].listening["nodes"]]
 
 
-def slots(held):
-    """The slots of a service as `endivewind get` prints it."""
-    return {"slots": held["value"]["spec"]["slots"]}
+def slots_of(found):
+    """Selects the slots from a service printed by `endivewind get`."""
+    return {"slots": found["value"]["spec"]["slots"]}
--- a/endivewind/tests/proofs/membership_tests.py
+++ b/endivewind/tests/proofs/membership_tests.py
@@ -1,4 +1,4 @@
-"""Proofs on real processes while nodes die, pause and are replaced."""
+"""End-to-end tests: nodes crash, pause and are replaced."""
 
 import asyncio
 import contextlib
@@ -12,38 +12,39 @@
     "services": {"riders": {"slots": 3}},
     "route_groups": {"camerino": {"routes": [{"service": "riders"}]}},
 }
-# A target renews twice a second and changes reach all within a second; the
-# rest is for a busy machine.
-SOON_SECONDS = 8
+# A target renews its lease twice a second, and changes reach all nodes within
+# a second; the rest allows for a busy machine.
+RECOVERY_SECONDS = 8
 
 
-class HomeLossTest(unittest.IsolatedAsyncioTestCase):
-    """The home of a target goes, planned or not."""
+class HomeNodeLossTest(unittest.IsolatedAsyncioTestCase):
+    """The home node of a target crashes, pauses or stops."""
 
-    async def test_targets_of_a_killed_home_are_served_elsewhere(self):
-        """Callers get answers again within seconds.
+    async def test_targets_of_killed_home_move_to_another(self):
+        """Callers get responses again within seconds.
 
-        The home dies without a word. Its target finds it gone at the next
-        renewal, announces to another node, and entries hear of that.
+        The home node crashes. Its target's next lease renewal fails; the
+        target announces itself to another node, and entry nodes learn of that.
         """
         async with _fleet() as (fleet, entry, first, second):
             first.kill()
-            await _moved(entry, second)
+            await _wait_until_moved(entry, second)
             self.assertEqual("200 riders-1", await _send(entry))
 
-    async def test_resumed_home_does_not_use_its_lapsed_lease(self):
-        """A paused home must not hand over work next to the new one.
+    async def test_resumed_home_does_not_use_its_expired_lease(self):
+        """A resumed home node must not send requests to a target that moved.
 
-        The home is stopped for longer than the lease; the target moves. When
-        the home goes on it ends the lease by its own clock, hears of the new
-        home, and as an entry sends the work there.
+        The home node is paused for longer than the lease, and the target
+        moves. After the pause the node expires the lease by its own clock,
+        learns of the new home node, and as an entry node forwards requests
+        there.
         """
         async with _fleet() as (fleet, entry, first, second):
             first.pause()
-            await _moved(entry, second)
+            await _wait_until_moved(entry, second)
             self.assertEqual("200 riders-1", await _send(entry))
 
-            # Dead takes longer than the lease of 2 s.
+            # A node is declared dead after more than the lease of 2 s.
             await entry.message("member", node="first", state="dead")
             first.resume()
 
@@ -54,11 +55,11 @@
             self.assertEqual("200 riders-1", await _send(first))
             self.assertEqual("200 riders-1", await _send(entry))
 
-    async def test_planned_stop_of_a_home_costs_no_answer(self):
-        """Every request sent while a home stops is answered.
+    async def test_planned_stop_of_home_loses_no_request(self):
+        """Every request sent while a home node stops gets a response.
 
-        The home refuses renewals first, and serves on until its target has
-        moved.
+        The node first refuses lease renewals, and serves requests until its
+        target has moved.
         """
         async with _fleet() as (fleet, entry, first, second):
             stop = asyncio.create_task(first.stop())
@@ -68,14 +69,14 @@
             self.assertEqual("200 riders-1", await _send(entry))
 
 
-class ReplacementTest(unittest.IsolatedAsyncioTestCase):
-    """Nodes come and go, with and without the platform."""
+class NodeReplacementTest(unittest.IsolatedAsyncioTestCase):
+    """Nodes are replaced, with and without the platform."""
 
-    async def test_nodes_come_and_go_with_the_platform_away(self):
-        """Callers are served although the platform does not answer.
+    async def test_nodes_are_replaced_during_platform_outage(self):
+        """Callers are served although the platform is down.
 
-        A node started in the outage joins by its seeds, has configuration
-        and targets from its peers, and serves as entry and as home.
+        A node started during the outage joins by its seeds, gets configuration
+        and targets from its peers, and serves as entry and as home node.
         """
         async with _fleet() as (fleet, entry, first, second):
             fleet.platform.kill()
@@ -89,15 +90,15 @@
             await fleet.target("riders-2", "riders", [fresh])
             await entry.message("home heard", home="fresh")
             first.kill()
-            await _moved(entry, second)
-            answers = {await _send(entry) for _ in range(8)}
-            self.assertLessEqual(answers, {"200 riders-1", "200 riders-2"})
+            await _wait_until_moved(entry, second)
+            responses = {await _send(entry) for _ in range(8)}
+            self.assertLessEqual(responses, {"200 riders-1", "200 riders-2"})
 
-    async def test_all_nodes_of_a_zone_are_replaced(self):
-        """The zone's targets are served throughout, and by its new nodes.
+    async def test_all_nodes_of_zone_are_replaced(self):
+        """The zone's targets stay in use, and its new nodes take targets.
 
-        Both nodes of the zone die at once. Their targets turn to the other
-        zone; new nodes under new names take up announcements.
+        Both nodes of the zone crash at once. Their targets move to the other
+        zone; a new node under a new name accepts announcements.
         """
         async with _fleet() as (fleet, entry, first, second):
             first.kill()
@@ -114,16 +115,16 @@
             )
             self.assertEqual("200", (await _send(third))[:3])
 
-    async def test_whole_fleet_restarts_with_the_platform_away(self):
-        """Nobody is told something untrue, and all works when it is back.
+    async def test_whole_fleet_restarts_during_platform_outage(self):
+        """Requests are refused as not run until the platform is back.
 
-        No node has the configuration, so that callers are refused as not
-        run. Nodes find each other by seeds and targets announce meanwhile;
-        with the platform back, requests are served at once.
+        No node has the configuration. Nodes find each other by seeds, and
+        targets announce themselves meanwhile, so that requests are served as
+        soon as the platform is back.
         """
         async with processes.Fleet() as fleet:
             await fleet.submit(CONFIGURATION)
-            await _fault(fleet, [{"mode": "outage"}])
+            await _set_platform_faults(fleet, [{"mode": "outage"}])
             home = await fleet.node("home", "andina-a", seeds=["127.0.0.1:9"])
             entry = await fleet.node(
                 "entry", "andina-b", seeds=[home.listening["nodes"]]
@@ -132,7 +133,7 @@
             await entry.message("home heard", home="home", targets=["riders-1"])
             self.assertEqual("503 not-run not-ready", await _send(entry))
 
-            await _fault(fleet, [])
+            await _set_platform_faults(fleet, [])
             await entry.message("in force", object="camerino")
             await entry.message("ready")
             self.assertEqual("200 riders-1", await _send(entry))
@@ -140,7 +141,7 @@
 
 @contextlib.asynccontextmanager
 async def _fleet():
-    """An entry in one zone, and two nodes in another, one of them a home."""
+    """An entry node in one zone, and two in another, one the home node."""
     async with processes.Fleet() as fleet:
         entry, first, second = await asyncio.gather(
             fleet.node("entry", "andina-a"),
@@ -156,7 +157,7 @@
         yield fleet, entry, first, second
 
 
-async def _fault(fleet: processes.Fleet, faults: list) -> None:
+async def _set_platform_faults(fleet: processes.Fleet, faults: list) -> None:
     url = f"{fleet.platform_url}/standin/fault"
     async with (
         aiohttp.ClientSession() as session,
@@ -165,24 +166,26 @@
         assert response.status == 204
 
 
-async def _moved(entry: processes.Process, home: processes.Process) -> None:
-    async with asyncio.timeout(SOON_SECONDS):
+async def _wait_until_moved(
+    entry: processes.Process, home: processes.Process
+) -> None:
+    async with asyncio.timeout(RECOVERY_SECONDS):
         await entry.message("home heard", home=home.name, targets=["riders-1"])
 
 
 async def _send(node: processes.Process) -> str:
-    """The status, and who answered or what the refusal says and why."""
+    """Returns the status with the target, or the refusal's outcome and reason."""
     url = f"http://{node.listening['callers']}/work"
     async with (
-        asyncio.timeout(SOON_SECONDS),
+        asyncio.timeout(RECOVERY_SECONDS),
         aiohttp.ClientSession() as session,
         session.get(url) as response,
     ):
-        answer = await response.json(content_type=None)
-        told = response.headers.get("Endivewind-Outcome", "")
+        body = await response.json(content_type=None)
+        outcome = response.headers.get("Endivewind-Outcome", "")
         reason = response.headers.get("Endivewind-Reason", "")
-        who = answer.get("target") or f"{told} {reason}"
-        return f"{response.status} {who}"
+        result = body.get("target") or f"{outcome} {reason}"
+        return f"{response.status} {result}"
 
 
 if __name__ == "__main__":
--- a/endivewind/tests/proofs/partition_tests.py
+++ b/endivewind/tests/proofs/partition_tests.py
@@ -1,4 +1,4 @@
-"""Proofs under partitions between an entry and a home, on real sockets."""
+"""End-to-end tests: network partitions between an entry and a home node."""
 
 import asyncio
 import contextlib
@@ -14,76 +14,76 @@
     "services": {"riders": {"slots": 3}},
     "route_groups": {"camerino": {"routes": [{"service": "riders"}]}},
 }
-# Far above the silence limit of a link, far below the deadline.
-SOON_SECONDS = 4
+# Far above the heartbeat timeout of a link, far below the deadline.
+RESPONSE_SECONDS = 4
 DEADLINE_MS = "15000"
 
 
 class OneWayPartitionTest(unittest.IsolatedAsyncioTestCase):
-    """The entry's bytes reach the home; the home's bytes are lost."""
+    """The entry node's bytes reach the home node; those sent back are lost."""
 
-    async def test_idempotent_request_is_answered_elsewhere(self):
-        """The caller gets a whole answer long before its deadline.
+    async def test_idempotent_request_is_retried_elsewhere(self):
+        """The caller gets a complete response long before its deadline.
 
-        The near target's home takes the request but its answer is lost on the
-        way back. The entry notices the silence, gives the path up and places
-        the request at the target of another home.
+        The near target's home node gets the request, but its response is lost.
+        The entry node detects the silent connection, opens the circuit breaker
+        of that home node, and retries at the target of another one.
         """
-        async with fleet() as (_, entry, broken):
-            broken.back = relay.Mode.DROP
+        async with fleet() as (_, entry, broken_link):
+            broken_link.back = relay.Mode.DROP
 
             status, text = await _send(entry, "GET")
 
             self.assertEqual(200, status, text)
             self.assertIn("riders-far", text)
 
-    async def test_unrepeatable_request_ends_as_unknown(self):
-        """The caller hears "unknown" soon, and never "not-run".
+    async def test_non_idempotent_request_gets_outcome_unknown(self):
+        """The caller soon gets the outcome "unknown", and never "not-run".
 
-        The home takes the request, the target runs it, and then the way back
-        is lost with the answer. The entry can't know that, so it neither runs
-        it again nor denies it.
+        The target runs the request, and then the response is lost. The entry
+        node can't know whether it ran, so that it must neither retry the
+        request nor report it as not run.
         """
-        async with fleet() as (started, entry, broken):
+        async with fleet() as (process_fleet, entry, broken_link):
             sent = asyncio.create_task(_send(entry, "POST", slow=True))
-            near = started.targets["riders-near"]
+            near = process_fleet.targets["riders-near"]
             await near.message("work runs")
-            broken.back = relay.Mode.DROP
+            broken_link.back = relay.Mode.DROP
 
             status, text = await sent
 
             self.assertEqual(502, status, text)
             self.assertIn('"outcome": "unknown"', text)
 
-    async def test_unrepeatable_request_goes_round_a_path_that_is_lost(self):
-        """The caller gets its answer, and the work has run once.
+    async def test_non_idempotent_request_avoids_unreachable_home(self):
+        """The caller gets a response, and the request runs only once.
 
-        The way back is lost before the request comes. The home is asked
-        first, is not heard, and gets no work of which nobody could tell
-        whether it ran.
+        The direction back is lost before the request arrives. The entry node
+        probes the home node first. As no reply arrives, it sends no request
+        there whose outcome it couldn't learn.
         """
-        async with fleet() as (started, entry, broken):
-            broken.back = relay.Mode.DROP
+        async with fleet() as (process_fleet, entry, broken_link):
+            broken_link.back = relay.Mode.DROP
 
             status, text = await _send(entry, "POST")
 
             self.assertEqual(200, status, text)
             self.assertIn("riders-far", text)
-            near = started.targets["riders-near"]
+            near = process_fleet.targets["riders-near"]
             runs = [line for line in near.seen if _is_run(line)]
             self.assertEqual([], runs)
 
-    async def test_forgotten_connection_does_not_cost_the_path(self):
-        """Callers get answers of the near target again at once.
+    async def test_silent_connection_does_not_open_the_circuit_breaker(self):
+        """The near target is used again at once.
 
-        The pooled connection goes silent while new ones work. One request
-        waits out the silence; the next takes a fresh connection.
+        A pooled connection goes silent while new ones work. One request waits
+        for its heartbeat timeout; the next one uses a new connection.
         """
-        async with fleet() as (_, entry, broken):
+        async with fleet() as (_, entry, broken_link):
             await _send(entry, "GET")
-            broken.back = relay.Mode.DROP
+            broken_link.back = relay.Mode.DROP
             await _send(entry, "GET")
-            broken.back = relay.Mode.PASS
+            broken_link.back = relay.Mode.PASS
 
             status, text = await _send(entry, "GET")
 
@@ -93,21 +93,21 @@
 
 @contextlib.asynccontextmanager
 async def fleet():
-    """An entry, a near home behind a relay, and a far home."""
-    async with processes.Fleet() as started, relay.Relay() as broken:
-        entry = await started.node("entry", "andina-a")
-        near = await started.node(
-            "near", "andina-a", nodes_advertised=broken.address
+    """An entry node, a near home node behind a relay, and a far home node."""
+    async with processes.Fleet() as process_fleet, relay.Relay() as broken_link:
+        entry = await process_fleet.node("entry", "andina-a")
+        near = await process_fleet.node(
+            "near", "andina-a", nodes_advertised=broken_link.address
         )
-        broken.upstream = near.listening["nodes"]
-        far = await started.node("far", "caribe-a")
-        await started.target("riders-near", "riders", [near])
-        await started.target("riders-far", "riders", [far])
-        await started.submit(CONFIGURATION)
+        broken_link.upstream = near.listening["nodes"]
+        far = await process_fleet.node("far", "caribe-a")
+        await process_fleet.target("riders-near", "riders", [near])
+        await process_fleet.target("riders-far", "riders", [far])
+        await process_fleet.submit(CONFIGURATION)
         await entry.message("in force", object="camerino")
         await entry.message("home heard", targets=["riders-near"])
         await entry.message("home heard", targets=["riders-far"])
-        yield started, entry, broken
+        yield process_fleet, entry, broken_link
 
 
 def _is_run(line) -> bool:
@@ -117,17 +117,21 @@
 async def _send(
     node: processes.Process, method: str, slow: bool = False
 ) -> tuple[int, str]:
-    """Sends a request; one that must not repeat first asks for its key."""
+    """Sends a request; for a POST, first gets its idempotency key."""
     url = f"http://{node.listening['callers']}/work"
-    fields = {"Endivewind-Timeout-Ms": DEADLINE_MS}
+    request_headers = {"Endivewind-Timeout-Ms": DEADLINE_MS}
     async with (
-        asyncio.timeout(SOON_SECONDS),
+        asyncio.timeout(RESPONSE_SECONDS),
         aiohttp.ClientSession() as session,
     ):
         if method == "POST":
-            async with session.post(url, headers=fields) as asked:
-                fields["Idempotency-Key"] = asked.headers["Idempotency-Key"]
+            async with session.post(url, headers=request_headers) as refusal:
+                request_headers["Idempotency-Key"] = refusal.headers[
+                    "Idempotency-Key"
+                ]
         if slow:
-            fields[standin.FAULT_HEADER] = standin.Fault.DELAY
-        async with session.request(method, url, headers=fields) as response:
+            request_headers[standin.FAULT_HEADER] = standin.Fault.DELAY
+        async with session.request(
+            method, url, headers=request_headers
+        ) as response:
             return response.status, await response.text()
--- a/endivewind/tests/proofs/platform_tests.py
+++ b/endivewind/tests/proofs/platform_tests.py
@@ -1,4 +1,4 @@
-"""Proofs on real processes that speak the users' platform's interface."""
+"""End-to-end tests of nodes with the interface of the users' platform."""
 
 import asyncio
 import collections
@@ -11,19 +11,19 @@
 from endivewind.tests import processes
 
 HOST = "shop.example"
-BORN = 1_700_000_000_000
-STAMP = names.HEADERS.response_marker
+START_TIME_MS = 1_700_000_000_000
+RESPONSE_MARKER = names.HEADERS.response_marker
 
 
 def _configuration(version, service="riders"):
-    def route(prefix, kind):
+    def make_route(prefix, route_type):
         return {
             "resource_type": "routes",
             "metadata": {"name": prefix.strip("/")},
             "spec": {
                 "host": HOST,
                 "path_prefix": prefix,
-                "route_type": kind,
+                "route_type": route_type,
                 "timeout_s": 2,
                 "target_latency_s": 1,
                 "priority": 1,
@@ -35,8 +35,8 @@
     return {
         "version": f"{version:08x}",
         "resources": [
-            route("/views/", "safe"),
-            route("/orders/", "unsafe"),
+            make_route("/views/", "safe"),
+            make_route("/orders/", "unsafe"),
             {
                 "resource_type": "services",
                 "metadata": {"name": service},
@@ -57,13 +57,13 @@
 
 
 class _Target:
-    """A target of the platform: works, and sends heartbeats to its node."""
+    """A target of the platform: serves requests and sends heartbeats."""
 
     def __init__(self, name, session):
         self.name = name
-        self.seen = []
+        self.requests = []
         self.runs = collections.Counter()
-        self.works = asyncio.Event()
+        self.is_running = asyncio.Event()
         self.release = asyncio.Event()
         self.release.set()
         self.address = ""
@@ -83,33 +83,41 @@
         self.release.set()
         await self._runner.cleanup()
 
-    async def beat(self, node, state="ready"):
+    async def send_heartbeat(self, node, state="ready"):
         self._sequence += 1
-        beat = {
+        heartbeat = {
             "address": self.address,
-            "born": BORN,
+            "born": START_TIME_MS,
             "info": {"service": "riders", "slots": 3},
             "status": {"state": state, "sequence": self._sequence},
         }
         url = f"http://{node.listening['targets']}/Instances.Heartbeat/"
-        async with self._session.post(url + self.name, json=beat) as response:
+        async with self._session.post(
+            url + self.name, json=heartbeat
+        ) as response:
             return response.status
 
     async def _work(self, request):
-        given = request.headers
-        expected = given.get(names.HEADERS.expected_target)
-        own = {names.HEADERS.request_id: given[names.HEADERS.request_id]}
+        request_headers = request.headers
+        expected = request_headers.get(names.HEADERS.expected_target)
+        own = {
+            names.HEADERS.request_id: request_headers[names.HEADERS.request_id]
+        }
         if expected != self.name:
             return web.Response(status=421, headers=own)
-        self.seen.append((request.method, request.path, dict(given)))
-        self.runs[given[names.HEADERS.request_id]] += 1
-        self.works.set()
+        self.requests.append(
+            (request.method, request.path, dict(request_headers))
+        )
+        self.runs[request_headers[names.HEADERS.request_id]] += 1
+        self.is_running.set()
         await self.release.wait()
-        return web.Response(text=self.name, headers={**own, STAMP: "mark"})
+        return web.Response(
+            text=self.name, headers={**own, RESPONSE_MARKER: "mark"}
+        )
 
 
 class PlatformTest(unittest.IsolatedAsyncioTestCase):
-    """Two nodes, each beside a target, and the operator at the store."""
+    """Two nodes, each with a local target, and an operator's writes."""
 
     async def asyncSetUp(self):
         self.fleet = await self.enterAsyncContext(processes.Fleet())
@@ -122,8 +130,8 @@
             self.addAsyncCleanup(target.stop)
             self.targets[name] = target
 
-    async def node(self, name):
-        found = await self.fleet.node(
+    async def start_node(self, name):
+        node = await self.fleet.node(
             f"node-{name}",
             interface="platform",
             once="request-id",
@@ -135,11 +143,11 @@
             },
             limits={"grace_seconds": 6.0, "notice_seconds": 1.0},
         )
-        self.nodes[name] = found
-        return found
+        self.nodes[name] = node
+        return node
 
-    async def write(self, version, **changes):
-        """Writes the configuration as the operator does."""
+    async def write_configuration(self, version, **changes):
+        """Writes the configuration to the platform as an operator does."""
         url = f"{self.fleet.platform_url}/objects/config"
         value = _configuration(version, **changes)
         body = {"metadata": {"name": "main"}, "spec": value}
@@ -149,94 +157,107 @@
         async with self.session.put(url + "/main", json=body) as response:
             self.assertEqual(200, response.status)
 
-    async def started(self):
-        """Both nodes, with the first configuration and both targets."""
-        await self.write(1)
-        await asyncio.gather(self.node("a"), self.node("b"))
+    async def start_fleet(self):
+        """Starts both nodes with the first configuration and both targets."""
+        await self.write_configuration(1)
+        await asyncio.gather(self.start_node("a"), self.start_node("b"))
         for name, node in self.nodes.items():
             await node.message("in force", version=1)
             await node.message("ready")
-            self.assertEqual(200, await self.targets[name].beat(node))
+            self.assertEqual(200, await self.targets[name].send_heartbeat(node))
         await self.nodes["a"].message("home heard", targets=["i-b"])
         await self.nodes["b"].message("home heard", targets=["i-a"])
 
-    async def ask(self, node, path="/views/1", method="GET", number="r-1"):
+    async def send(self, node, path="/views/1", method="GET", request_id="r-1"):
         url = f"http://{node.listening['callers']}{path}"
-        given = {
+        request_headers = {
             "Host": HOST,
-            names.HEADERS.request_id: number,
+            names.HEADERS.request_id: request_id,
             names.HEADERS.timeout_ms: "3000",
             names.HEADERS.caller_service: "forged",
         }
-        async with self.session.request(method, url, headers=given) as response:
+        async with self.session.request(
+            method, url, headers=request_headers
+        ) as response:
             return response.status, await response.text(), response.headers
 
-    async def test_a_request_reaches_the_target_as_it_was_sent(self):
-        await self.started()
+    async def test_request_reaches_target_as_sent(self):
+        await self.start_fleet()
 
-        status, text, fields = await self.ask(self.nodes["a"])
+        status, text, response_headers = await self.send(self.nodes["a"])
 
         self.assertEqual(200, status, text)
-        self.assertEqual("mark", fields[STAMP])
-        self.assertEqual("r-1", fields[names.HEADERS.request_id])
-        ran = self.targets[text[-1]]
-        _, path, given = ran.seen[0]
+        self.assertEqual("mark", response_headers[RESPONSE_MARKER])
+        self.assertEqual("r-1", response_headers[names.HEADERS.request_id])
+        target = self.targets[text[-1]]
+        _, path, request_headers = target.requests[0]
         self.assertEqual("/views/1", path)
-        self.assertEqual(HOST, given["Host"])
-        self.assertEqual("riders", given[names.HEADERS.caller_service])
-        self.assertLessEqual(int(given[names.HEADERS.timeout_ms]), 2000)
+        self.assertEqual(HOST, request_headers["Host"])
+        self.assertEqual(
+            "riders", request_headers[names.HEADERS.caller_service]
+        )
+        self.assertLessEqual(
+            int(request_headers[names.HEADERS.timeout_ms]), 2000
+        )
 
-    async def test_a_node_without_configuration_refuses_for_now(self):
-        """The operator has written nothing yet; a 404 would be untrue."""
-        node = await self.node("a")
+    async def test_node_without_configuration_refuses_with_503(self):
+        """Without a configuration a 404 would be wrong: the route may exist."""
+        node = await self.start_node("a")
 
-        status, _, fields = await self.ask(node)
+        status, _, response_headers = await self.send(node)
 
         self.assertEqual(503, status)
-        self.assertIn("Retry-After", fields)
-        await self.write(1)
+        self.assertIn("Retry-After", response_headers)
+        await self.write_configuration(1)
         await node.message("in force", version=1)
-        status, _, _ = await self.ask(node, path="/nowhere/1")
+        status, _, _ = await self.send(node, path="/nowhere/1")
         self.assertEqual(404, status)
 
-    async def test_a_change_is_in_force_and_an_older_one_is_not_taken(self):
-        await self.started()
-        await self.write(7, service="venues")
+    async def test_newer_configuration_takes_effect_and_older_one_does_not(
+        self,
+    ):
+        await self.start_fleet()
+        await self.write_configuration(7, service="venues")
         for node in self.nodes.values():
             await node.message("in force", version=7)
 
-        await self.write(3)
-        status, _, _ = await self.ask(self.nodes["a"])
+        await self.write_configuration(3)
+        status, _, _ = await self.send(self.nodes["a"])
 
         self.assertEqual(503, status)
         self.assertEqual({}, dict(self.targets["a"].runs))
 
-    async def test_a_target_that_leaves_gets_nothing_more(self):
-        """Its home has acknowledged; entries may not have heard of it yet."""
-        await self.started()
-        leaving = self.targets["a"]
+    async def test_draining_target_gets_no_more_requests(self):
+        """The home node has acknowledged it; entry nodes may not know it yet."""
+        await self.start_fleet()
+        draining_target = self.targets["a"]
 
-        self.assertEqual(200, await leaving.beat(self.nodes["a"], "draining"))
-        answers = [
-            await self.ask(self.nodes[name], "/orders/1", "POST", f"r-{number}")
+        self.assertEqual(
+            200,
+            await draining_target.send_heartbeat(self.nodes["a"], "draining"),
+        )
+        responses = [
+            await self.send(
+                self.nodes[name], "/orders/1", "POST", f"r-{number}"
+            )
             for number, name in enumerate("abababab")
         ]
 
-        self.assertEqual({200}, {status for status, _, _ in answers})
-        self.assertEqual(0, leaving.runs.total())
+        self.assertEqual({200}, {status for status, _, _ in responses})
+        self.assertEqual(0, draining_target.runs.total())
 
-    async def test_a_stop_lets_the_order_end_and_runs_it_once(self):
-        """The platform ends a node whose target works on an order."""
-        await self.started()
+    async def test_stopping_node_finishes_its_request_which_runs_once(self):
+        """The platform stops a node while a target runs its request."""
+        await self.start_fleet()
         for target in self.targets.values():
             target.release.clear()
         node = self.nodes["a"]
         order = asyncio.create_task(
-            self.ask(node, "/orders/1", "POST", "order")
+            self.send(node, "/orders/1", "POST", "order")
         )
         await asyncio.wait(
             [
-                asyncio.create_task(target.works.wait())
+                asyncio.create_task(target.is_running.wait())
                 for target in self.targets.values()
             ],
             return_when=asyncio.FIRST_COMPLETED,
--- a/endivewind/tests/proofs/poison_tests.py
+++ b/endivewind/tests/proofs/poison_tests.py
@@ -1,4 +1,4 @@
-"""Proof that one request can't take a service's targets out one by one."""
+"""End-to-end test: one poison request can't crash all targets of a service."""
 
 import asyncio
 import contextlib
@@ -13,43 +13,48 @@
     "services": {"riders": {"slots": 4, "retry_percent": 100}},
     "route_groups": {"camerino": {"routes": [{"service": "riders"}]}},
 }
-TARGETS = 4
-SENDS = 6
+TARGET_COUNT = 4
+SEND_COUNT = 6
 
 
 class PoisonTest(unittest.IsolatedAsyncioTestCase):
-    """A look-up crashes each target that runs it, and is sent again.
+    """An idempotent request crashes each target that runs it, and is resent.
 
-    Each send alone looks like a target that died. Its caller sees one broken
-    look-up, sends it again and again, and without a record of what was on the
-    targets they would all be gone, with everyone else's work.
+    Each single send looks like a crashed target. The caller gets an error and
+    resends the request. Unless nodes record which request was running on a
+    crashed target, the resends crash all targets, with the other requests that
+    run there.
     """
 
-    async def test_it_takes_two_targets_and_is_refused_then(self):
+    async def test_is_refused_after_two_crashes(self):
         async with _fleet() as (fleet, entry, caller):
             await caller.send(entry, "GET", work="well", body=b"well")
-            replies = [
+            responses = [
                 await caller.send(entry, "GET", fault="crash", body=b"bad")
-                for _ in range(SENDS)
+                for _ in range(SEND_COUNT)
             ]
             others = [
                 await caller.send(entry, "GET", work="well", body=b"well")
-                for _ in range(TARGETS)
+                for _ in range(TARGET_COUNT)
             ]
-            ended = [
+            crashed = [
                 target
                 for target in fleet.targets.values()
                 if target.child.returncode is not None
             ]
 
-            self.assertEqual("unknown", replies[0].outcome)
+            self.assertEqual("unknown", responses[0].outcome)
             self.assertEqual(
                 (503, "not-run", "poison"),
-                (replies[-1].status, replies[-1].outcome, replies[-1].reason),
+                (
+                    responses[-1].status,
+                    responses[-1].outcome,
+                    responses[-1].reason,
+                ),
             )
-            self.assertIn("Retry-After", replies[-1].headers)
-            self.assertEqual({200}, {reply.status for reply in others})
-            self.assertEqual(2, len(ended))
+            self.assertIn("Retry-After", responses[-1].headers)
+            self.assertEqual({200}, {response.status for response in others})
+            self.assertEqual(2, len(crashed))
 
 
 @contextlib.asynccontextmanager
@@ -59,7 +64,7 @@
         await asyncio.gather(
             *(
                 fleet.target(f"riders-{number}", "riders", [entry])
-                for number in range(TARGETS)
+                for number in range(TARGET_COUNT)
             )
         )
         await fleet.submit(CONFIGURATION)
--- a/endivewind/tests/proofs/stop_tests.py
+++ b/endivewind/tests/proofs/stop_tests.py
@@ -1,4 +1,4 @@
-"""Proofs on real processes that a planned stop cuts nothing."""
+"""End-to-end tests: a graceful shutdown loses no request."""
 
 import asyncio
 import collections
@@ -24,31 +24,33 @@
         }
     },
 }
-NODES = ("node-1", "node-2", "node-3")
-# Long enough for a slow request to end; short ones need less.
+NODE_NAMES = ("node-1", "node-2", "node-3")
+# Long enough for a slow request to end; the other tests need less.
 SLOW_STOP_SECONDS = 4.0
 STOP_SECONDS = 2.5
-RATE = 200
-# How long a target that is leaving may still be known anywhere.
+REQUESTS_PER_SECOND = 200
+# How long any node may take to learn that a target is draining.
 WITHDRAWAL_SECONDS = 2
 
 
 class StopTest(unittest.IsolatedAsyncioTestCase):
-    """Nodes and targets leave one after the other while callers call."""
+    """Nodes and targets stop one after the other under load."""
 
-    async def test_node_finishes_what_it_has_and_refuses_the_rest(self):
-        """A skipper waits for a slow payout while its node is replaced.
+    async def test_stopping_node_finishes_its_requests_and_refuses_new_ones(
+        self,
+    ):
+        """A node stops while a slow request runs.
 
-        The node gives notice, finishes the payout, keeps its answer for a
-        resend until the stop's limit and refuses new work with the time to
-        come back. It then ends by itself.
+        The node announces its stop, finishes the request, keeps its response
+        for a resend until the stop's time limit, and refuses new requests with
+        a Retry-After header. The process then exits by itself.
         """
         async with _fleet(SLOW_STOP_SECONDS) as (fleet, caller):
             node, other = fleet.nodes["node-1"], fleet.nodes["node-2"]
-            key = await caller.key(node, path="/once")
-            kept = {"key": key, "work": "slow", "path": "/once"}
+            key = await caller.request_key(node, path="/once")
+            request = {"key": key, "work": "slow", "path": "/once"}
             slow = asyncio.create_task(
-                caller.send(node, fault=standin.Fault.DELAY, **kept)
+                caller.send(node, fault=standin.Fault.DELAY, **request)
             )
             streamed = asyncio.create_task(
                 caller.send(node, "GET", fault=standin.Fault.SLOW_STREAM)
@@ -56,29 +58,31 @@
             await _first_message(fleet.targets.values(), "work runs", "slow")
             stopping = asyncio.create_task(node.stop())
             await node.message("drained")
-            refused = await caller.send(node, "GET")
-            again = await caller.send(other, fault=standin.Fault.DELAY, **kept)
+            refusal = await caller.send(node, "GET")
+            again = await caller.send(
+                other, fault=standin.Fault.DELAY, **request
+            )
 
             self.assertEqual(200, (await slow).status)
             whole = await streamed
             self.assertEqual(200, whole.status)
             self.assertEqual(standin.WHOLE_BYTES // 20, len(whole.body))
             self.assertEqual(
-                (503, "not-run"), (refused.status, refused.outcome)
+                (503, "not-run"), (refusal.status, refusal.outcome)
             )
-            self.assertEqual("stopping", refused.reason)
-            self.assertIn("Retry-After", refused.headers)
+            self.assertEqual("stopping", refusal.reason)
+            self.assertIn("Retry-After", refusal.headers)
             self.assertEqual(
                 (200, (await slow).body), (again.status, again.body)
             )
             self.assertEqual(0, await stopping)
-            self.assertEqual(1, (await caller.runs(fleet))["slow"])
+            self.assertEqual(1, (await caller.run_counts(fleet))["slow"])
 
-    async def test_stop_ends_at_its_limit(self):
-        """A request that hangs must not hold up the replacement of a VM.
+    async def test_stop_ends_at_its_time_limit(self):
+        """A hanging request must not delay the replacement of a VM.
 
-        Its caller is answered before the process ends, and hears that the
-        outcome is unknown: a target has it.
+        Its caller gets the outcome "unknown" before the process exits, since a
+        target has the request.
         """
         async with _fleet() as (fleet, caller):
             node = fleet.nodes["node-1"]
@@ -92,40 +96,40 @@
             code = await node.stop()
 
             self.assertEqual(0, code)
-            reply = await hung
+            response = await hung
             self.assertEqual(
                 (504, "unknown", "cut-short"),
-                (reply.status, reply.outcome, reply.reason),
+                (response.status, response.outcome, response.reason),
             )
 
-    async def test_rolling_replacement_under_load(self):
-        """All nodes and all targets are replaced while callers call.
+    async def test_rolling_replacement_of_nodes_under_load(self):
+        """All nodes are replaced under load.
 
-        A balancer spreads the requests and sends none to a node once it has
-        refused one as stopping. Every request ends in one whole answer, and
-        no work ran twice.
+        A load balancer distributes the requests and sends none to a node that
+        has refused one as stopping. Every request gets one complete response,
+        and none runs twice.
         """
         async with _fleet() as (fleet, caller):
-            calls_made = _Load(fleet, caller)
-            calling = asyncio.create_task(calls_made.run())
-            for name in NODES:
+            load_run = _Load(fleet, caller)
+            sending = asyncio.create_task(load_run.run())
+            for name in NODE_NAMES:
                 code = await fleet.nodes[name].stop()
                 self.assertEqual(0, code)
-                fresh = await _again(fleet, name)
-                await fresh.message("in force", object="saltline")
-                calls_made.leaving.discard(name)
-            calls_made.stopped = True
-            await calling
-
-            runs = await caller.runs(fleet)
-            doubled = {work for work, count in runs.items() if count > 1}
-            lost = calls_made.answered - set(runs)
-            self.assertGreater(len(calls_made.answered), RATE)
-            self.assertEqual(collections.Counter(), calls_made.failures)
-            self.assertEqual((set(), set()), (doubled, lost))
-
-    async def test_target_that_leaves_gets_no_new_work(self):
-        """A venue's target drains; every node hears, and its work ends."""
+                restarted = await _restart_node(fleet, name)
+                await restarted.message("in force", object="saltline")
+                load_run.stopping_nodes.discard(name)
+            load_run.is_stopped = True
+            await sending
+
+            runs = await caller.run_counts(fleet)
+            repeated = {work for work, count in runs.items() if count > 1}
+            lost = load_run.answered - set(runs)
+            self.assertGreater(len(load_run.answered), REQUESTS_PER_SECOND)
+            self.assertEqual(collections.Counter(), load_run.failures)
+            self.assertEqual((set(), set()), (repeated, lost))
+
+    async def test_draining_target_gets_no_new_requests(self):
+        """Every node learns that a target drains; its running requests end."""
         async with _fleet() as (fleet, caller):
             entry = fleet.nodes["node-3"]
             slow = [
@@ -135,23 +139,26 @@
                 for _ in range(12)
             ]
             targets = fleet.targets.values()
-            leaving = await _first_message(targets, "work runs", "slow")
-            await caller.drain(leaving)
+            draining = await _first_message(targets, "work runs", "slow")
+            await caller.start_draining(draining)
             async with asyncio.timeout(WITHDRAWAL_SECONDS):
                 for node in fleet.nodes.values():
-                    while _is_ready(await caller.states(node), leaving.name):
+                    while _is_ready(
+                        await caller.target_states(node), draining.name
+                    ):
                         pass
-            before = await caller.runs_at(leaving)
-            replies = await asyncio.gather(
+            before = await caller.run_counts_at(draining)
+            responses = await asyncio.gather(
                 *(caller.send(entry, "GET", work="new") for _ in range(50))
             )
-            after = await caller.runs_at(leaving)
+            after = await caller.run_counts_at(draining)
 
-            self.assertEqual({200}, {reply.status for reply in replies})
+            self.assertEqual({200}, {response.status for response in responses})
             self.assertEqual(before["new"], after["new"])
             ended = await asyncio.gather(*slow)
             self.assertEqual(
-                {(200, "")}, {(reply.status, reply.reason) for reply in ended}
+                {(200, "")},
+                {(response.status, response.reason) for response in ended},
             )
 
 
@@ -160,7 +167,7 @@
 
 
 async def _first_message(targets, message: str, work: str) -> processes.Process:
-    """Waits until one of the targets logs a message about a work."""
+    """Waits until one target logs a message about a Work-Id; returns it."""
     waits = {
         asyncio.create_task(target.message(message, work=work)): target
         for target in targets
@@ -174,71 +181,73 @@
     return waits[done.pop()]
 
 
-async def _again(fleet, name: str) -> processes.Process:
-    """Starts a node anew at the addresses that it had."""
-    had = fleet.nodes[name].listening
-    addresses = {key: had[key] for key in ("callers", "targets", "nodes")}
+async def _restart_node(fleet, name: str) -> processes.Process:
+    """Restarts a node at its former addresses."""
+    previous = fleet.nodes[name].listening
+    addresses = {key: previous[key] for key in ("callers", "targets", "nodes")}
     limits = {"stop_seconds": STOP_SECONDS}
     return await fleet.node(name, "north-a", limits=limits, **addresses)
 
 
 class _Load:
-    """Requests at a steady rate, half of them under a key."""
+    """Requests at a steady rate, half of them with an idempotency key."""
 
     def __init__(self, fleet, caller) -> None:
         self._fleet = fleet
         self._caller = caller
-        self.leaving: set[str] = set()
-        self.stopped = False
+        self.stopping_nodes: set[str] = set()
+        self.is_stopped = False
         self.answered: set[str] = set()
         self.failures: collections.Counter[str] = collections.Counter()
 
     async def run(self) -> None:
-        """Sends until stopped, then waits for every answer."""
+        """Sends requests until stopped, then waits for all responses."""
         async with asyncio.TaskGroup() as group:
-            async for number in load.paced(RATE):
-                if self.stopped:
+            async for number in load.paced(REQUESTS_PER_SECOND):
+                if self.is_stopped:
                     return
-                group.create_task(self._one(number))
+                group.create_task(self._send_until_answered(number))
 
-    async def _one(self, number: int) -> None:
+    async def _send_until_answered(self, number: int) -> None:
         once = number % 2 == 0
         work = f"w{number}"
-        names = itertools.cycle(NODES[number % 3 :] + NODES[: number % 3])
+        names = itertools.cycle(
+            NODE_NAMES[number % 3 :] + NODE_NAMES[: number % 3]
+        )
         key = ""
         for name in itertools.islice(names, 30):
-            if name in self.leaving:
+            if name in self.stopping_nodes:
                 continue
-            reply = await self._caller.send(
+            response = await self._caller.send(
                 self._fleet.nodes[name],
                 "POST" if once else "GET",
                 key,
                 work,
                 path="/once" if once else "/work",
             )
-            if reply.status == 200:
+            if response.status == 200:
                 self.answered.add(work)
                 return
-            if reply.reason == "stopping":
-                self.leaving.add(name)
-            if reply.status == 428 or reply.outcome == "not-run":
-                key = reply.key
-            elif reply.cut:
+            if response.reason == "stopping":
+                self.stopping_nodes.add(name)
+            if response.status == 428 or response.outcome == "not-run":
+                key = response.key
+            elif response.was_cut:
                 self.failures[f"cut by {name}"] += 1
                 return
-            elif reply.status and "Retry-After" not in reply.headers:
-                self.failures[f"{reply.status} {reply.reason}"] += 1
+            elif response.status and "Retry-After" not in response.headers:
+                self.failures[f"{response.status} {response.reason}"] += 1
                 return
         self.failures["given up"] += 1
 
 
 @contextlib.asynccontextmanager
 async def _fleet(stop_seconds=STOP_SECONDS):
-    """Three nodes, three targets at different homes, and a caller."""
+    """Three nodes, three targets at different home nodes, and a caller."""
     async with processes.Fleet() as fleet, aiohttp.ClientSession() as session:
         limits = {"stop_seconds": stop_seconds}
         nodes = await asyncio.gather(
-            *(fleet.node(name, "north-a", limits=limits) for name in NODES)
+            *(fleet.node(name, "north-a", limits=limits) for name in NODE_NAMES)
         )
         for index in range(3):
             homes = nodes[index:] + nodes[:index]
@@ -247,7 +256,9 @@
         caller = calls.Caller(session)
         for node in nodes:
             await node.message("in force", object="saltline")
-            async with asyncio.timeout(calls.WAIT_SECONDS):
-                while len(await caller.states(node)) < len(fleet.targets):
+            async with asyncio.timeout(calls.TIMEOUT_SECONDS):
+                while len(await caller.target_states(node)) < len(
+                    fleet.targets
+                ):
                     pass
         yield fleet, caller
--- a/endivewind/tests/proofs/storm_tests.py
+++ b/endivewind/tests/proofs/storm_tests.py
@@ -1,4 +1,4 @@
-"""Proofs on real processes under several faults together."""
+"""End-to-end test: several faults at the same time."""
 
 import asyncio
 import collections
@@ -15,107 +15,113 @@
     "services": {"ledger": {"slots": 8, "timeout_ms": 4000}},
     "route_groups": {"saltline": {"routes": [{"service": "ledger"}]}},
 }
-CALLERS = 6
-# Enough work between two faults that each meets requests at every step.
-BETWEEN = 60
+CALLER_COUNT = 6
+# Enough requests between two faults that each fault affects some at every step.
+REQUESTS_BETWEEN_FAULTS = 60
 
 
-class StormTest(unittest.IsolatedAsyncioTestCase):
-    """Payouts and look-ups go on while nodes and the platform fail.
+class ConcurrentFaultTest(unittest.IsolatedAsyncioTestCase):
+    """Requests with and without keys continue while nodes and platform fail.
 
-    Clerks see answers, refusals and broken connections. Meanwhile a home is
-    killed, the platform goes away, another home is paused past its leases,
-    and the killed one starts anew. Whatever a clerk was told must be true of
-    what the targets ran, and no answer may be another request's.
+    Callers get responses, refusals and broken connections. Meanwhile a home
+    node is killed, the platform is killed, another home node is paused for
+    longer than its leases, and the killed one restarts. Every reported outcome
+    must agree with what the targets ran, and no response may belong to another
+    request.
     """
 
-    async def test_what_callers_were_told_is_true(self):
+    async def test_reported_outcomes_are_true(self):
         async with _fleet() as (fleet, caller):
-            work = _Work(
+            workload = _Workload(
                 caller, [fleet.nodes["entry-1"], fleet.nodes["entry-2"]]
             )
-            workers = [asyncio.create_task(work.run()) for _ in range(CALLERS)]
-            await self._storm(fleet, work)
-            work.stop()
+            workers = [
+                asyncio.create_task(workload.run()) for _ in range(CALLER_COUNT)
+            ]
+            await self._inject_faults(fleet, workload)
+            workload.stop()
             await asyncio.gather(*workers)
-            runs = await caller.runs(fleet)
+            runs = await caller.run_counts(fleet)
 
-            self._check(work, runs)
+            self._check(workload, runs)
 
-    async def _storm(self, fleet, work):
-        await work.more(BETWEEN)
+    async def _inject_faults(self, fleet, workload):
+        await workload.wait_for_requests(REQUESTS_BETWEEN_FAULTS)
         fleet.nodes["home-1"].kill()
-        await work.more(BETWEEN)
+        await workload.wait_for_requests(REQUESTS_BETWEEN_FAULTS)
         fleet.platform.kill()
         fleet.nodes["home-2"].pause()
-        await work.more(BETWEEN)
+        await workload.wait_for_requests(REQUESTS_BETWEEN_FAULTS)
         await fleet.node("home-1", "andina-b")
-        await work.more(BETWEEN)
+        await workload.wait_for_requests(REQUESTS_BETWEEN_FAULTS)
         fleet.nodes["home-2"].resume()
-        await work.more(BETWEEN)
+        await workload.wait_for_requests(REQUESTS_BETWEEN_FAULTS)
 
-    def _check(self, work, runs):
-        self.assertGreater(len(work.told["answer"]), 2 * BETWEEN)
-        for name in work.told["answer"]:
+    def _check(self, workload, runs):
+        self.assertGreater(
+            len(workload.names_by_outcome["answer"]),
+            2 * REQUESTS_BETWEEN_FAULTS,
+        )
+        for name in workload.names_by_outcome["answer"]:
             self.assertEqual(1, runs[name], name)
-        for name in work.told["not-run"]:
+        for name in workload.names_by_outcome["not-run"]:
             self.assertEqual(0, runs[name], name)
-        for name in itertools.chain(*work.told.values()):
+        for name in itertools.chain(*workload.names_by_outcome.values()):
             self.assertLessEqual(runs[name], 1, name)
-        self.assertEqual([], work.foreign)
+        self.assertEqual([], workload.mismatched_responses)
 
 
-class _Work:
-    """Callers' payouts and look-ups, and what each was told."""
+class _Workload:
+    """Requests with and without keys, and the outcomes reported to callers."""
 
     def __init__(self, caller, entries) -> None:
-        self.told = collections.defaultdict(list)
-        self.foreign = []
+        self.names_by_outcome = collections.defaultdict(list)
+        self.mismatched_responses = []
         self._caller = caller
         self._entries = entries
-        self._numbers = itertools.count()
+        self._request_numbers = itertools.count()
         self._stopped = False
-        self._done = asyncio.Condition()
+        self._progress = asyncio.Condition()
         self._finished = 0
 
     def stop(self):
         self._stopped = True
 
-    async def more(self, count):
-        """Waits until so many more requests have ended."""
-        async with asyncio.timeout(processes.WAIT_SECONDS), self._done:
-            aim = self._finished + count
-            await self._done.wait_for(lambda: self._finished >= aim)
+    async def wait_for_requests(self, count):
+        """Waits until `count` more requests have ended."""
+        async with asyncio.timeout(processes.WAIT_SECONDS), self._progress:
+            goal = self._finished + count
+            await self._progress.wait_for(lambda: self._finished >= goal)
 
     async def run(self):
         while not self._stopped:
-            number = next(self._numbers)
+            number = next(self._request_numbers)
             entry = self._entries[number % len(self._entries)]
             if number % 2:
-                await self._look_up(entry, f"look-up-{number}")
+                await self._send_without_key(entry, f"look-up-{number}")
             else:
-                await self._pay_out(entry, f"payout-{number}")
-            async with self._done:
+                await self._send_with_key(entry, f"payout-{number}")
+            async with self._progress:
                 self._finished += 1
-                self._done.notify_all()
+                self._progress.notify_all()
 
-    async def _look_up(self, entry, name):
-        reply = await self._caller.send(entry, "GET", body=None, work=name)
-        self._own(reply, name)
+    async def _send_without_key(self, entry, name):
+        response = await self._caller.send(entry, "GET", body=None, work=name)
+        self._check_response(response, name)
 
-    async def _pay_out(self, entry, name):
-        key = await self._caller.key(entry)
-        reply = await self._caller.send(
+    async def _send_with_key(self, entry, name):
+        key = await self._caller.request_key(entry)
+        response = await self._caller.send(
             entry, key=key, work=name, fault="delay"
         )
-        self.told[reply.outcome or ("answer" if reply.status else "")].append(
-            name
-        )
-        self._own(reply, name)
-
-    def _own(self, reply, name):
-        if reply.status == 200 and reply.json["work"] != name:
-            self.foreign.append((name, reply))
+        self.names_by_outcome[
+            response.outcome or ("answer" if response.status else "")
+        ].append(name)
+        self._check_response(response, name)
+
+    def _check_response(self, response, name):
+        if response.status == 200 and response.json["work"] != name:
+            self.mismatched_responses.append((name, response))
 
 
 @contextlib.asynccontextmanager
--- a/endivewind/tests/proofs/whole_answer_tests.py
+++ b/endivewind/tests/proofs/whole_answer_tests.py
@@ -1,4 +1,4 @@
-"""Proofs on real processes that no part passes for a whole."""
+"""End-to-end tests: no truncated request or response passes as complete."""
 
 import asyncio
 import contextlib
@@ -26,63 +26,66 @@
     },
 }
 WAIT_SECONDS = 10
-LARGE = 100_000
-BODY_LIMIT = 3_000_000
+DECLARED_BYTES = 100_000
+MAX_BODY_BYTES = 3_000_000
 
 
-class WholeAnswerTest(unittest.IsolatedAsyncioTestCase):
-    """Requests over one node (the home) and over two (entry and home)."""
+class TruncationTest(unittest.IsolatedAsyncioTestCase):
+    """Requests over one node (home) and over two nodes (entry and home)."""
 
-    async def test_whole_or_nothing(self):
+    async def test_requests_and_responses_are_complete_or_fail(self):
         async with _fleet() as (fleet, caller):
             for node in fleet.nodes.values():
                 with self.subTest(nodes=node.name):
-                    await self._truncated_answer(fleet, caller, node)
-                    await self._streamed_answer(fleet, caller, node)
-                    await self._truncated_body(fleet, caller, node)
-                    await self._whole_bodies(caller, node)
-                    await self._too_large_body(fleet, caller, node)
-                    await self._caller_leaves(fleet, caller, node)
-                    await self._bad_requests(node)
-
-    async def _truncated_answer(self, fleet, caller, node):
-        """The target breaks off in the middle of its answer.
-
-        The caller sees an error or a broken connection, never a whole answer.
+                    await self._check_truncated_response(fleet, caller, node)
+                    await self._check_streamed_response(fleet, caller, node)
+                    await self._check_truncated_body(fleet, caller, node)
+                    await self._check_complete_bodies(caller, node)
+                    await self._check_too_large_body(fleet, caller, node)
+                    await self._check_caller_disconnects(fleet, caller, node)
+                    await self._check_malformed_requests(node)
+
+    async def _check_truncated_response(self, fleet, caller, node):
+        """The target breaks off in the middle of its response.
+
+        The caller gets an error or a broken connection, never a response that
+        looks complete.
         """
         for fault in (
             standin.Fault.TRUNCATE_LENGTH,
             standin.Fault.TRUNCATE_CHUNKED,
         ):
             with self.subTest(fault=fault):
-                reply = await caller.send(node, "GET", fault=fault)
+                response = await caller.send(node, "GET", fault=fault)
 
-                self.assertIn(reply.status, (0, 502), reply)
-                if reply.status:
-                    self.assertEqual("unknown", reply.outcome)
+                self.assertIn(response.status, (0, 502), response)
+                if response.status:
+                    self.assertEqual("unknown", response.outcome)
 
-    async def _streamed_answer(self, fleet, caller, node):
+    async def _check_streamed_response(self, fleet, caller, node):
         for fault, length in (
             (standin.Fault.LARGE, standin.WHOLE_BYTES),
             (standin.Fault.SLOW_STREAM, standin.WHOLE_BYTES // 20),
         ):
             with self.subTest(fault=fault):
-                reply = await caller.send(node, "GET", fault=fault)
+                response = await caller.send(node, "GET", fault=fault)
 
-                self.assertEqual((200, length), (reply.status, len(reply.body)))
+                self.assertEqual(
+                    (200, length), (response.status, len(response.body))
+                )
 
-    async def _truncated_body(self, fleet, caller, node):
-        """The caller breaks off in the middle of its body.
+    async def _check_truncated_body(self, fleet, caller, node):
+        """The caller breaks off in the middle of its request body.
 
-        The target must not take the part for the whole request.
+        The target must not accept the part as the complete request.
         """
         target = fleet.targets["riders-1"]
         for path in ("/work", "/once"):
-            for close in (_half_close, _abort, _garble):
-                for head in (f"Content-Length: {LARGE}", CHUNKED):
-                    if close is _garble and head != CHUNKED:
+            for close in (_half_close, _abort, _send_garbage):
+                for head in (f"Content-Length: {DECLARED_BYTES}", CHUNKED):
+                    if close is _send_garbage and head != CHUNKED:
                         continue
-                    key = await caller.key(node, path="/once")
+                    key = await caller.request_key(node, path="/once")
                     name = f"{node.name}{path}{close.__name__}{head[:7]}"
                     request = (
                         f"POST {path} HTTP/1.1\r\nHost: a\r\n{head}\r\n"
@@ -94,38 +97,41 @@
                         part = b"11170\r\n" + part + b"\r\n"
                     with self.subTest(name):
                         await _send_part(node, request + part, close)
-        whole = await caller.send(node, "GET")
+        complete = await caller.send(node, "GET")
 
-        self.assertEqual(200, whole.status)
-        self.assertNotIn(node.name, str(await caller.runs(fleet)))
-        self.assertTrue((await caller.events(target))["partial"])
+        self.assertEqual(200, complete.status)
+        self.assertNotIn(node.name, str(await caller.run_counts(fleet)))
+        self.assertTrue((await caller.target_events(target))["partial"])
 
-    async def _whole_bodies(self, caller, node):
-        for body in (b"", b"x", b"x" * 70_000, b"x" * BODY_LIMIT):
+    async def _check_complete_bodies(self, caller, node):
+        for body in (b"", b"x", b"x" * 70_000, b"x" * MAX_BODY_BYTES):
             with self.subTest(bytes=len(body)):
-                reply = await caller.send(node, "PUT", body=body)
-                chunked = await caller.send(node, "PUT", body=_parts(body))
+                response = await caller.send(node, "PUT", body=body)
+                chunked = await caller.send(
+                    node, "PUT", body=_body_chunks(body)
+                )
 
-                self.assertEqual(len(body), reply.json["bytes"])
+                self.assertEqual(len(body), response.json["bytes"])
                 self.assertEqual(len(body), chunked.json["bytes"])
 
-    async def _too_large_body(self, fleet, caller, node):
-        """A chunked body passes the limit while the target reads it.
+    async def _check_too_large_body(self, fleet, caller, node):
+        """A chunked body exceeds the limit while the target reads it.
 
-        The target has seen a part; ended there, it would pass for a whole.
+        The target has got a part of the body, and must not get an end of body
+        after it, which would make the part look complete.
         """
         work = f"large-{node.name}"
-        body = _parts(b"x" * (BODY_LIMIT + 1))
+        body = _body_chunks(b"x" * (MAX_BODY_BYTES + 1))
 
-        reply = await caller.send(node, "PUT", work=work, body=body)
+        response = await caller.send(node, "PUT", work=work, body=body)
 
-        self.assertEqual((400, "unknown"), (reply.status, reply.outcome))
-        self.assertNotIn(work, await caller.runs(fleet))
+        self.assertEqual((400, "unknown"), (response.status, response.outcome))
+        self.assertNotIn(work, await caller.run_counts(fleet))
 
-    async def _caller_leaves(self, fleet, caller, node):
-        """The crew closes the app; the target must not work for nobody.
+    async def _check_caller_disconnects(self, fleet, caller, node):
+        """The caller disconnects; the target's work must be cancelled.
 
-        The deadline is far off, so that it is not what ends the work.
+        The deadline is far off, so that it does not end the request.
         """
         target = fleet.targets["riders-1"]
         work = f"hung-{node.name}"
@@ -140,14 +146,14 @@
 
         await target.message("work cancelled", work=work)
 
-    async def _bad_requests(self, node):
-        """What is no request never ran, and the answer says so."""
-        long = "x" * 20_000
+    async def _check_malformed_requests(self, node):
+        """Malformed requests are refused with 400 and outcome not-run."""
+        long_text = "x" * 20_000
         for name, raw in {
             "not HTTP": "\x16\x03\x01 hello\r\n\r\n",
             "no such version": "GET / HTTP/7.7\r\nHost: a\r\n\r\n",
-            "long header": f"GET / HTTP/1.1\r\nHost: a\r\nA: {long}\r\n\r\n",
-            "long line": f"GET /{long} HTTP/1.1\r\nHost: a\r\n\r\n",
+            "long header": f"GET / HTTP/1.1\r\nHost: a\r\nA: {long_text}\r\n\r\n",
+            "long line": f"GET /{long_text} HTTP/1.1\r\nHost: a\r\n\r\n",
             "two lengths": "POST / HTTP/1.1\r\nHost: a\r\n"
             "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab",
             "both framings": "POST / HTTP/1.1\r\nHost: a\r\n"
@@ -155,17 +161,17 @@
             "bad length": "POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n",
         }.items():
             with self.subTest(name):
-                status, fields = await _raw(node, raw.encode("latin-1"))
+                status, response = await _send_raw(node, raw.encode("latin-1"))
 
                 self.assertEqual(400, status)
-                self.assertIn(f"{headers.OUTCOME}: not-run", fields)
-                self.assertIn("application/problem+json", fields)
+                self.assertIn(f"{headers.OUTCOME}: not-run", response)
+                self.assertIn("application/problem+json", response)
 
 
 CHUNKED = "Transfer-Encoding: chunked"
 
 
-async def _parts(body: bytes):
+async def _body_chunks(body: bytes):
     for start in range(0, len(body), 50_000):
         yield body[start : start + 50_000]
 
@@ -176,7 +182,7 @@
 
 
 async def _send_part(node, data: bytes, close) -> None:
-    """Sends a part of a request and waits until the node has let go."""
+    """Sends a part of a request and waits until the node disconnects."""
     reader, writer = await _open(node)
     writer.write(data)
     await writer.drain()
@@ -191,7 +197,7 @@
     writer.write_eof()
 
 
-def _garble(writer) -> None:
+def _send_garbage(writer) -> None:
     writer.write(b"not a length\r\n")
 
 
@@ -199,20 +205,20 @@
     writer.transport.abort()
 
 
-async def _raw(node, data: bytes) -> tuple[int, str]:
+async def _send_raw(node, data: bytes) -> tuple[int, str]:
     reader, writer = await _open(node)
     writer.write(data)
     async with asyncio.timeout(WAIT_SECONDS):
-        answer = (await reader.read()).decode("latin-1")
+        response = (await reader.read()).decode("latin-1")
     writer.close()
-    return int(answer.split(" ", 2)[1]), answer
+    return int(response.split(" ", 2)[1]), response
 
 
 @contextlib.asynccontextmanager
 async def _fleet():
-    """An entry, a home with the target riders-1, and a caller."""
+    """An entry node, a home node with the target riders-1, and a caller."""
     async with processes.Fleet() as fleet, aiohttp.ClientSession() as session:
-        limits = {"body_bytes": BODY_LIMIT}
+        limits = {"body_bytes": MAX_BODY_BYTES}
         entry = await fleet.node("entry", "andina-a", limits=limits)
         home = await fleet.node("home", "andina-b", limits=limits)
         await fleet.target("riders-1", "riders", [home])
