--- a/endivewind/tests/__init__.py
+++ b/endivewind/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests; the packages below mirror the product's."""
+"""Tests; the packages below mirror those of the product."""
--- a/endivewind/tests/deploy_tests.py
+++ b/endivewind/tests/deploy_tests.py
@@ -1,4 +1,4 @@
-"""What the platform builds and starts agrees with the project."""
+"""Tests that the deployment files agree with the project."""
 
 import json
 import re
@@ -9,11 +9,11 @@
 from endivewind.config import settings
 from endivewind.tests import style
 
-# A section is there where its value is.
+# A template section, which is kept if its value is set.
 _SECTION = re.compile(r"\{\{#([\w.]+)\}\}(.*?)\{\{/\1\}\}", re.DOTALL)
 _PLACEHOLDER = re.compile(r"\{\{([\w.]+)(\|json)?\}\}")
-# What the platform fills in on one VM.
-FIELDS = {
+# Values that the platform fills in on one VM.
+TEMPLATE_VALUES = {
     "node_id": "sidecar-a-1",
     "region": "andina",
     "zone": "andina-a",
@@ -44,9 +44,9 @@
 }
 
 
-def _filled(text: str, fields=FIELDS) -> str:
+def _render(text: str, values=TEMPLATE_VALUES) -> str:
     def look_up(path):
-        found = fields
+        found = values
         for key in path.split("."):
             found = found[int(key) if isinstance(found, list) else key]
         return found
@@ -65,17 +65,17 @@
 
 
 class DeployTest(unittest.TestCase):
-    def test_the_build_takes_the_versions_that_the_project_pins(self):
+    def test_build_uses_the_pinned_versions(self):
         project = tomllib.loads((style.ROOT / "pyproject.toml").read_text())
         built = (style.ROOT / "requirements.txt").read_text().split()
 
         self.assertEqual(project["project"]["dependencies"], built)
 
-    def test_the_template_gives_valid_settings(self):
+    def test_template_renders_valid_settings(self):
         text = (style.ROOT / "deploy/settings.yaml").read_text()
-        filled = _filled(text)
+        rendered = _render(text)
 
-        loaded = base.load_text(filled, "settings", settings.NodeSettings)
+        loaded = base.load_text(rendered, "settings", settings.NodeSettings)
 
         self.assertTrue(loaded.is_ok(), loaded)
         found = loaded.ok.model
@@ -84,13 +84,14 @@
         self.assertEqual("riders", found.beside.service)
         self.assertEqual(["andina-a", "caribe-a"], list(found.zones))
 
-    def test_retries_and_the_floor_follow_the_deployment(self):
-        """A larger fleet may retry more, and its nodes with it.
+    def test_retry_budget_and_capacity_floor_follow_the_deployment(self):
+        """A larger fleet has a larger retry budget, and so have its nodes.
 
-        At the bound of a small fleet each would have one retry in a window.
+        With the budget of a small fleet each node would have one retry in a
+        window.
         """
         text = (style.ROOT / "deploy/settings.yaml").read_text()
-        loaded = base.load_text(_filled(text), "f", settings.NodeSettings)
+        loaded = base.load_text(_render(text), "f", settings.NodeSettings)
 
         defaults = loaded.ok.model.defaults
 
@@ -99,7 +100,7 @@
         self.assertEqual(10_000, defaults.retry_window_ms)
         self.assertEqual(70, defaults.floor_percent)
 
-    def test_every_role_runs_a_module_of_the_project(self):
+    def test_every_role_runs_an_existing_module(self):
         deploy = tomllib.loads((style.ROOT / "deploy/system.toml").read_text())
         for role in deploy["roles"].values():
             module = role["run"].split()[2].replace(".", "/") + ".py"
--- a/endivewind/tests/known_red.py
+++ b/endivewind/tests/known_red.py
@@ -1,4 +1,7 @@
-"""Judges a test run against KNOWN-RED.txt."""
+"""Decides whether a test run passes, given the known failures.
+
+KNOWN-RED.txt lists tests that may fail. Called by `python -m endivewind.tests`.
+"""
 
 import collections.abc
 import dataclasses
@@ -10,15 +13,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Report:
-    """What running one module came to.
+    """Results of running one test class, module or test.
 
     Attributes:
       name: dotted name of what was run.
-      ran: tests run.
+      ran: number of tests run.
       failed: ids of the tests that failed.
-      skipped: tests skipped.
-      seconds: time it took.
-      output: what the runner printed.
+      skipped: number of tests skipped.
+      seconds: duration.
+      output: output of the test runner.
     """
 
     name: str
@@ -31,7 +34,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Verdict:
-    """What a run amounts to: lines to print, counts, and acceptance."""
+    """Result of a run.
+
+    Attributes:
+      lines: lines to print.
+      passed: number of tests that passed.
+      failed: number of tests that failed, known failures included.
+      accepted: whether the run counts as passed.
+    """
 
     lines: tuple[str, ...]
     passed: int
@@ -40,22 +50,22 @@
 
 
 def failed_tests(result: unittest.TestResult) -> frozenset[str]:
-    """Ids of the tests that failed; a failed subtest counts as its test."""
+    """Returns ids of the tests that failed; a failed subtest fails its test."""
     pairs = [*result.failures, *result.errors]
     failed = {_test_id(test) for test, _ in pairs}
     failed |= {_test_id(test) for test in result.unexpectedSuccesses}
     return frozenset(failed)
 
 
-def keep(report: Report, directory: pathlib.Path) -> pathlib.Path:
-    """Writes the output of a failed run into a file of its own.
+def save_output(report: Report, directory: pathlib.Path) -> pathlib.Path:
+    """Writes the output of a failed run to a new file.
 
     Args:
-      report: what failed.
-      directory: where the files of failures are; made if it is missing.
+      report: the failed run.
+      directory: directory of these files; created if missing.
 
     Returns:
-      The new file; one of an earlier failure stays as it is.
+      Path of the new file; files of earlier failures are kept.
     """
     directory.mkdir(parents=True, exist_ok=True)
     earlier = len(list(directory.glob(f"{report.name}.*.txt")))
@@ -67,16 +77,19 @@
 def judge(
     reports: collections.abc.Sequence[Report], listing: pathlib.Path
 ) -> Verdict:
-    """Accepts failures of listed tests only.
+    """Accepts a run if only listed tests failed.
+
+    A run is refused as well if a module has no tests, or if more than
+    MAX_KNOWN_RED tests are listed.
 
     Args:
-      reports: the finished modules.
+      reports: reports of all that was run.
       listing: KNOWN-RED.txt; each line starts with the test's id and a colon.
 
     Returns:
-      The verdict; at most MAX_KNOWN_RED lines may be listed.
+      The verdict.
     """
-    known = _read(listing)
+    known = _read_listing(listing)
     failed = frozenset().union(*(report.failed for report in reports))
     lines = [f"KNOWN RED {known[name]}" for name in sorted(failed & set(known))]
     unlisted = failed - set(known)
@@ -84,14 +97,14 @@
     too_many = len(known) > MAX_KNOWN_RED
     if too_many:
         lines.append(f"KNOWN-RED.txt holds over {MAX_KNOWN_RED} lines")
-    empty = [report.name for report in reports if not report.ran]
-    lines.extend(f"NO TESTS in {name}" for name in empty)
+    without_tests = [report.name for report in reports if not report.ran]
+    lines.extend(f"NO TESTS in {name}" for name in without_tests)
     ran = sum(report.ran - report.skipped for report in reports)
-    accepted = bool(ran) and not (unlisted or too_many or empty)
+    accepted = bool(ran) and not (unlisted or too_many or without_tests)
     return Verdict(tuple(lines), ran - len(failed), len(failed), accepted)
 
 
-def _read(listing: pathlib.Path) -> dict[str, str]:
+def _read_listing(listing: pathlib.Path) -> dict[str, str]:
     if not listing.exists():
         return {}
     lines = [line.strip() for line in listing.read_text().splitlines()]
--- a/endivewind/tests/known_red_tests.py
+++ b/endivewind/tests/known_red_tests.py
@@ -1,4 +1,4 @@
-"""Tests of the verdict on a test run."""
+"""Tests of the rules by which a test run passes."""
 
 import dataclasses
 import pathlib
@@ -9,7 +9,7 @@
 
 
 class JudgeTest(unittest.TestCase):
-    """Only failures that are listed are passed over, and they are printed."""
+    """Only listed failures are accepted, and they are printed."""
 
     def setUp(self):
         folder = self.enterContext(tempfile.TemporaryDirectory())
@@ -29,7 +29,7 @@
         self.assertTrue(verdict.accepted)
         self.assertEqual(("KNOWN RED a.B.c: cause, issue 4",), verdict.lines)
 
-    def test_fourth_listed_line_is_refused(self):
+    def test_more_than_three_listed_lines_are_refused(self):
         self.listing.write_text("a: x\nb: x\nc: x\nd: x\n")
 
         verdict = known_red.judge([_report()], self.listing)
@@ -42,8 +42,8 @@
         self.assertFalse(verdict.accepted)
 
 
-class KeepTest(unittest.TestCase):
-    """A failure that is seen once leaves what it printed."""
+class SaveOutputTest(unittest.TestCase):
+    """The output of each failure is saved."""
 
     def test_each_failure_of_a_class_has_its_own_file(self):
         folder = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()))
@@ -51,7 +51,8 @@
         second = dataclasses.replace(_report("a.B.c"), output="second")
 
         paths = [
-            known_red.keep(item, folder / "new") for item in (first, second)
+            known_red.save_output(item, folder / "new")
+            for item in (first, second)
         ]
 
         self.assertEqual(
--- a/endivewind/tests/loads/__init__.py
+++ b/endivewind/tests/loads/__init__.py
@@ -1,1 +1,1 @@
-"""Loads played to the product's decisions, without a network."""
+"""Load tests of the fleet's decisions in virtual time, without a network."""
--- a/endivewind/tests/loads/fleet.py
+++ b/endivewind/tests/loads/fleet.py
@@ -1,9 +1,9 @@
-"""A small fleet in virtual time: what callers get under a pattern of load.
+"""Simulates a small fleet in virtual time and counts its responses.
 
-Gateways, hand-over, slots and suspicion are the product's own; links and the
-targets' HTTP are fakes that only take their time. The sizes are those of a
-users' service: twelve targets of three slots in six zones of three regions,
-one entry for each zone; a test may ask for more of both.
+Gateways, hand-over, slots and suspicion are the production code; links and the
+targets' HTTP are fakes that only delay. The default size is that of a service
+of the users: twelve targets of three slots in six zones of three regions, with
+one entry node in each zone. Used by the load tests and by benchmarks/.
 """
 
 import asyncio
@@ -32,10 +32,11 @@
 ZONES = tuple(f"{region}-{part}" for region in "abc" for part in "xy")
 TARGETS_PER_ZONE = 2
 SLOTS = 3
-# One way between zones and between regions, as the users measured them.
+# One-way delay between zones of a region and between regions, as measured by
+# the users.
 ZONE_SECONDS = 0.0014
 REGION_SECONDS = 0.030
-# A target that fails does so at once, without any work.
+# A failing target responds at once, without doing the work.
 FAILURE_SECONDS = 0.001
 LOOK_SECONDS = 0.1
 OLD = datetime.timedelta(seconds=10)
@@ -46,14 +47,14 @@
     """One kind of request.
 
     Attributes:
-      name: for the counts.
-      per_second: over all zones.
-      work: usual seconds of work.
-      spread: of the work, as the sigma of a lognormal distribution.
-      aim: seconds within which the answer is worth most.
+      name: key of its statistics.
+      per_second: arrival rate, over all zones.
+      mean_work: mean service time in seconds.
+      work_sigma: sigma of the lognormal distribution of service times.
+      latency_objective: seconds within which a response has its full value.
       timeout: seconds that the caller waits at most.
-      once: whether it must not repeat.
-      rank: 0 is the most important.
+      is_non_idempotent: whether it must not run twice.
+      rank: priority; 0 is the highest.
     """
 
     name: str
@@ -67,7 +68,7 @@
 
     @property
     def route(self) -> objects.Route:
-        """How it is configured."""
+        """The configured route of these requests."""
         repeat = objects.Repeat.NEVER if self.once else objects.Repeat.ALWAYS
         return objects.Route(
             service=SERVICE,
@@ -79,13 +80,21 @@
         )
 
 
-# The users' orders and look-ups of one service, at their usual rates.
+# Non-idempotent and idempotent requests of one service of the users, at their
+# usual rates.
 ORDER = Kind("order", 48.4, 0.26, 0.3, 1.0, 2.0, once=True)
 LOOKUP = Kind("lookup", 16.1, 0.19, 0.8, 1.0, 1.5, rank=2)
 
 
 class Target:
-    """One target's behavior, which a test changes as it goes."""
+    """A fake target, whose behavior a test changes during a run.
+
+    Attributes:
+      failure_share: share of requests that fail.
+      slowdown: factor of the service times.
+      hang_share: share of requests that never get a response.
+      served_count: requests that it has served.
+    """
 
     def __init__(self, rng: random.Random) -> None:
         self.fails = 0.012
@@ -95,7 +104,7 @@
         self._rng = rng
 
     async def request(self, method, url, *, headers, trace_request_ctx, **_):
-        """Works and answers, as an HTTP client's session would."""
+        """Stands in for `aiohttp.ClientSession.request`."""
         trace_request_ctx.connected = True
         draw = self._rng.random()
         if draw < self.hangs:
@@ -120,12 +129,22 @@
         return b""
 
     def close(self):
-        """Nothing to close."""
+        """Does nothing: there is no connection."""
 
 
 @dataclasses.dataclass
 class Outcome:
-    """What became of one kind's requests."""
+    """Results of one kind of requests.
+
+    Attributes:
+      request_count: requests that have ended.
+      on_time: responses within the latency objective.
+      late: responses after the latency objective.
+      failed: requests that failed and may have run.
+      refused: requests that were refused as not run.
+      refused_without_retry_after: those refused without a time to retry at.
+      latencies: seconds of each request.
+    """
 
     asked: int = 0
     in_aim: int = 0
@@ -137,43 +156,45 @@
 
     @property
     def lost(self) -> float:
-        """Share that got no answer of use."""
+        """Share of requests that failed or were refused."""
         return (self.failed + self.refused) / max(1, self.asked)
 
     @property
     def in_time(self) -> float:
-        """Share that was answered within the aim."""
+        """Share of requests with a response within the latency objective."""
         return self.in_aim / max(1, self.asked)
 
 
 class Fleet:
-    """Twelve targets with a home each, and an entry in every zone."""
+    """Twelve targets with a home node each, and an entry node in every zone."""
 
     def __init__(
         self,
         seed: int = 1,
         targets_per_zone: int = TARGETS_PER_ZONE,
         entries_per_zone: int = 1,
-        tells: bool = True,
+        sends_updates: bool = True,
         slots: int = SLOTS,
         retries: tuple[int, int] = (20, 60),
     ) -> None:
         """Builds the fleet.
 
         Args:
-          seed: for all that is random.
-          targets_per_zone: targets, each with a home of its own.
-          entries_per_zone: entries, each with callers of its own.
-          tells: whether homes tell entries near by of sick targets.
-          slots: of each target.
-          retries: in a hundred requests, and in each window besides.
+          seed: of the random number generator.
+          targets_per_zone: targets, each with its own home node.
+          entries_per_zone: entry nodes, each with its own callers.
+          sends_updates: whether home nodes send target updates to the entry
+            nodes of their zone.
+          slots: slots of each target.
+          retries: retry budget, in percent of the requests, and the reserve of
+            retries in each window.
         """
         self._retries = retries
         self._announcement = registry.Announcement(
             service=SERVICE, address="http://t", lease_ms=60_000, slots=slots
         )
-        self._tells = tells
-        self._tellers = collections.defaultdict(
+        self._sends_updates = sends_updates
+        self._publishers = collections.defaultdict(
             peer_updates.TargetUpdatePublisher
         )
         self.loop = virtual.VirtualLoop()
@@ -183,24 +204,25 @@
         self.crossings = collections.Counter()
         self.targets: dict[str, Target] = {}
         self._dispatchers = {}
-        self._held = {}
+        self._registries = {}
         self._view = view.FleetView()
         self._tasks = set()
-        self._joining = []
+        self._scheduled_joins = []
         self._placements = collections.defaultdict(list)
         self._entries = {
-            zone: [self._entry(zone, n) for n in range(entries_per_zone)]
+            zone: [self._make_gateway(zone, n) for n in range(entries_per_zone)]
             for zone in ZONES
         }
         if targets_per_zone:
-            # Where targets are, entries have run for a retry window or more.
+            # With targets present at the start, entry nodes must have run for at
+            # least one retry window.
             self.loop.jump(OLD)
         for zone in ZONES:
             for number in range(targets_per_zone):
                 self._add_target(f"{zone}-{number}", zone)
 
     def draw(self, share):
-        """Each target with the same chance."""
+        """Samples targets; each is included with probability `share`."""
         return [
             target
             for target in self.targets.values()
@@ -208,18 +230,18 @@
         ]
 
     def join(self, name, zone):
-        """Adds a target that nothing is known of; returns it."""
+        """Adds a target without any history; returns it."""
         self._add_target(name, zone)
         self._announce(name)
         return self.targets[name]
 
     def join_later(self, name, zone, seconds):
-        """Adds such a target while the fleet is played."""
-        self._joining.append((seconds, name, zone))
+        """Adds such a target during the next run, after `seconds`."""
+        self._scheduled_joins.append((seconds, name, zone))
 
-    async def _join_all(self):
+    async def _run_scheduled_joins(self):
         now = 0.0
-        for seconds, name, zone in sorted(self._joining):
+        for seconds, name, zone in sorted(self._scheduled_joins):
             await asyncio.sleep(seconds - now)
             now = seconds
             self.join(name, zone)
@@ -227,7 +249,9 @@
     def _add_target(self, name, zone):
         target = self.targets[name] = Target(self.rng)
         home = registry.HomeIdentity(name, 1, zone[0], zone)
-        held = self._held[name] = registry.TargetRegistry(home, self.clock)
+        held = self._registries[name] = registry.TargetRegistry(
+            home, self.clock
+        )
         self._dispatchers[name] = dispatch.Dispatcher(
             held,
             target,
@@ -246,7 +270,7 @@
         )
         self._view.put_home_state(name, 1, 1, [record])
 
-    def _entry(self, zone, number):
+    def _make_gateway(self, zone, number):
         place = load_balancing.Locality(f"entry-{zone}-{number}", zone[0], zone)
         placed = placement.Placement(
             place, self._view, lambda _: 0, self.clock, self.rng
@@ -278,9 +302,9 @@
         )
 
     async def forward(self, zone, home, target, head, body):
-        """Carries a request to a home and back."""
+        """Delivers a request to a home node and returns its result."""
         self.crossings[_distance(zone, home.zone)] += 1
-        seconds = _seconds(zone, home.zone)
+        seconds = _delay_seconds(zone, home.zone)
         await asyncio.sleep(seconds)
         result = await self._dispatchers[home.name].run_forwarded(
             target, 1, head, body
@@ -289,89 +313,98 @@
         return result
 
     def play(self, seconds, kinds, zones=ZONES, scale=1.0):
-        """Lets callers of some zones send for a while."""
-        for name, held in self._held.items():
+        """Sends requests from callers of some zones.
+
+        Args:
+          seconds: how long, in virtual time.
+          kinds: kinds of requests.
+          zones: zones of the callers, which share the rates evenly.
+          scale: factor of the rates.
+        """
+        for name, held in self._registries.items():
             held.announce(name, self._announcement, self._announcement.slots)
-        self.loop.run_until_complete(self._play(seconds, kinds, zones, scale))
+        self.loop.run_until_complete(self._run(seconds, kinds, zones, scale))
 
     def _announce(self, name):
-        self._held[name].announce(
+        self._registries[name].announce(
             name, self._announcement, self._announcement.slots
         )
 
-    async def _play(self, seconds, kinds, zones, scale):
+    async def _run(self, seconds, kinds, zones, scale):
         end = self.loop.time() + seconds
         senders = [
-            self._send(kind, zone, end, scale * kind.per_second / len(zones))
+            self._send_at_rate(
+                kind, zone, end, scale * kind.per_second / len(zones)
+            )
             for kind in kinds
             for zone in zones
         ]
-        looking = asyncio.create_task(self._look())
-        await asyncio.gather(self._join_all(), *senders)
-        self._joining.clear()
+        checking = asyncio.create_task(self._check_periodically())
+        await asyncio.gather(self._run_scheduled_joins(), *senders)
+        self._scheduled_joins.clear()
         if self._tasks:
             await asyncio.wait(self._tasks)
-        looking.cancel()
+        checking.cancel()
 
-    async def _send(self, kind, zone, end, rate):
+    async def _send_at_rate(self, kind, zone, end, rate):
         while True:
             await asyncio.sleep(self.rng.expovariate(rate))
             if self.loop.time() >= end:
                 return
-            task = asyncio.create_task(self._ask(kind, zone))
+            task = asyncio.create_task(self._send_request(kind, zone))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _look(self):
+    async def _check_periodically(self):
         while True:
             await asyncio.sleep(LOOK_SECONDS)
             for dispatcher in self._dispatchers.values():
                 dispatcher.look()
-            if self._tells:
-                self._tell()
+            if self._sends_updates:
+                self._send_updates()
 
-    def _tell(self):
+    def _send_updates(self):
         now = self.clock.monotonic()
-        for name, held in self._held.items():
+        for name, held in self._registries.items():
             zone = name.rpartition("-")[0]
             states = [item.state(now) for item in held.held()]
-            for condition in self._tellers[name].due_updates(states, now):
+            for update in self._publishers[name].due_updates(states, now):
                 for placed in self._placements[zone]:
-                    placed.hear(condition)
-        self._tell_tallies()
+                    placed.hear(update)
+        self._send_retry_usages()
 
-    def _tell_tallies(self):
+    def _send_retry_usages(self):
         entries = [
             (f"entry-{zone}-{number}", zone, entry)
             for zone in ZONES
             for number, entry in enumerate(self._entries[zone])
         ]
         for name, zone, entry in entries:
-            for tally in entry.budgets.due():
-                for other, other_zone, hearer in entries:
-                    if other != name and self._share(zone, other_zone):
-                        hearer.budgets.hear(name, tally)
-
-    def _share(self, zone, other):
-        """Whether entries of two zones share their retries."""
-        region = 2 * len(self._entries[zone])
-        whole = peer_updates.shares_retries_in_region(region - 1)
-        return zone == other or (whole and zone[0] == other[0])
-
-    async def _ask(self, kind, zone):
+            for usage in entry.budgets.due():
+                for other, other_zone, receiver in entries:
+                    if other != name and self._share_retries(zone, other_zone):
+                        receiver.budgets.hear(name, usage)
+
+    def _share_retries(self, zone, other):
+        """Returns whether the entry nodes of two zones share retry budgets."""
+        entry_count = 2 * len(self._entries[zone])
+        in_region = peer_updates.shares_retries_in_region(entry_count - 1)
+        return zone == other or (in_region and zone[0] == other[0])
+
+    async def _send_request(self, kind, zone):
         route = kind.route
         mean = math.log(kind.work) - kind.spread**2 / 2
         work = self.rng.lognormvariate(mean, kind.spread)
-        number = f"{self.rng.getrandbits(64):x}"
+        request_id = f"{self.rng.getrandbits(64):x}"
         head = exchange.RequestHead(
-            number,
+            request_id,
             "GET",
             "/",
             ((b"Work", str(work).encode()),),
             SERVICE,
             "",
             datetime.timedelta(seconds=kind.timeout),
-            ticket=number if kind.once else "",
+            ticket=request_id if kind.once else "",
             latency_objective=datetime.timedelta(seconds=kind.aim),
             queue_priority=waiting.level(route),
         )
@@ -381,9 +414,9 @@
         self._count(self.outcomes[kind.name], kind, result, started)
 
     def _count(self, outcome, kind, result, started):
-        spent = self.loop.time() - started
+        latency = self.loop.time() - started
         outcome.asked += 1
-        outcome.waits.append(spent)
+        outcome.waits.append(latency)
         if result.is_error():
             not_run = result.error.outcome is exchange.Outcome.NOT_RUN
             outcome.refused += not_run
@@ -393,14 +426,14 @@
             )
         elif result.ok.status != 200:
             outcome.failed += 1
-        elif spent <= kind.aim:
+        elif latency <= kind.aim:
             outcome.in_aim += 1
         else:
             outcome.late += 1
 
 
 class _Links:
-    """The links of one entry."""
+    """The links of one entry node."""
 
     def __init__(self, fleet, zone):
         self._fleet = fleet
@@ -416,6 +449,6 @@
     return "region" if zone[0] == other[0] else "far"
 
 
-def _seconds(zone, other):
-    steps = {"zone": 0.0001, "region": ZONE_SECONDS, "far": REGION_SECONDS}
-    return steps[_distance(zone, other)]
+def _delay_seconds(zone, other):
+    delays = {"zone": 0.0001, "region": ZONE_SECONDS, "far": REGION_SECONDS}
+    return delays[_distance(zone, other)]
--- a/endivewind/tests/loads/pressure_tests.py
+++ b/endivewind/tests/loads/pressure_tests.py
@@ -1,8 +1,9 @@
-"""The patterns: bursts, skewed zones, a slow target, mixed work, saturation.
+"""Load tests: bursts, skewed zones, a slow target, mixed load, saturation.
 
-The rates are the users' own: orders of 260 ms and look-ups of 190 ms at two
-fifths of the slots on an ordinary day, 1.7 times that in a burst; schedules
-of 77 ms that must be there within 500 ms beside venue look-ups of 480 ms.
+The rates are those of the users: orders of 260 ms and lookups of 190 ms use
+two fifths of the slots on an ordinary day, and 1.7 times that in a burst.
+Schedule requests of 77 ms, with a latency objective of 500 ms, share targets
+with venue requests of 480 ms.
 """
 
 import unittest
@@ -11,103 +12,104 @@
 
 VENUE = fleet.Kind("venue", 18.8, 0.48, 0.5, 1.5, 3.0, rank=2)
 SCHEDULE = fleet.Kind("schedule", 12.6, 0.077, 0.3, 0.5, 2.0)
-USUAL = (fleet.ORDER, fleet.LOOKUP)
+USUAL_KINDS = (fleet.ORDER, fleet.LOOKUP)
 
 
 class BurstTest(unittest.TestCase):
-    def test_a_burst_is_served_and_leaves_nothing_behind(self):
-        """1.7 times the work for three seconds: three quarters of the slots.
+    def test_burst_is_served_and_has_no_after_effects(self):
+        """1.7 times the load for three seconds uses three quarters of the slots.
 
-        Nobody is refused, and the seconds after it are like those before.
+        Hardly any request is lost, and latencies are as before once it ends.
         """
-        played = fleet.Fleet()
-        played.play(10, USUAL)
-        played.play(3, USUAL, scale=1.7)
-        burst = played.outcomes["order"]
+        simulated = fleet.Fleet()
+        simulated.play(10, USUAL_KINDS)
+        simulated.play(3, USUAL_KINDS, scale=1.7)
+        burst = simulated.outcomes["order"]
         self.assertLess(burst.lost, 0.03)
-        played.outcomes.clear()
+        simulated.outcomes.clear()
 
-        played.play(10, USUAL)
+        simulated.play(10, USUAL_KINDS)
 
-        self.assertGreater(played.outcomes["order"].in_time, 0.96)
+        self.assertGreater(simulated.outcomes["order"].in_time, 0.96)
 
 
 class SkewTest(unittest.TestCase):
-    def test_a_crowded_zone_uses_its_region_before_others(self):
-        """All of a region's callers are in one zone.
+    def test_overloaded_zone_prefers_its_own_region(self):
+        """All callers of a region are in one zone.
 
-        Its own targets have slots for four fifths of that. The other zone of
-        the region takes the rest; far regions, whose bytes cost most, little.
+        The zone's own targets have slots for four fifths of their requests.
+        The other zone of the region must take most of the rest, and other
+        regions little, since traffic between regions costs most.
         """
-        played = fleet.Fleet()
+        simulated = fleet.Fleet()
 
-        played.play(20, USUAL, zones=fleet.ZONES[:1], scale=0.3)
+        simulated.play(20, USUAL_KINDS, zones=fleet.ZONES[:1], scale=0.3)
 
-        crossings = played.crossings
-        self.assertGreater(played.outcomes["order"].in_time, 0.95)
+        crossings = simulated.crossings
+        self.assertGreater(simulated.outcomes["order"].in_time, 0.95)
         self.assertGreater(crossings["region"], 5 * crossings["far"])
         self.assertLess(crossings["far"] / crossings.total(), 0.05)
 
 
 class SlowTargetTest(unittest.TestCase):
-    def test_one_slow_target_loses_its_work_to_the_others(self):
-        """One target takes five times as long for everything.
+    def test_slow_target_gets_fewer_requests(self):
+        """One target takes five times as long for each request.
 
-        Left in turn it would make one order in twelve late.
+        With an equal share of the requests it would delay one order in twelve.
         """
-        played = fleet.Fleet()
-        played.play(5, USUAL)
-        slow = next(iter(played.targets.values()))
-        slow.factor = 5.0
-        slow.served = 0
-        played.outcomes.clear()
+        simulated = fleet.Fleet()
+        simulated.play(5, USUAL_KINDS)
+        slow_target = next(iter(simulated.targets.values()))
+        slow_target.factor = 5.0
+        slow_target.served = 0
+        simulated.outcomes.clear()
 
-        played.play(20, USUAL)
+        simulated.play(20, USUAL_KINDS)
 
-        mean = played.outcomes["order"].asked / len(played.targets)
-        self.assertLess(slow.served, mean / 2)
-        self.assertGreater(played.outcomes["order"].in_time, 0.93)
+        mean = simulated.outcomes["order"].asked / len(simulated.targets)
+        self.assertLess(slow_target.served, mean / 2)
+        self.assertGreater(simulated.outcomes["order"].in_time, 0.93)
 
 
-class MixTest(unittest.TestCase):
-    def test_short_work_is_not_stuck_behind_long(self):
-        """Schedules wait before the same slots as venue look-ups.
+class PriorityTest(unittest.TestCase):
+    def test_short_requests_do_not_wait_behind_long_ones(self):
+        """Schedule requests queue for the same slots as venue requests.
 
-        They rank higher, and go first where both wait.
+        They have a higher priority and go first where both wait.
         """
-        played = fleet.Fleet()
+        simulated = fleet.Fleet()
 
-        played.play(20, (VENUE, SCHEDULE), scale=2.0)
+        simulated.play(20, (VENUE, SCHEDULE), scale=2.0)
 
-        self.assertGreater(played.outcomes["schedule"].in_time, 0.93)
-        self.assertGreater(played.outcomes["venue"].in_time, 0.85)
+        self.assertGreater(simulated.outcomes["schedule"].in_time, 0.93)
+        self.assertGreater(simulated.outcomes["venue"].in_time, 0.85)
 
 
 class SaturationTest(unittest.TestCase):
-    def test_the_most_important_work_is_kept_and_no_slot_stands_idle(self):
-        """Three times the usual load: five quarters of all slots.
+    def test_high_priority_requests_are_served_and_slots_stay_busy(self):
+        """Three times the usual load needs five quarters of all slots.
 
-        What can't be served is refused with the time to come back, look-ups
-        before orders, and the slots stay busy with work that is in time.
+        What can't be served is refused with a Retry-After, lookups before
+        orders, and the slots stay busy with requests that end in time.
         """
-        played = fleet.Fleet()
+        simulated = fleet.Fleet()
 
-        played.play(20, USUAL, scale=3.0)
+        simulated.play(20, USUAL_KINDS, scale=3.0)
 
-        orders = played.outcomes["order"]
-        lookups = played.outcomes["lookup"]
+        orders = simulated.outcomes["order"]
+        lookups = simulated.outcomes["lookup"]
         self.assertGreater(1 - orders.lost, 1 - lookups.lost)
         self.assertGreater(1 - orders.lost, 0.7)
         self.assertEqual(0, orders.unsure_refusals + lookups.unsure_refusals)
-        done = sum(target.served for target in played.targets.values())
-        most = len(played.targets) * fleet.SLOTS * 20 / fleet.ORDER.work
-        self.assertGreater(done, 0.75 * most)
+        done = sum(target.served for target in simulated.targets.values())
+        capacity = len(simulated.targets) * fleet.SLOTS * 20 / fleet.ORDER.work
+        self.assertGreater(done, 0.75 * capacity)
 
-    def test_it_ends_with_the_load(self):
-        played = fleet.Fleet()
-        played.play(10, USUAL, scale=3.0)
-        played.outcomes.clear()
+    def test_saturation_ends_with_the_load(self):
+        simulated = fleet.Fleet()
+        simulated.play(10, USUAL_KINDS, scale=3.0)
+        simulated.outcomes.clear()
 
-        played.play(10, USUAL)
+        simulated.play(10, USUAL_KINDS)
 
-        self.assertGreater(played.outcomes["order"].in_time, 0.95)
+        self.assertGreater(simulated.outcomes["order"].in_time, 0.95)
--- a/endivewind/tests/loads/sharing_tests.py
+++ b/endivewind/tests/loads/sharing_tests.py
@@ -1,8 +1,9 @@
-"""The pattern: few requests an entry, few retries, and failures in bunches.
+"""Load test: few requests at each entry node, few retries, bursts of failures.
 
-Six entries a zone see less than one look-up a second each. A third of the
-targets fail nine requests in ten for five of every seven seconds. Retries are
-six in a hundred requests and a few more, so that a zone has two or three.
+Each of six entry nodes in a zone gets less than one lookup a second. A third
+of the targets fail nine requests in ten for five of every seven seconds. The
+retry budget is 6% of the requests and a small reserve, so that a zone has two
+or three retries.
 """
 
 import collections
@@ -14,89 +15,92 @@
 from endivewind.tests.loads import fleet
 
 LOOKUP = fleet.Kind("lookup", 26, 0.5, 0.6, 2.0, 8.0)
-SLOTS = 7
+SLOTS_PER_TARGET = 7
 ENTRIES_PER_ZONE = 6
-RETRIES = (6, 12)
-SICK = 4
-FAILS = 0.9
-SPELLS = 4
+RETRY_LIMITS = (6, 12)
+UNHEALTHY_TARGETS = 4
+FAILURE_SHARE = 0.9
+FAULT_COUNT = 4
 SEEDS = range(1, 7)
 
 
-def _fleet(seed):
-    """A fleet that has been quiet for three seconds."""
-    played = fleet.Fleet(
+def _warmed_up_fleet(seed):
+    """Returns a fleet after three seconds without faults."""
+    simulated = fleet.Fleet(
         seed,
-        slots=SLOTS,
+        slots=SLOTS_PER_TARGET,
         entries_per_zone=ENTRIES_PER_ZONE,
-        retries=RETRIES,
+        retries=RETRY_LIMITS,
     )
-    played.play(3, (LOOKUP,))
-    played.outcomes.clear()
-    return played
+    simulated.play(3, (LOOKUP,))
+    simulated.outcomes.clear()
+    return simulated
 
 
-def _lost():
-    """The share of look-ups that got no answer of use, over all seeds."""
+def _lost_share():
+    """Returns the share of lookups that failed or were refused."""
     total = collections.Counter()
     for seed in SEEDS:
-        played = _fleet(seed)
-        for _ in range(SPELLS):
-            sick = played.rng.sample(list(played.targets.values()), SICK)
-            for target in sick:
-                target.fails = FAILS
-            played.play(5, (LOOKUP,))
-            for target in sick:
+        simulated = _warmed_up_fleet(seed)
+        for _ in range(FAULT_COUNT):
+            unhealthy = simulated.rng.sample(
+                list(simulated.targets.values()), UNHEALTHY_TARGETS
+            )
+            for target in unhealthy:
+                target.fails = FAILURE_SHARE
+            simulated.play(5, (LOOKUP,))
+            for target in unhealthy:
                 target.fails = 0.012
-            played.play(2, (LOOKUP,))
-        outcome = played.outcomes["lookup"]
+            simulated.play(2, (LOOKUP,))
+        outcome = simulated.outcomes["lookup"]
         total["asked"] += outcome.asked
         total["lost"] += outcome.failed + outcome.refused
     return total["lost"] / total["asked"]
 
 
-class SharingTest(unittest.TestCase):
-    def test_a_zone_uses_what_the_zone_beside_it_has_left(self):
-        """A look-up that failed once is lost for want of a retry.
+class RetrySharingTest(unittest.TestCase):
+    def test_zone_uses_unspent_retries_of_the_other_zone(self):
+        """A lookup that failed once is lost if its zone has no retries left.
 
-        Over six seeds 1.2 in 100 were lost where zones share within
-        themselves, 0.8 where the two zones of a region share.
+        Over six seeds 1.2% of the lookups were lost when retries are shared
+        within zones only, and 0.8% when the two zones of a region share them.
         """
         with mock.patch.object(
             peer_updates, "shares_retries_in_region", lambda others: False
         ):
-            before = _lost()
+            before = _lost_share()
 
-        self.assertLess(_lost(), 0.8 * before)
+        self.assertLess(_lost_share(), 0.8 * before)
 
 
-def _failed_with_half_sick():
-    """The share of look-ups that failed, half of the targets being sick."""
+def _failed_share():
+    """Returns the share of lookups that failed with half the targets unhealthy."""
     total = collections.Counter()
     for seed in SEEDS:
-        played = _fleet(seed)
-        targets = list(played.targets.values())
-        for target in played.rng.sample(targets, len(targets) // 2):
-            target.fails = FAILS
-        played.play(8, (LOOKUP,))
-        outcome = played.outcomes["lookup"]
+        simulated = _warmed_up_fleet(seed)
+        targets = list(simulated.targets.values())
+        for target in simulated.rng.sample(targets, len(targets) // 2):
+            target.fails = FAILURE_SHARE
+        simulated.play(8, (LOOKUP,))
+        outcome = simulated.outcomes["lookup"]
         total["asked"] += outcome.asked
         total["failed"] += outcome.failed
     return total["failed"] / total["asked"]
 
 
-class UsedUpTest(unittest.TestCase):
-    def test_without_retries_look_ups_keep_away_from_doubtful_targets(self):
-        """A failure is final once the retries are used up.
+class ExhaustedRetriesTest(unittest.TestCase):
+    def test_without_retries_lookups_avoid_suspected_targets(self):
+        """A failure is final once the retry budget is spent.
 
-        Half of the targets are sick for eight seconds. Look-ups that go on as
-        if they could be tried again fail at doubtful targets; as retries run
-        out they are placed as carefully as orders.
+        Half of the targets are unhealthy for eight seconds. Lookups that are
+        placed as if they could be retried fail at suspected targets. While
+        retries run out they must be placed with the suspicion limits of
+        non-idempotent requests.
         """
         with mock.patch.object(retries.RetryBudget, "has_any", False):
-            before = _failed_with_half_sick()
+            before = _failed_share()
 
-        self.assertLess(_failed_with_half_sick(), 0.75 * before)
+        self.assertLess(_failed_share(), 0.75 * before)
 
 
 if __name__ == "__main__":
--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -1,4 +1,9 @@
-"""Seeds faults into a copy of the code; the suite must catch each of them."""
+"""Mutation testing: seeds faults that the tests must catch.
+
+Each mutant removes one safeguard from a copy of the code and runs the tests
+that guard it. `make mutants` runs all of them; with --soak the randomized soak
+test must find some of them instead.
+"""
 
 import dataclasses
 import os
@@ -14,14 +19,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Mutant:
-    """One safeguard taken out.
+    """A change to the code that removes one safeguard.
 
     Attributes:
-      name: what is wrong with the mutant.
-      file: the module, below the package.
-      old: the safeguard, found exactly once.
-      new: what stands there in the mutant.
-      tests: module of the tests that must fail.
+      name: description of the seeded fault.
+      file: path of the changed module, below the package.
+      old: source text of the safeguard; it occurs exactly once.
+      new: source text that replaces it.
+      tests: test module that must fail.
     """
 
     name: str
@@ -31,53 +36,53 @@
     tests: str
 
 
-_ONCE = "proofs.at_most_once_tests"
-_WHOLE = "proofs.whole_answer_tests"
-_LEDGER = "targets.handover_tests"
+_AT_MOST_ONCE = "proofs.at_most_once_tests"
+_TRUNCATION = "proofs.whole_answer_tests"
+_HAND_OVER = "targets.handover_tests"
 _FUZZ = "proofs.at_most_once_fuzz_tests"
 _LINKS = "nodes.links_tests"
 _DISPATCH = "targets.dispatch_tests"
 _TICKETS = "callers.tickets_tests"
-_BEATS = "platform.heartbeats_tests"
+_HEARTBEATS = "platform.heartbeats_tests"
 
 MUTANTS = (
     Mutant(
-        "a key that was taken away is still known",
+        "a revoked key is still accepted",
         "callers/workspaces.py",
         "            self._holders.pop(digest, None)\n",
         "            pass\n",
         "callers.workspaces_tests",
     ),
     Mutant(
-        "a caller's key goes on to its target",
+        "a caller's key is forwarded to the target",
         "callers/listener.py",
         "                drop_key=call.is_keyed,\n",
         "                drop_key=False,\n",
         "callers.workspaces_tests",
     ),
     Mutant(
-        "keyed work is served without a proof",
+        "requests with keys are served while the configuration may be outdated",
         "callers/authorization.py",
         "    if doubts.is_proved():\n",
         "    if True:\n",
         "callers.workspaces_tests",
     ),
     Mutant(
-        "the age of another node's proof is forgotten",
+        "the age of another node's freshness proof is ignored",
         "config/freshness.py",
         "        return self.proved(answer.version, asked - age)\n",
         "        return self.proved(answer.version, asked)\n",
         "config.freshness_tests",
     ),
     Mutant(
-        "a proof counts for a version that is not in force here",
+        "a freshness proof is accepted for a version not in force here",
         "config/freshness.py",
         "        if version > self._in_force():\n",
         "        if False:\n",
         "config.freshness_tests",
     ),
     Mutant(
-        "a zone holds more than its share by borrowing",
+        "a zone exceeds its token bucket by borrowing",
         "decisions/quotas.py",
         "        self._tokens = min(\n"
         "            self._tokens + max(0.0, gained), self._limit.capacity\n"
@@ -86,14 +91,14 @@
         "decisions.quotas_tests",
     ),
     Mutant(
-        "what is open says nothing of its target",
+        "pending requests do not change the suspicion of their target",
         "targets/registry.py",
         "        return math.prod(item.silence(now) for item in self.pending)\n",
         "        return 1.0\n",
         "loads.silence_tests",
     ),
     Mutant(
-        "a pipelined order is begun before its turn",
+        "a pipelined non-idempotent request starts before its turn",
         "callers/listener.py",
         "        if not routed.may_repeat(route, request.method):\n"
         "            return None\n",
@@ -101,21 +106,21 @@
         "callers.pipelining_tests",
     ),
     Mutant(
-        "an answer closes the connection although targets have others on it",
+        "a stopping node closes a connection that has other active requests",
         "callers/listener.py",
         "        if stopping and not _connection(call.request).has_begun:\n",
         "        if stopping:\n",
         "callers.pipelining_tests",
     ),
     Mutant(
-        "work at a target is called not run when the node ends",
+        "a request at a target is reported as not run when the node stops",
         "callers/routed.py",
         "        if self.is_open:\n",
         "        if False:\n",
         "callers.gateway_tests",
     ),
     Mutant(
-        "a leave that comes before any announcement is forgotten",
+        "a departure that arrives before any announcement is ignored",
         "targets/registry.py",
         "        self._departed[target] = max(known, incarnation)\n",
         "        if item is not None:\n"
@@ -123,7 +128,7 @@
         "targets.registry_tests",
     ),
     Mutant(
-        "an attempt is recorded after its hand-over",
+        "an attempt is recorded after its hand-over instead of before",
         "targets/dispatch.py",
         "        if refused is not None:\n"
         "            return expression.Error(refused)\n"
@@ -136,18 +141,18 @@
         _FUZZ,
     ),
     Mutant(
-        "work is placed again without a sealed not-run",
+        "a request is retried without a sealed not-run outcome",
         "exchange.py",
         "        return self.outcome is Outcome.NOT_RUN\n",
         "        return self.outcome is not Outcome.RAN\n",
         _FUZZ,
     ),
     Mutant(
-        "a late copy of a sealed attempt is taken",
+        "a late duplicate of a sealed attempt is accepted",
         "targets/handover.py",
         "    if number > known.number and known.sealed:\n",
         "    if number >= known.number and known.sealed:\n",
-        _LEDGER,
+        _HAND_OVER,
     ),
     Mutant(
         "the issuer's incarnation is not checked",
@@ -165,21 +170,21 @@
         _DISPATCH,
     ),
     Mutant(
-        "a target is blamed for a silent connection",
+        "a silent connection counts as a failure of its target",
         "targets/doubts.py",
         "        if now < until:\n            return True\n",
         "        if now < until:\n            return False\n",
         _DISPATCH,
     ),
     Mutant(
-        "a link is used again after a part of an answer",
+        "a link is reused after a partial response",
         "nodes/links.py",
         "            self._link.close()\n",
         "            self._pool._give_back(self._address, self._link)\n",
         _LINKS,
     ),
     Mutant(
-        "a deadline that passed is told as not run",
+        "an exceeded deadline is reported as not run",
         "targets/dispatch.py",
         "    return expression.Error("
         "exchange.unknown(exchange.Reason.DEADLINE, detail))\n",
@@ -188,56 +193,56 @@
         _FUZZ,
     ),
     Mutant(
-        "a ticket that was told not-run starts later",
+        "a ticket that was reported as not run can still start",
         "callers/ticket_book.py",
         "            self._barrier = now\n",
         "",
         _TICKETS,
     ),
     Mutant(
-        "the end of a planned stop waits for nothing",
+        "a graceful stop does not wait for running requests",
         "node.py",
         "        await departure.run(self._stop_limit())\n",
         "",
         "proofs.stop_tests",
     ),
     Mutant(
-        "the HTTP client sends PUT and DELETE again by itself",
+        "the HTTP client resends PUT and DELETE by itself",
         "targets/connections.py",
         "        middlewares=(_never_resend,),\n",
         "",
-        _ONCE,
+        _AT_MOST_ONCE,
     ),
     Mutant(
-        "the work is cancelled with its caller",
+        "a request with a ticket is cancelled when its caller disconnects",
         "callers/ticketing.py",
         "                result = await asyncio.shield(execution.finished)\n",
         "                result = await execution.finished\n",
-        _ONCE,
+        _AT_MOST_ONCE,
     ),
     Mutant(
-        "an end in the middle passes for the end of an answer",
+        "a response that breaks off is taken as complete",
         "targets/answers.py",
         "            raise exchange.TruncatedAnswerError(detail) from error\n",
         "            raise StopAsyncIteration from error\n",
-        _WHOLE,
+        _TRUNCATION,
     ),
     Mutant(
-        "a cut answer is ended as if it were whole",
+        "a truncated response is ended towards the caller as if complete",
         "callers/listener.py",
         "                    call.request.transport.abort()\n",
         "                    await stream.write_eof()\n",
-        _WHOLE,
+        _TRUNCATION,
     ),
     Mutant(
-        "a body that breaks off is passed on as whole",
+        "a request body that breaks off is forwarded as complete",
         "targets/dispatch.py",
         "        progress.broken_body = error\n        raise\n",
         "        progress.broken_body = error\n",
-        _WHOLE,
+        _TRUNCATION,
     ),
     Mutant(
-        "a reset passes for the end of an answer",
+        "a connection reset is taken as the end of a response",
         "targets/connections.py",
         "        if exc is not None and payload is not None and not "
         "payload.is_eof():\n",
@@ -245,99 +250,99 @@
         "targets.connections_tests",
     ),
     Mutant(
-        "a home takes what must not repeat for a target in doubt",
+        "a home node accepts a non-idempotent request for a suspected target",
         "targets/dispatch.py",
         "        if head.ticket and glance.suspicion > head.risk:\n",
         "        if head.ticket and glance.suspicion > 1:\n",
         _DISPATCH,
     ),
     Mutant(
-        "a link is not asked before what must not repeat",
+        "a link is not probed before a non-idempotent request",
         "nodes/links.py",
         "        if not once:\n            return link",
         "        if link or not once:\n            return link",
         _LINKS,
     ),
     Mutant(
-        "a late announcement undoes a draining",
+        "a late announcement cancels a draining",
         "targets/registry.py",
         "        if _is_late(known, announcement):\n",
         "        if announcement.sequence < 0:\n",
-        _BEATS,
+        _HEARTBEATS,
     ),
     Mutant(
-        "a target that has left comes back by a late announcement",
+        "a late announcement restores a target that has left",
         "targets/registry.py",
         "            if announcement.incarnation:\n"
         "                return Refused.LEFT\n",
         "",
-        _BEATS,
+        _HEARTBEATS,
     ),
     Mutant(
-        "a doubt that was refuted long ago gets no answer",
+        "a suspicion of this node that was refuted long ago gets no reply",
         "nodes/gossip.py",
         "        if stranger or refuted or asked:\n",
         "        if stranger or refuted:\n",
         "nodes.membership_tests",
     ),
     Mutant(
-        "a target is chosen again at a home that has it no more",
+        "a target is chosen again at a home node that no longer has it",
         "callers/placement.py",
         "        exchange.Reason.STALE_HOME,\n",
         "",
         "callers.placement_tests",
     ),
     Mutant(
-        "retries that neighbours have used are used again",
+        "retries that neighbours have used are not counted",
         "decisions/retries.py",
         "            left += (1 - KEPT_SHARE) * limit - used\n",
         "            left += (1 - KEPT_SHARE) * limit\n",
         "decisions.retries_tests",
     ),
     Mutant(
-        "all use at once what is left of the shared retries",
+        "every node may use all remaining shared retries at once",
         "decisions/retries.py",
         "        return self._allowance >= 1\n",
         "        return True\n",
         "callers.budgets_tests",
     ),
     Mutant(
-        "with half of the fleet gone the rest may retry twice as much",
+        "after the loss of half the fleet the other nodes retry twice as much",
         "callers/budgets.py",
         "            reserve = service.retry_reserve / max(1, self._size.most(nodes))\n",
         "            reserve = service.retry_reserve / max(1, nodes)\n",
         "callers.budgets_tests",
     ),
     Mutant(
-        "a leave that names no start binds nobody",
+        "a departure without an incarnation has no effect",
         "targets/registry.py",
         "        known = item.record.target_incarnation if item else latest\n",
         "        known = item.record.target_incarnation if item else 0\n",
         "platform.heartbeats_tests",
     ),
     Mutant(
-        "peers forget the leaves that a home has acknowledged",
+        "peers ignore departures that a home node has acknowledged",
         "nodes/view.py",
         "        return self._departed.get(home, {})\n",
         "        return {}\n",
         "nodes.gossip_tests",
     ),
     Mutant(
-        "an older configuration is taken",
+        "an older configuration is accepted",
         "config/store.py",
         "        if known and known.stamp >= stamp:\n",
         "        if known and known.stamp == stamp:\n",
         "config.store_tests",
     ),
     Mutant(
-        "the retry budget never ends",
+        "the retry budget is unlimited",
         "decisions/retries.py",
         "            if not self._has_allowance(now):\n",
         "            if not self._limits.share:\n",
         "decisions.retries_tests",
     ),
     Mutant(
-        "a late leave removes the object of a later start",
+        "a late departure removes the object of a later start",
         "platform/client.py",
         "        path = _object(kind, name, revision=expected)\n"
         '        return await self._call("DELETE", path, lambda body: None)\n',
@@ -346,78 +351,78 @@
         "durable.membership_tests",
     ),
     Mutant(
-        "a home does not hear that the caller left",
+        "a home node does not learn that the caller disconnected",
         "nodes/link_server.py",
         "            self.task.cancel()\n",
         "            pass\n",
-        _WHOLE,
+        _TRUNCATION,
     ),
 )
 
 
-# Mutants that the soak must find; the tests are not run then.
-SOAKED = (
-    "work is placed again without a sealed not-run",
-    "the end of a planned stop waits for nothing",
-    "a deadline that passed is told as not run",
-    "an older configuration is taken",
-    "the retry budget never ends",
+# Mutants that the soak test must find under --soak; no tests are run then.
+SOAK_MUTANTS = (
+    "a request is retried without a sealed not-run outcome",
+    "a graceful stop does not wait for running requests",
+    "an exceeded deadline is reported as not run",
+    "an older configuration is accepted",
+    "the retry budget is unlimited",
 )
-_MOST_SEEDS = 10
-_SOAK_SECONDS = 240
+_MAX_SEEDS = 10
+_SOAK_TIMEOUT_SECONDS = 240
 
 
 def main() -> int:
-    """Runs every mutant, or those whose name holds an argument."""
+    """Runs every mutant, or those whose name contains an argument."""
     wanted = sys.argv[1:]
     if wanted[:1] == ["--soak"]:
-        return _soak_all(wanted[1:])
+        return _run_soak(wanted[1:])
     chosen = [
         mutant
         for mutant in MUTANTS
         if not wanted or any(word in mutant.name for word in wanted)
     ]
-    survived = [mutant for mutant in chosen if not _caught(mutant)]
+    survived = [mutant for mutant in chosen if not _is_caught(mutant)]
     print(f"{len(chosen) - len(survived)} caught, {len(survived)} survived")
     return 1 if survived or not chosen else 0
 
 
-def _caught(mutant: Mutant) -> bool:
+def _is_caught(mutant: Mutant) -> bool:
     with tempfile.TemporaryDirectory() as folder:
         root = pathlib.Path(folder)
-        if not _write(mutant, root):
+        if not _write_mutated_copy(mutant, root):
             return False
-        caught = _fails(root, f"endivewind.tests.{mutant.tests}")
+        caught = _tests_fail(root, f"endivewind.tests.{mutant.tests}")
     print(f"{'caught  ' if caught else 'SURVIVED'} {mutant.name}", flush=True)
     return caught
 
 
-def _soak_all(wanted: list[str]) -> int:
-    """Plays seeds of the soak with each of SOAKED until one is red."""
-    lost = 0
+def _run_soak(wanted: list[str]) -> int:
+    """Runs the soak test on each of SOAK_MUTANTS until a seed fails."""
+    missed = 0
     for mutant in MUTANTS:
-        named = not wanted or any(word in mutant.name for word in wanted)
-        if mutant.name not in SOAKED or not named:
+        is_wanted = not wanted or any(word in mutant.name for word in wanted)
+        if mutant.name not in SOAK_MUTANTS or not is_wanted:
             continue
-        seeds = _seeds_until_red(mutant)
-        lost += seeds is None
+        seeds = _seeds_until_failure(mutant)
+        missed += seeds is None
         found = f"found after {seeds} seeds" if seeds else "NOT FOUND"
         print(f"{found}: {mutant.name}", flush=True)
-    return 1 if lost else 0
+    return 1 if missed else 0
 
 
-def _seeds_until_red(mutant: Mutant) -> int | None:
+def _seeds_until_failure(mutant: Mutant) -> int | None:
     with tempfile.TemporaryDirectory() as folder:
         root = pathlib.Path(folder)
-        if not _write(mutant, root):
+        if not _write_mutated_copy(mutant, root):
             return None
-        for seed in range(1, _MOST_SEEDS + 1):
-            if _is_red(root, seed):
+        for seed in range(1, _MAX_SEEDS + 1):
+            if _soak_fails(root, seed):
                 return seed
     return None
 
 
-def _is_red(root: pathlib.Path, seed: int) -> bool:
+def _soak_fails(root: pathlib.Path, seed: int) -> bool:
     code = "from endivewind.commands import bench; bench.run()"
     ran = subprocess.run(
         [sys.executable, "-c", code, "soak", f"--seeds={seed}-{seed}"],
@@ -425,7 +430,7 @@
         env={**os.environ, "PYTHONPATH": str(root)},
         capture_output=True,
         text=True,
-        timeout=_SOAK_SECONDS,
+        timeout=_SOAK_TIMEOUT_SECONDS,
         check=False,
     )
     if ran.returncode == 1 and "red" in ran.stdout:
@@ -434,20 +439,25 @@
     return False
 
 
-def _write(mutant: Mutant, root: pathlib.Path) -> bool:
-    """Writes a copy of the code with a mutant; False if it is stale."""
+def _write_mutated_copy(mutant: Mutant, root: pathlib.Path) -> bool:
+    """Writes a mutated copy of the code; returns False if it is stale."""
     shutil.copytree(_ROOT / "endivewind", root / "endivewind")
     file = root / "endivewind" / mutant.file
     text = file.read_text()
     if text.count(mutant.old) != 1:
-        print(f"STALE    {mutant.name}: its safeguard is not found once")
+        print(
+            f"STALE    {mutant.name}: its safeguard does not occur exactly once"
+        )
         return False
     file.write_text(text.replace(mutant.old, mutant.new))
     return True
 
 
-def _fails(root: pathlib.Path, tests: str) -> bool:
-    """Whether the tests ran and failed; a mutant that can't start is none."""
+def _tests_fail(root: pathlib.Path, tests: str) -> bool:
+    """Returns whether the tests ran and failed.
+
+    A mutant that can't be imported counts as not caught.
+    """
     environment = {**os.environ, "PYTHONPATH": str(root)}
     ran = subprocess.run(
         [sys.executable, "-m", "endivewind.tests", tests],
--- a/endivewind/tests/runner.py
+++ b/endivewind/tests/runner.py
@@ -1,4 +1,4 @@
-"""Finds test classes and runs each in a process of its own."""
+"""Finds test classes and runs each in a separate process."""
 
 import collections.abc
 import concurrent.futures
@@ -13,37 +13,38 @@
 from endivewind.tests import known_red
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
-WORKERS = 6
+WORKER_COUNT = 6
 
 
-def run_apart(names: list[str]) -> list[known_red.Report]:
-    """Runs each class in a process of its own, a few at a time.
+def run_in_processes(names: list[str]) -> list[known_red.Report]:
+    """Runs each class in a separate process, a few at a time.
 
-    Hypothesis draws numbers that it finds in the modules loaded so far. In a
-    process that had run other classes, a test would draw what depends on
-    which those were, and fail in some runs only.
+    Hypothesis draws constants that it finds in the modules loaded so far. In a
+    process that has run other classes, the examples of a test would depend on
+    which classes those were, and the test could fail in some runs only.
     """
     with concurrent.futures.ProcessPoolExecutor(
-        WORKERS,
+        WORKER_COUNT,
         mp_context=multiprocessing.get_context("spawn"),
         max_tasks_per_child=1,
     ) as pool:
         return list(pool.map(run, names))
 
 
-def classes() -> collections.abc.Iterator[str]:
-    """Dotted names of all test classes, those with real processes first."""
+def find_test_classes() -> collections.abc.Iterator[str]:
+    """Yields names of all test classes, those with real processes first."""
     tests = ROOT / "endivewind" / "tests"
     files = sorted(tests.rglob("*_tests.py"), key=_slow_first)
     for file in files:
         module = ".".join(file.relative_to(ROOT).with_suffix("").parts)
         found = [f"{module}.{name}" for name in _class_names(module)]
-        # A module without any class is run, and refused for its emptiness.
+        # A module without test classes is run as a whole, so that its report
+        # shows no tests and the run is refused.
         yield from found or [module]
 
 
 def run(name: str) -> known_red.Report:
-    """Runs one class, module or test and reports on it."""
+    """Runs one class, module or test and returns its report."""
     output = io.StringIO()
     suite = unittest.defaultTestLoader.loadTestsFromName(name)
     started = time.monotonic()
--- a/endivewind/tests/style.py
+++ b/endivewind/tests/style.py
@@ -1,4 +1,4 @@
-"""The source files, for tests of style."""
+"""Finds the source files and the calls in them, for tests of style."""
 
 import ast
 import pathlib
@@ -9,12 +9,12 @@
 
 
 def modules() -> list[pathlib.Path]:
-    """Every module of the package and the examples."""
+    """Returns every module of the package and the examples."""
     return [*PACKAGE.rglob("*.py"), *(ROOT / "examples").rglob("*.py")]
 
 
-def calls(file: pathlib.Path) -> list[str]:
-    """Dotted names of all calls in a file."""
+def called_names(file: pathlib.Path) -> list[str]:
+    """Returns the dotted names of all functions that a file calls."""
     tree = ast.parse(file.read_text())
     return [
         ast.unparse(node.func)
--- a/endivewind/tests/style_tests.py
+++ b/endivewind/tests/style_tests.py
@@ -1,17 +1,17 @@
-"""House style that neither the formatter nor the linter knows of."""
+"""Tests of style rules that neither formatter nor linter checks."""
 
 import ast
 import unittest
 
 from endivewind.tests import style
 
-# Each package may import those before it, and none after it. The path of a
-# request leads through them the other way: callers, nodes, targets.
-ORDER = ("decisions", "config", "targets", "nodes", "callers")
+# Dependency layers: each package may import those before it, and none after it.
+# A request passes them in the opposite direction: callers, nodes, targets.
+LAYERS = ("decisions", "config", "targets", "nodes", "callers")
 
 
 class StyleTest(unittest.TestCase):
-    """Rules of the developers' guide."""
+    """Rules of the developer guide."""
 
     def test_every_module_has_a_docstring(self):
         without = [
@@ -23,30 +23,30 @@
         self.assertEqual([], without)
 
     def test_packages_import_in_one_direction(self):
-        against = [
+        violations = [
             f"{package} imports {other} in {file.name}"
-            for number, package in enumerate(ORDER)
+            for number, package in enumerate(LAYERS)
             for file in (style.PACKAGE / package).rglob("*.py")
-            for other in ORDER[number + 1 :]
+            for other in LAYERS[number + 1 :]
             if other in _imported(file)
         ]
 
-        self.assertEqual([], against)
+        self.assertEqual([], violations)
 
     def test_no_test_sleeps(self):
         found = [
             f"{file.name}: {call}"
             for file in style.TESTS.rglob("*.py")
-            for call in style.calls(file)
+            for call in style.called_names(file)
             if call.endswith("sleep")
-            and not (_yields_only(file) or _plays_time(file))
+            and not (_only_yields(file) or _uses_virtual_time(file))
         ]
 
         self.assertEqual([], found)
 
 
 def _imported(file) -> set[str]:
-    """The project's packages that a file imports from."""
+    """Returns the project's packages that a file imports from."""
     tree = ast.parse(file.read_text())
     names = [
         node.module.split(".")
@@ -56,8 +56,8 @@
     return {name[1] for name in names if name[0] == "endivewind" and name[1:]}
 
 
-def _plays_time(file) -> bool:
-    """Whether all loops of a file are virtual, where sleeping takes no time."""
+def _uses_virtual_time(file) -> bool:
+    """Returns whether a file uses virtual time only, so that sleeps are instant."""
     text = file.read_text()
     real = ("IsolatedAsyncioTestCase", "asyncio.run(", "new_event_loop")
     return "virtual.VirtualLoop()" in text and not any(
@@ -65,8 +65,8 @@
     )
 
 
-def _yields_only(file) -> bool:
-    """Whether every sleep in a file is sleep(0), which only yields."""
+def _only_yields(file) -> bool:
+    """Returns whether every sleep in a file is sleep(0), which only yields."""
     tree = ast.parse(file.read_text())
     return all(
         ast.unparse(node.args[0]) == "0"
