--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,11 +1,13 @@
-"""What each mechanism is worth in the loads of tests/loads, in virtual time.
+"""Ablation study: the value of each mechanism, in virtual time.
 
     python benchmarks/ablation.py [SEEDS]
 
-Each mechanism is switched off in turn and every pattern played with the same
-seeds. Printed is the share of what callers could have earned (an answer within
-its aim counts 1, a late one 0.3, a lost one nothing): with all mechanisms, the
-mean and its spread over the seeds, and the difference without each.
+Switches off one mechanism at a time and runs each load pattern with the same
+seeds on the simulated fleet of tests/loads. Prints a table of scores. The score
+of a run is the mean value of its requests: 1 for a response within the latency
+objective, 0.3 for a later one, and 0 without a useful response. The first row
+has the mean and standard deviation over the seeds with all mechanisms on, each
+other row the difference without one mechanism.
 """
 
 import collections.abc
@@ -31,75 +33,75 @@
 CALL = fleet.Kind("call", 20, 0.16, 0.5, 0.6, 2.0, rank=0)
 LOOKUP = fleet.Kind("lookup", 13.9, 0.87, 0.8, 3.0, 8.0, rank=2)
 KINDS = (ORDER, CALL, LOOKUP)
-SIZE = {"slots": 7, "entries_per_zone": 6, "retries": (12, 35)}
-LATE_WORTH = 0.3
+FLEET_OPTIONS = {"slots": 7, "entries_per_zone": 6, "retries": (12, 35)}
+LATE_VALUE = 0.3
 
 
-def _spells(seed: int) -> fleet.Fleet:
-    """Three targets in ten fail most of their work, by turns."""
-    played = fleet.Fleet(seed, **SIZE)
+def _gray_failures(seed: int) -> fleet.Fleet:
+    """Three targets in ten fail most of their requests, in turns."""
+    simulated = fleet.Fleet(seed, **FLEET_OPTIONS)
     for _ in range(3):
-        sick = [
+        unhealthy = [
             target
-            for target in played.targets.values()
-            if played.rng.random() < 0.3
+            for target in simulated.targets.values()
+            if simulated.rng.random() < 0.3
         ]
-        for target in sick:
+        for target in unhealthy:
             target.fails = 0.9
-        played.play(5, KINDS)
-        for target in sick:
+        simulated.play(5, KINDS)
+        for target in unhealthy:
             target.fails = 0.012
-        played.play(3, KINDS)
-    return played
-
-
-def _overflow(seed: int) -> fleet.Fleet:
-    """A quarter is sick, and more comes than the rest can take."""
-    played = fleet.Fleet(seed, **SIZE)
-    played.play(3, KINDS)
-    for name in played.rng.sample(list(played.targets), 3):
-        played.targets[name].fails = 0.9
-    played.play(5, KINDS, scale=1.8)
-    return played
-
-
-def _hang(seed: int) -> fleet.Fleet:
-    """Two targets answer nothing, mostly."""
-    played = fleet.Fleet(seed, **SIZE)
-    played.play(3, KINDS)
-    for name in played.rng.sample(list(played.targets), 2):
-        played.targets[name].hangs = 0.6
-    played.play(10, KINDS)
-    return played
-
-
-def _slow(seed: int) -> fleet.Fleet:
-    """Two targets take five times as long."""
-    played = fleet.Fleet(seed, **SIZE)
-    played.play(3, KINDS)
-    for name in played.rng.sample(list(played.targets), 2):
-        played.targets[name].factor = 5.0
-    played.play(10, KINDS)
-    return played
-
-
-def _power(seed: int) -> fleet.Fleet:
-    """Everything starts at once."""
-    played = fleet.Fleet(seed, targets_per_zone=0, **SIZE)
+        simulated.play(3, KINDS)
+    return simulated
+
+
+def _overload(seed: int) -> fleet.Fleet:
+    """A quarter is unhealthy, and the load exceeds the rest's capacity."""
+    simulated = fleet.Fleet(seed, **FLEET_OPTIONS)
+    simulated.play(3, KINDS)
+    for name in simulated.rng.sample(list(simulated.targets), 3):
+        simulated.targets[name].fails = 0.9
+    simulated.play(5, KINDS, scale=1.8)
+    return simulated
+
+
+def _hanging_targets(seed: int) -> fleet.Fleet:
+    """Two targets never respond to most requests."""
+    simulated = fleet.Fleet(seed, **FLEET_OPTIONS)
+    simulated.play(3, KINDS)
+    for name in simulated.rng.sample(list(simulated.targets), 2):
+        simulated.targets[name].hangs = 0.6
+    simulated.play(10, KINDS)
+    return simulated
+
+
+def _slow_targets(seed: int) -> fleet.Fleet:
+    """Two targets take five times as long for each request."""
+    simulated = fleet.Fleet(seed, **FLEET_OPTIONS)
+    simulated.play(3, KINDS)
+    for name in simulated.rng.sample(list(simulated.targets), 2):
+        simulated.targets[name].factor = 5.0
+    simulated.play(10, KINDS)
+    return simulated
+
+
+def _cold_start(seed: int) -> fleet.Fleet:
+    """All targets start at about the same time."""
+    simulated = fleet.Fleet(seed, targets_per_zone=0, **FLEET_OPTIONS)
     for zone in fleet.ZONES:
         for number in range(fleet.TARGETS_PER_ZONE):
-            seconds = played.rng.uniform(0.5, 1.5)
-            played.join_later(f"{zone}-{number}", zone, seconds)
-    played.play(6, KINDS)
-    return played
+            seconds = simulated.rng.uniform(0.5, 1.5)
+            simulated.join_later(f"{zone}-{number}", zone, seconds)
+    simulated.play(6, KINDS)
+    return simulated
 
 
 PATTERNS = {
-    "spells": _spells,
-    "overflow": _overflow,
-    "hang": _hang,
-    "slow": _slow,
-    "power": _power,
+    "gray failures": _gray_failures,
+    "overload": _overload,
+    "hanging targets": _hanging_targets,
+    "slow targets": _slow_targets,
+    "cold start": _cold_start,
 }
 
 
@@ -115,52 +117,54 @@
     "suspicion": lambda: _off(
         suspicion.SuspicionEstimator, "observe", lambda *_: None
     ),
-    "telling": lambda: _off(
+    "target updates": lambda: _off(
         peer_updates.TargetUpdatePublisher, "due_updates", lambda *_: ()
     ),
     "probing": lambda: _off(load_balancing, "PROBE_SHARE", 0.0),
     "hedging": lambda: _off(gateway.Gateway, "_second", _no_hedging),
     "retry sharing": lambda: _off(budgets.RetryBudgets, "due", lambda self: ()),
-    "sharing with the region": lambda: _off(
+    "retry sharing in the region": lambda: _off(
         peer_updates, "shares_retries_in_region", lambda others: False
     ),
-    "queue at the home": lambda: _off(slots, "QUEUE_PER_SLOT", 0),
-    "patience": lambda: _off(routed, "PATIENCE_SHARE", 0.0),
-    "resting": lambda: _off(
+    "queue at the home node": lambda: _off(slots, "QUEUE_PER_SLOT", 0),
+    "waiting for slots": lambda: _off(routed, "PATIENCE_SHARE", 0.0),
+    "cooldown": lambda: _off(
         placement.Loads, "is_cooling_down", lambda self, target: False
     ),
-    "told load": lambda: _off(
+    "reported load": lambda: _off(
         placement._TargetLoad, "others_now", lambda *_: 0.0
     ),
-    "care without retries": lambda: _off(retries.RetryBudget, "has_any", False),
-    "refusal at half of the time": lambda: _off(gateway, "WAIT_SHARE", 1.0),
-    "settling": lambda: _off(placement, "SETTLING", datetime.timedelta()),
-    "crossing limit": lambda: _off(
+    "caution without retries": lambda: _off(
+        retries.RetryBudget, "has_any", False
+    ),
+    "early refusal": lambda: _off(gateway, "WAIT_SHARE", 1.0),
+    "discovery time": lambda: _off(placement, "SETTLING", datetime.timedelta()),
+    "cross-region limit": lambda: _off(
         cross_region.CrossRegionBudget, "allows", lambda *_: True
     ),
 }
 
 
-def _worth(played: fleet.Fleet) -> float:
-    outcomes = played.outcomes.values()
-    earned = sum(item.in_aim + LATE_WORTH * item.late for item in outcomes)
-    return earned / sum(item.asked for item in outcomes)
+def _score(simulated: fleet.Fleet) -> float:
+    outcomes = simulated.outcomes.values()
+    value = sum(item.in_aim + LATE_VALUE * item.late for item in outcomes)
+    return value / sum(item.asked for item in outcomes)
 
 
 def _measure(
     pattern: collections.abc.Callable[[int], fleet.Fleet],
     seeds: range,
-    without: contextlib.AbstractContextManager[object],
+    patch: contextlib.AbstractContextManager[object],
 ) -> list[float]:
-    with without:
-        return [_worth(pattern(seed)) for seed in seeds]
+    with patch:
+        return [_score(pattern(seed)) for seed in seeds]
 
 
 def main() -> None:
-    """Prints the table."""
-    number = int(sys.argv[1]) if len(sys.argv) > 1 else 6
-    seeds = range(1, number + 1)
-    whole = {
+    """Prints the table of scores."""
+    seed_count = int(sys.argv[1]) if len(sys.argv) > 1 else 6
+    seeds = range(1, seed_count + 1)
+    with_all = {
         name: _measure(pattern, seeds, contextlib.nullcontext())
         for name, pattern in PATTERNS.items()
     }
@@ -168,14 +172,16 @@
     print("| --- |" + " --- |" * len(PATTERNS))
     cells = [
         f"{statistics.mean(values):.3f} ± {statistics.stdev(values):.3f}"
-        for values in whole.values()
+        for values in with_all.values()
     ]
     print("| (nothing) | " + " | ".join(cells) + " |")
-    for name, off in MECHANISMS.items():
+    for name, patch in MECHANISMS.items():
         cells = []
         for key, pattern in PATTERNS.items():
-            values = _measure(pattern, seeds, off())
-            difference = statistics.mean(values) - statistics.mean(whole[key])
+            values = _measure(pattern, seeds, patch())
+            difference = statistics.mean(values) - statistics.mean(
+                with_all[key]
+            )
             cells.append(f"{difference:+.3f}")
         print(f"| {name} | " + " | ".join(cells) + " |", flush=True)
 
--- a/benchmarks/configuration_transfer.py
+++ b/benchmarks/configuration_transfer.py
@@ -1,8 +1,8 @@
-"""Whole objects against deltas over a snapshot, for configuration.
+"""Compares sending whole configuration objects with sending deltas.
 
-The delta is the list of changed values with their paths, over a parent named
-by its fingerprint; a chain holds at most 8 of them before a whole object is
-sent again (the idea of "RVF Overlay Epochs"). Prints JSON.
+A delta lists the changed values with their paths, relative to a parent version
+that is named by its fingerprint. A chain has at most 8 deltas before the whole
+object is sent again (as in "RVF Overlay Epochs"). Prints JSON.
 """
 
 import collections.abc
@@ -16,21 +16,21 @@
 from endivewind.config import planning
 from endivewind.config import store
 
-CHAIN = 8
-CHANGES_A_DAY = 990
-NODES = 200
-RUNS = 5
-PARENT_BYTES = 16
+MAX_DELTAS = 8
+CHANGES_PER_DAY = 990
+NODE_COUNT = 200
+RUN_COUNT = 5
+FINGERPRINT_BYTES = 16
 
 
-def service() -> tuple[str, dict, dict]:
-    """A service whose slots change."""
+def make_service() -> tuple[str, dict, dict]:
+    """Returns kind, old and new spec of a service whose slots change."""
     old = {"slots": 3, "floor_slots": 12, "profile": "detection"}
     return store.SERVICE, old, {**old, "slots": 5}
 
 
-def group() -> tuple[str, dict, dict]:
-    """A group of twelve routes of which one changes its service."""
+def make_group() -> tuple[str, dict, dict]:
+    """Returns a group of twelve routes, one of which changes its service."""
     routes = [
         {
             "host": f"firm-{number:02d}.example",
@@ -44,8 +44,8 @@
     return store.ROUTE_GROUP, {"routes": routes}, {"routes": changed}
 
 
-def shard() -> tuple[str, dict, dict]:
-    """A shard of 725 workspaces of which one changes its rate."""
+def make_shard() -> tuple[str, dict, dict]:
+    """Returns a shard of 725 workspaces, one of which changes its rate."""
     rng = random.Random(1)
     workspaces = {
         f"workspace-{number:04d}": {
@@ -65,52 +65,52 @@
     )
 
 
-def packed(value: object) -> bytes:
-    """Compressed JSON, as objects spread."""
+def pack(value: object) -> bytes:
+    """Compresses a value as JSON, the form in which objects are replicated."""
     text = json.dumps(value, sort_keys=True, separators=(",", ":"))
     return zlib.compress(text.encode())
 
 
 def apply_whole(data: bytes) -> dict:
-    """What a node does with a whole object, without validating it."""
+    """Unpacks a whole object as a node does, without validation."""
     return json.loads(zlib.decompress(data))
 
 
-def apply_delta(held: bytes, data: bytes) -> bytes:
-    """What a node does with a delta: unpack, patch and pack again."""
-    value = json.loads(zlib.decompress(held))
+def apply_delta(parent: bytes, data: bytes) -> bytes:
+    """Applies a delta as a node would: unpacks, patches and packs again."""
+    value = json.loads(zlib.decompress(parent))
     for path, after in json.loads(zlib.decompress(data)):
         *parents, last = path
         inner = value
         for part in parents:
             inner = inner[part]
         inner[last] = after
-    return packed(value)
+    return pack(value)
 
 
-def path_of(text: str) -> list:
-    """The parts of a difference's path."""
+def split_path(text: str) -> list:
+    """Splits the path of a difference into keys and indexes."""
     parts = text.replace("[", ".[").split(".")
     return [int(part[1:-1]) if part.startswith("[") else part for part in parts]
 
 
-def milliseconds(
+def measure_milliseconds(
     work: collections.abc.Callable[[], object], times: int = 50
 ) -> float:
-    """Processor time of one call."""
+    """Measures the CPU time of one call in milliseconds."""
     start = time.process_time()
     for _ in range(times):
         work()
     return round((time.process_time() - start) / times * 1000, 4)
 
 
-def spread(kind: str, spec: dict) -> dict:
-    """Time and bytes until a whole object is in force on NODES cores."""
+def measure_replication(kind: str, spec: dict) -> dict:
+    """Measures time and bytes until an object is in force on all nodes."""
     value = {**bench_spreading.change(3, 2), "spec": spec}
     changed = (store.Key(kind, "changed"), value)
     runs = [
-        bench_spreading.run_once(NODES, 0.1, seed, changed)
-        for seed in range(1, RUNS + 1)
+        bench_spreading.run_once(NODE_COUNT, 0.1, seed, changed)
+        for seed in range(1, RUN_COUNT + 1)
     ]
     return {
         "median_seconds": round(statistics.median(r.seconds for r in runs), 3),
@@ -122,38 +122,45 @@
 
 
 def measure(name: str, case: tuple[str, dict, dict]) -> dict:
-    """One kind of change."""
+    """Measures one kind of change with whole objects and with deltas."""
     kind, old, new = case
-    delta = packed(
+    delta = pack(
         [
-            [path_of(item.path), item.after]
+            [split_path(item.path), item.after]
             for item in planning.differences(old, new)
         ]
     )
-    whole_old, whole_new = packed(old), packed(new)
+    whole_old, whole_new = pack(old), pack(new)
     per_change = {
         "whole_bytes": len(whole_new),
-        "delta_bytes": len(delta) + PARENT_BYTES,
-        # Every ninth change is sent whole, since the chain is bounded.
+        "delta_bytes": len(delta) + FINGERPRINT_BYTES,
+        # Every ninth change is sent as a whole object, since chains are bounded.
         "delta_bytes_with_snapshots": round(
-            (CHAIN * (len(delta) + PARENT_BYTES) + len(whole_new)) / (CHAIN + 1)
+            (MAX_DELTAS * (len(delta) + FINGERPRINT_BYTES) + len(whole_new))
+            / (MAX_DELTAS + 1)
         ),
     }
     return {
         "change": name,
         **per_change,
-        "whole_apply_ms": milliseconds(lambda: apply_whole(whole_new)),
-        "delta_apply_ms": milliseconds(lambda: apply_delta(whole_old, delta)),
+        "whole_apply_ms": measure_milliseconds(lambda: apply_whole(whole_new)),
+        "delta_apply_ms": measure_milliseconds(
+            lambda: apply_delta(whole_old, delta)
+        ),
         "whole_bytes_per_second_at_990_a_day": round(
-            len(whole_new) * CHANGES_A_DAY / 86_400, 1
+            len(whole_new) * CHANGES_PER_DAY / 86_400, 1
         ),
-        "spread_whole": spread(kind, new),
+        "spread_whole": measure_replication(kind, new),
     }
 
 
 def main() -> None:
-    """Prints the figures of each kind of change."""
-    cases = {"service": service(), "group": group(), "shard": shard()}
+    """Prints the figures for each kind of change."""
+    cases = {
+        "service": make_service(),
+        "group": make_group(),
+        "shard": make_shard(),
+    }
     print(json.dumps([measure(name, cases[name]) for name in cases], indent=2))
 
 
--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -1,11 +1,11 @@
-"""Says where requests were lost, from the log lines of all nodes of a day.
+"""Analyzes lost requests in the logs of all nodes.
 
     python benchmarks/losses.py LOG
 
-LOG holds one JSON line of a node's log per line, each behind the time of the
-day in seconds and the node's name, separated by blanks. Printed are requests
-that were not answered well, by kind, by the way that they went and by moment.
-A kind is its service and whether it must not repeat.
+Each line of LOG has the time of the day in seconds, the node's name, and a JSON
+line of the node's log, separated by blanks. Prints the number of requests whose
+result was not 200 by kind, by their attempts, and by time. A kind is a service,
+with "once" for requests that are not idempotent and "again" for others.
 """
 
 import collections
@@ -13,53 +13,56 @@
 import json
 import sys
 
-# Long enough to hold some losses each, short enough to tell one trouble of a
-# day from the next.
-MOMENT_SECONDS = 2.0
+# Long enough for several losses in each interval, short enough to separate one
+# incident of a day from the next.
+INTERVAL_SECONDS = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """One request's line.
+    """A logged request.
 
     Attributes:
-      at: seconds of the day at which it ended.
-      service: its service.
-      once: whether it must not repeat.
-      result: what its caller got.
-      milliseconds: how long it took.
-      tries: the tries, as logged.
+      ended_at: time of the day in seconds.
+      service: name of the service.
+      is_non_idempotent: whether it must not run twice.
+      result: the logged result.
+      milliseconds: duration.
+      attempts: logged fields of each attempt.
     """
 
-    at: float
+    ended_at: float
     service: str
-    once: bool
+    is_non_idempotent: bool
     result: str
     milliseconds: int
-    tries: list[dict]
+    attempts: list[dict]
 
     @property
     def is_lost(self) -> bool:
-        """Whether its caller got no answer of use."""
+        """Whether the caller got no successful response."""
         return self.result != "200"
 
     @property
     def kind(self) -> str:
-        """Service and whether it must not repeat."""
-        return f"{self.service} {'once' if self.once else 'again'}"
+        """The service and whether the request is idempotent."""
+        return f"{self.service} {'once' if self.is_non_idempotent else 'again'}"
 
     @property
-    def way(self) -> str:
-        """The tries in short: each result, with doubt before it where high."""
-        return " > ".join(_step(item) for item in self.tries) or "no try"
+    def attempt_results(self) -> str:
+        """The result of each attempt, with a ? if the target was suspected."""
+        return (
+            " > ".join(_format_attempt(item) for item in self.attempts)
+            or "no try"
+        )
 
 
-def read(path: str) -> list[Request]:
-    """The requests of a log."""
-    found = []
+def read_requests(path: str) -> list[Request]:
+    """Reads the requests from a log file."""
+    requests = []
     with open(path, encoding="utf-8", errors="replace") as lines:
         for line in lines:
-            at, _, rest = line.strip().partition(" ")
+            time_text, _, rest = line.strip().partition(" ")
             start = rest.find("{")
             if start < 0 or '"message": "request"' not in rest:
                 continue
@@ -67,9 +70,9 @@
                 fields = json.loads(rest[start:])
             except json.JSONDecodeError:
                 continue
-            found.append(
+            requests.append(
                 Request(
-                    float(at),
+                    float(time_text),
                     fields["service"],
                     fields["once"],
                     fields["result"],
@@ -77,37 +80,38 @@
                     fields["tries"],
                 )
             )
-    return found
+    return requests
 
 
-def _step(item: dict) -> str:
-    doubt = "?" if item["suspicion"] >= 0.5 else ""
-    return f"{item['result']}{doubt}"
+def _format_attempt(item: dict) -> str:
+    mark = "?" if item["suspicion"] >= 0.5 else ""
+    return f"{item['result']}{mark}"
 
 
-def _print_counts(title: str, counts: collections.Counter, most: int) -> None:
+def _print_counts(title: str, counts: collections.Counter, limit: int) -> None:
     print(f"\n{title}")
-    for key, count in counts.most_common(most):
+    for key, count in counts.most_common(limit):
         print(f"{count:6}  {key}")
 
 
 def main() -> None:
-    """Prints the tables."""
-    lost = [item for item in read(sys.argv[1]) if item.is_lost]
+    """Prints the tables of lost requests."""
+    lost = [item for item in read_requests(sys.argv[1]) if item.is_lost]
     kinds = collections.Counter(item.kind for item in lost)
     _print_counts("lost by kind", kinds, 10)
     for kind in kinds:
         of_kind = [item for item in lost if item.kind == kind]
-        ways = collections.Counter(
-            f"{item.result}: {item.way}" for item in of_kind
+        paths = collections.Counter(
+            f"{item.result}: {item.attempt_results}" for item in of_kind
         )
-        _print_counts(f"{kind}: ways", ways, 12)
-    moments = collections.Counter(
-        (item.at // MOMENT_SECONDS * MOMENT_SECONDS, item.kind) for item in lost
+        _print_counts(f"{kind}: attempts", paths, 12)
+    intervals = collections.Counter(
+        (item.ended_at // INTERVAL_SECONDS * INTERVAL_SECONDS, item.kind)
+        for item in lost
     )
-    print("\nlost by moment")
-    for (moment, kind), count in sorted(moments.items()):
-        print(f"{moment:6.0f} s  {kind}: {count}")
+    print("\nlost by time")
+    for (start, kind), count in sorted(intervals.items()):
+        print(f"{start:6.0f} s  {kind}: {count}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -1,8 +1,8 @@
-"""Compares ways to keep quotas over all nodes, in virtual time.
+"""Compares methods of distributed rate limiting, in virtual time.
 
-Prints, for each way and load, the worst excess over the users' bound, the
-share refused of what one bucket for all would let through, and the questions
-for each request.
+Prints for each method and load the highest excess over the users' bound, the
+share refused of the requests that a single token bucket would admit, and the
+messages per request.
 
     python benchmarks/quotas.py
 """
@@ -17,28 +17,31 @@
 
 SEEDS = (1, 2, 3)
 SECONDS = 15
-SIZE = 102
+NODE_COUNT = 102
 
 
 def _no_lending():
     return mock.patch.object(quotas.TokenBucket, "wanted", return_value=0)
 
 
-def _told_late():
-    """Every node has the whole quota and would correct itself later."""
+def _whole_quota_everywhere():
+    """Gives every node the whole quota, corrected only afterwards."""
     return mock.patch.object(peers.QuotaPeer, "_zones", return_value=1)
 
 
-WAYS = {
+METHODS = {
     "equal parts of nodes": (lambda number: f"n{number}", _no_lending),
-    "each node has it all": (lambda number: f"n{number}", _told_late),
-    "one keeper for all": (lambda number: "all", contextlib.nullcontext),
-    "a keeper in each zone": (None, _no_lending),
+    "each node has it all": (
+        lambda number: f"n{number}",
+        _whole_quota_everywhere,
+    ),
+    "one owner for all": (lambda number: "all", contextlib.nullcontext),
+    "an owner in each zone": (None, _no_lending),
     "the same, and lending": (None, contextlib.nullcontext),
 }
 
 
-def _usual():
+def _usual_load():
     return quotas_tests.skewed_traffic(20)
 
 
@@ -48,7 +51,7 @@
     return [item, *quotas_tests.skewed_traffic(5)]
 
 
-def _hot():
+def _one_busy_workspace():
     first, *rest = quotas_tests.skewed_traffic(12)
     busy = loads.Traffic(
         first.workspace,
@@ -60,18 +63,22 @@
     return [busy, *rest]
 
 
-LOADS = {"usual": _usual, "all in one zone": _one_zone, "one at 7.5": _hot}
+LOADS = {
+    "usual": _usual_load,
+    "all in one zone": _one_zone,
+    "one at 7.5": _one_busy_workspace,
+}
 
 
 def main() -> None:
-    """Prints a line for each way and load."""
+    """Prints a line for each method and load."""
     for load, traffic in LOADS.items():
-        for way, (zones, patched) in WAYS.items():
-            excess, refused, asked, requests = -1e9, 0.0, 0, 0
-            through = 0
+        for method, (zones, patch) in METHODS.items():
+            excess, refused, messages, requests = -1e9, 0.0, 0, 0
+            admitted = 0
             for seed in SEEDS:
-                with patched():
-                    fleet = loads.Fleet(SIZE, traffic(), seed, zones)
+                with patch():
+                    fleet = loads.Fleet(NODE_COUNT, traffic(), seed, zones)
                     fleet.run(SECONDS)
                 for name, outcome in fleet.outcomes.items():
                     quota = fleet.quotas[name]
@@ -80,13 +87,13 @@
                     refused += (
                         share * len(outcome.admissions) / max(1e-9, 1 - share)
                     )
-                    through += len(outcome.admissions)
-                asked += fleet.message_count
+                    admitted += len(outcome.admissions)
+                messages += fleet.message_count
                 requests += fleet.request_count
             print(
-                f"{load:16} {way:22} excess {excess:7.1f}"
-                f"  refused below {refused / (through + refused):6.3f}"
-                f"  questions a request {asked / requests:5.2f}"
+                f"{load:16} {method:22} excess {excess:7.1f}"
+                f"  refused {refused / (admitted + refused):6.3f}"
+                f"  messages a request {messages / requests:5.2f}"
             )
 
 
--- a/benchmarks/silent_path.py
+++ b/benchmarks/silent_path.py
@@ -1,8 +1,8 @@
-"""Measures what a one-way partition costs the callers of one entry.
+"""Measures the effect of a one-way partition on callers of one entry node.
 
-Run with `python benchmarks/silent_path.py`. Prints JSON: for each phase the
-requests sent one after another for a fixed time, how many were answered by
-the near and the far target, and the latency in milliseconds.
+Run with `python benchmarks/silent_path.py`. Each phase sends requests one after
+the other for a fixed time. Prints JSON: the requests of each phase, how many
+were served by the near and the far target, and the latencies in milliseconds.
 """
 
 import asyncio
@@ -18,20 +18,20 @@
 
 
 async def main() -> None:
-    """Runs the healthy, the broken and the mended phase."""
-    async with partition_tests.fleet() as (_, entry, broken):
+    """Measures before, during and after the partition."""
+    async with partition_tests.fleet() as (_, entry, broken_link):
         address = entry.listening["callers"]
-        report = {"healthy": await _phase(address)}
-        broken.back = relay.Mode.DROP
-        report["one direction lost"] = await _phase(address)
-        broken.back = relay.Mode.PASS
-        report["mended"] = await _phase(address)
+        report = {"healthy": await _measure_phase(address)}
+        broken_link.back = relay.Mode.DROP
+        report["one direction lost"] = await _measure_phase(address)
+        broken_link.back = relay.Mode.PASS
+        report["mended"] = await _measure_phase(address)
     print(json.dumps(report, indent=2))
 
 
-async def _phase(address: str) -> dict[str, object]:
+async def _measure_phase(address: str) -> dict[str, object]:
     latencies = []
-    answered: dict[str, int] = {}
+    served: dict[str, int] = {}
     end = time.monotonic() + PHASE_SECONDS
     async with aiohttp.ClientSession() as session:
         while time.monotonic() < end:
@@ -40,11 +40,11 @@
                 body = await response.json()
             latencies.append(1000 * (time.monotonic() - start))
             name = body.get("target", body.get("outcome"))
-            answered[name] = answered.get(name, 0) + 1
+            served[name] = served.get(name, 0) + 1
     latencies.sort()
     return {
         "requests": len(latencies),
-        "answered by": answered,
+        "answered by": served,
         "over 500 ms": sum(item > 500 for item in latencies),
         "p50 ms": round(latencies[len(latencies) // 2], 2),
         "p99 ms": round(latencies[len(latencies) * 99 // 100], 2),
