--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -20,18 +20,18 @@
 from endivewind.callers import budgets
 from endivewind.callers import gateway
 from endivewind.callers import placement
-from endivewind.callers import routed
+from endivewind.callers import routed_request
 from endivewind.decisions import cross_region
 from endivewind.decisions import load_balancing
 from endivewind.decisions import peer_updates
-from endivewind.decisions import retries
+from endivewind.decisions import retry_budget
 from endivewind.decisions import suspicion
 from endivewind.targets import slots
 from endivewind.tests.loads import fleet
 
-ORDER = fleet.Kind("order", 48.7, 0.66, 0.3, 3.0, 10.0, once=True)
-CALL = fleet.Kind("call", 20, 0.16, 0.5, 0.6, 2.0, rank=0)
-LOOKUP = fleet.Kind("lookup", 13.9, 0.87, 0.8, 3.0, 8.0, rank=2)
+ORDER = fleet.RequestKind("order", 48.7, 0.66, 0.3, 3.0, 10.0, is_non_idempotent=True)
+CALL = fleet.RequestKind("call", 20, 0.16, 0.5, 0.6, 2.0, rank=0)
+LOOKUP = fleet.RequestKind("lookup", 13.9, 0.87, 0.8, 3.0, 8.0, rank=2)
 KINDS = (ORDER, CALL, LOOKUP)
 FLEET_OPTIONS = {"slots": 7, "entries_per_zone": 6, "retries": (12, 35)}
 LATE_VALUE = 0.3
@@ -47,41 +47,41 @@
             if simulated.rng.random() < 0.3
         ]
         for target in unhealthy:
-            target.fails = 0.9
-        simulated.play(5, KINDS)
+            target.failure_share = 0.9
+        simulated.run(5, KINDS)
         for target in unhealthy:
-            target.fails = 0.012
-        simulated.play(3, KINDS)
+            target.failure_share = 0.012
+        simulated.run(3, KINDS)
     return simulated
 
 
 def _overload(seed: int) -> fleet.Fleet:
     """A quarter is unhealthy, and the load exceeds the rest's capacity."""
     simulated = fleet.Fleet(seed, **FLEET_OPTIONS)
-    simulated.play(3, KINDS)
+    simulated.run(3, KINDS)
     for name in simulated.rng.sample(list(simulated.targets), 3):
-        simulated.targets[name].fails = 0.9
-    simulated.play(5, KINDS, scale=1.8)
+        simulated.targets[name].failure_share = 0.9
+    simulated.run(5, KINDS, scale=1.8)
     return simulated
 
 
 def _hanging_targets(seed: int) -> fleet.Fleet:
     """Two targets never respond to most requests."""
     simulated = fleet.Fleet(seed, **FLEET_OPTIONS)
-    simulated.play(3, KINDS)
+    simulated.run(3, KINDS)
     for name in simulated.rng.sample(list(simulated.targets), 2):
-        simulated.targets[name].hangs = 0.6
-    simulated.play(10, KINDS)
+        simulated.targets[name].hang_share = 0.6
+    simulated.run(10, KINDS)
     return simulated
 
 
 def _slow_targets(seed: int) -> fleet.Fleet:
     """Two targets take five times as long for each request."""
     simulated = fleet.Fleet(seed, **FLEET_OPTIONS)
-    simulated.play(3, KINDS)
+    simulated.run(3, KINDS)
     for name in simulated.rng.sample(list(simulated.targets), 2):
-        simulated.targets[name].factor = 5.0
-    simulated.play(10, KINDS)
+        simulated.targets[name].slowdown = 5.0
+    simulated.run(10, KINDS)
     return simulated
 
 
@@ -91,8 +91,8 @@
     for zone in fleet.ZONES:
         for number in range(fleet.TARGETS_PER_ZONE):
             seconds = simulated.rng.uniform(0.5, 1.5)
-            simulated.join_later(f"{zone}-{number}", zone, seconds)
-    simulated.play(6, KINDS)
+            simulated.schedule_join(f"{zone}-{number}", zone, seconds)
+    simulated.run(6, KINDS)
     return simulated
 
 
@@ -105,50 +105,50 @@
 }
 
 
-def _off(target: object, name: str, value: object) -> mock._patch:
+def _disable(target: object, name: str, value: object) -> mock._patch:
     return mock.patch.object(target, name, value)
 
 
-def _no_hedging(self: gateway.Gateway, call: routed.RoutedRequest) -> None:
+def _no_hedging(self: gateway.Gateway, call: routed_request.RoutedRequest) -> None:
     return None
 
 
 MECHANISMS = {
-    "suspicion": lambda: _off(
+    "suspicion": lambda: _disable(
         suspicion.SuspicionEstimator, "observe", lambda *_: None
     ),
-    "target updates": lambda: _off(
-        peer_updates.TargetUpdatePublisher, "due_updates", lambda *_: ()
+    "target updates": lambda: _disable(
+        peer_updates.TargetUpdatePublisher, "take_due_updates", lambda *_: ()
     ),
-    "probing": lambda: _off(load_balancing, "PROBE_SHARE", 0.0),
-    "hedging": lambda: _off(gateway.Gateway, "_second", _no_hedging),
-    "retry sharing": lambda: _off(budgets.RetryBudgets, "due", lambda self: ()),
-    "retry sharing in the region": lambda: _off(
+    "probing": lambda: _disable(load_balancing, "PROBE_SHARE", 0.0),
+    "hedging": lambda: _disable(gateway.Gateway, "_hedge_attempt", _no_hedging),
+    "retry sharing": lambda: _disable(budgets.RetryBudgets, "take_due_updates", lambda self: ()),
+    "retry sharing in the region": lambda: _disable(
         peer_updates, "shares_retries_in_region", lambda others: False
     ),
-    "queue at the home node": lambda: _off(slots, "QUEUE_PER_SLOT", 0),
-    "waiting for slots": lambda: _off(routed, "PATIENCE_SHARE", 0.0),
-    "cooldown": lambda: _off(
-        placement.Loads, "is_cooling_down", lambda self, target: False
+    "queue at the home node": lambda: _disable(slots, "QUEUE_LENGTH_PER_SLOT", 0),
+    "waiting for slots": lambda: _disable(routed_request, "MAX_WAIT_SHARE", 0.0),
+    "cooldown": lambda: _disable(
+        placement.TargetLoads, "is_cooling_down", lambda self, target: False
     ),
-    "reported load": lambda: _off(
-        placement._TargetLoad, "others_now", lambda *_: 0.0
+    "reported load": lambda: _disable(
+        placement._TargetLoad, "remaining_peer_load", lambda *_: 0.0
     ),
-    "caution without retries": lambda: _off(
-        retries.RetryBudget, "has_any", False
+    "caution without retries": lambda: _disable(
+        retry_budget.RetryBudget, "allows_retries", False
     ),
-    "early refusal": lambda: _off(gateway, "WAIT_SHARE", 1.0),
-    "discovery time": lambda: _off(placement, "SETTLING", datetime.timedelta()),
-    "cross-region limit": lambda: _off(
+    "early refusal": lambda: _disable(gateway, "MAX_QUEUE_TIME_SHARE", 1.0),
+    "discovery time": lambda: _disable(placement, "DISCOVERY_TIME", datetime.timedelta()),
+    "cross-region limit": lambda: _disable(
         cross_region.CrossRegionBudget, "allows", lambda *_: True
     ),
 }
 
 
 def _score(simulated: fleet.Fleet) -> float:
-    outcomes = simulated.outcomes.values()
-    value = sum(item.in_aim + LATE_VALUE * item.late for item in outcomes)
-    return value / sum(item.asked for item in outcomes)
+    outcomes = simulated.stats.values()
+    value = sum(item.on_time + LATE_VALUE * item.late for item in outcomes)
+    return value / sum(item.request_count for item in outcomes)
 
 
 def _measure(
--- a/benchmarks/configuration_transfer.py
+++ b/benchmarks/configuration_transfer.py
@@ -106,7 +106,7 @@
 
 def measure_replication(kind: str, spec: dict) -> dict:
     """Measures time and bytes until an object is in force on all nodes."""
-    value = {**bench_spreading.change(3, 2), "spec": spec}
+    value = {**bench_spreading.make_service_value(3, 2), "spec": spec}
     changed = (store.Key(kind, "changed"), value)
     runs = [
         bench_spreading.run_once(NODE_COUNT, 0.1, seed, changed)
@@ -127,7 +127,7 @@
     delta = pack(
         [
             [split_path(item.path), item.after]
-            for item in planning.differences(old, new)
+            for item in planning.find_differences(old, new)
         ]
     )
     whole_old, whole_new = pack(old), pack(new)
--- a/benchmarks/silent_path.py
+++ b/benchmarks/silent_path.py
@@ -20,11 +20,11 @@
 async def main() -> None:
     """Measures before, during and after the partition."""
     async with partition_tests.fleet() as (_, entry, broken_link):
-        address = entry.listening["callers"]
+        address = entry.listening_line["callers"]
         report = {"healthy": await _measure_phase(address)}
-        broken_link.back = relay.Mode.DROP
+        broken_link.from_upstream = relay.Mode.DROP
         report["one direction lost"] = await _measure_phase(address)
-        broken_link.back = relay.Mode.PASS
+        broken_link.from_upstream = relay.Mode.PASS
         report["mended"] = await _measure_phase(address)
     print(json.dumps(report, indent=2))
 
--- a/endivewind/bench/experiment.py
+++ b/endivewind/bench/experiment.py
@@ -10,30 +10,30 @@
 
 from endivewind.bench import policies
 from endivewind.bench import scenarios
-from endivewind.bench import virtual
+from endivewind.bench import virtual_time
 from endivewind.config import objects
-from endivewind.decisions import retries
+from endivewind.decisions import retry_budget
 from endivewind.targets import evidence
 
-DEADLINE = 5.0
+DEADLINE_SECONDS = 5.0
 QUEUE_LIMIT = 64
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 RETRY_PERCENT = 10
-REPEATABLE = 0.8
-LONG = 3600.0
-ERROR_SECONDS = 0.005
+IDEMPOTENT_SHARE = 0.8
+LONG_RUN_SECONDS = 3600.0
+ERROR_LATENCY_SECONDS = 0.005
 _FAILURES = frozenset(
     {
-        evidence.Kind.ERROR,
-        evidence.Kind.SHED,
-        evidence.Kind.LOST,
-        evidence.Kind.REFUSED_CONNECTION,
+        evidence.ResultKind.ERROR,
+        evidence.ResultKind.SHED,
+        evidence.ResultKind.LOST,
+        evidence.ResultKind.REFUSED_CONNECTION,
     }
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Row:
+class ExperimentResult:
     """Result of one experiment.
 
     Attributes:
@@ -75,7 +75,10 @@
     __slots__ = ("ended", "is_idempotent", "started", "tried", "work")
 
     def __init__(
-        self, work: scenarios.Work, is_idempotent: bool, started: float
+        self,
+        work: scenarios.RequestProfile,
+        is_idempotent: bool,
+        started: float,
     ) -> None:
         self.work = work
         self.is_idempotent = is_idempotent
@@ -110,11 +113,11 @@
         self._scenario = scenario
         self._rng = random.Random(seed)
         self._seed = seed
-        self._time = virtual.VirtualTime()
+        self._time = virtual_time.VirtualTime()
         self._policy_name = policy
         self._policy = self._make_policy(policy, profile)
-        self._budget = retries.RetryBudget(
-            retries.RetryLimits(RETRY_PERCENT / 100)
+        self._budget = retry_budget.RetryBudget(
+            retry_budget.RetryLimits(RETRY_PERCENT / 100)
         )
         self._queue: collections.deque[_Request] = collections.deque()
         self._running_attempts: dict[str, dict[_Attempt, None]] = (
@@ -130,12 +133,14 @@
         self._detected_at: float | None = None
         self._ejected_targets: set[int] = set()
         self._returned_at: float | None = None
-        self._least_slots = scenarios.TARGETS * scenarios.SLOTS
+        self._least_slots = scenarios.TARGET_COUNT * scenarios.SLOTS_PER_TARGET
 
-    def run(self) -> Row:
+    def run(self) -> ExperimentResult:
         """Runs the experiment and returns its result."""
         if self._scenario.fault is not None:
-            self._time.after(scenarios.FAULT_FROM, self._start_fault)
+            self._time.call_later(
+                scenarios.FAULT_START_SECONDS, self._start_fault
+            )
         self._handle_arrival()
         self._time.run(self._scenario.end)
         return self._result()
@@ -149,7 +154,7 @@
             return policies.ConsecutiveErrors(
                 self._time, self._record_status_change
             )
-        return policies.Own(
+        return policies.NodePolicy(
             profile,
             self._time,
             random.Random(self._seed),
@@ -158,20 +163,20 @@
 
     def _handle_arrival(self) -> None:
         scenario = self._scenario
-        slots = scenarios.TARGETS * scenarios.SLOTS
+        slots = scenarios.TARGET_COUNT * scenarios.SLOTS_PER_TARGET
         rate = scenario.load * slots / scenario.mean_seconds()
         request_count = 1
-        if scenario.skewed and self._rng.random() < 0.05:
+        if scenario.is_skewed and self._rng.random() < 0.05:
             request_count = 10
-        if scenario.skewed:
+        if scenario.is_skewed:
             rate /= 1.45
         for _ in range(request_count):
             self._create_request()
-        self._time.after(self._rng.expovariate(rate), self._handle_arrival)
+        self._time.call_later(self._rng.expovariate(rate), self._handle_arrival)
 
     def _create_request(self) -> None:
-        work = self._scenario.work(self._rng)
-        is_idempotent = self._rng.random() < REPEATABLE
+        work = self._scenario.draw_request(self._rng)
+        is_idempotent = self._rng.random() < IDEMPOTENT_SHARE
         request = _Request(work, is_idempotent, self._time.seconds)
         self._request_count += 1
         self._budget.record_request(self._time.monotonic())
@@ -188,7 +193,7 @@
             return False
         request.tried.add(target)
         self._attempt_count += 1
-        number = self._policy.started(target)
+        number = self._policy.record_start(target)
         attempt = _Attempt(request, target, number, self._time.seconds)
         in_use = len(self._running_attempts[target])
         self._running_attempts[target][attempt] = None
@@ -197,32 +202,32 @@
 
     def _serve(self, attempt: _Attempt, in_use: int) -> None:
         now = self._time.seconds
-        target = policies.number_of(attempt.target)
+        target = policies.target_number(attempt.target)
         work = attempt.request.work
-        effect = scenarios.WELL
-        if self._scenario.is_sick(target, now):
+        effect = scenarios.HEALTHY
+        if self._scenario.is_unhealthy(target, now):
             self._record_affected_request(attempt.target, now)
             assert self._scenario.fault is not None
-            since = now - scenarios.FAULT_FROM
+            since = now - scenarios.FAULT_START_SECONDS
             effect = self._scenario.fault(work, in_use, since, self._rng)
-        remaining = DEADLINE - (now - attempt.request.started)
+        remaining = DEADLINE_SECONDS - (now - attempt.request.started)
         if effect.refuses or effect.sheds or effect.fails:
-            kind = evidence.Kind.ERROR
+            kind = evidence.ResultKind.ERROR
             if effect.sheds:
-                kind = evidence.Kind.SHED
+                kind = evidence.ResultKind.SHED
             if effect.refuses:
-                kind = evidence.Kind.REFUSED_CONNECTION
-            self._time.after(
-                ERROR_SECONDS,
+                kind = evidence.ResultKind.REFUSED_CONNECTION
+            self._time.call_later(
+                ERROR_LATENCY_SECONDS,
                 functools.partial(self._end_attempt, attempt, kind),
             )
             return
         seconds = work.seconds * effect.factor
         if effect.hangs or seconds >= remaining:
-            kind, seconds = evidence.Kind.TIMEOUT, max(remaining, 0.0)
+            kind, seconds = evidence.ResultKind.TIMEOUT, max(remaining, 0.0)
         else:
-            kind = evidence.Kind.SUCCESS
-        self._time.after(
+            kind = evidence.ResultKind.SUCCESS
+        self._time.call_later(
             seconds, functools.partial(self._end_attempt, attempt, kind)
         )
 
@@ -231,19 +236,21 @@
         if self._first_affected_at is None:
             self._first_affected_at = now
         is_propagated = self._detected_at is not None and (
-            now > self._detected_at + 2 * policies.GOSSIP_SECONDS
+            now > self._detected_at + 2 * policies.GOSSIP_DELAY_SECONDS
         )
         if not is_propagated and self._policy.is_normal(target):
             self._last_normal_at = now
 
-    def _end_attempt(self, attempt: _Attempt, kind: evidence.Kind) -> None:
+    def _end_attempt(
+        self, attempt: _Attempt, kind: evidence.ResultKind
+    ) -> None:
         if attempt.ended:
             return
         attempt.ended = True
         del self._running_attempts[attempt.target][attempt]
         now = self._time.seconds
         request = attempt.request
-        self._policy.finished(
+        self._policy.record_finish(
             attempt.target,
             attempt.number,
             kind,
@@ -253,18 +260,20 @@
         self._handle_result(request, kind)
         self._drain_queue()
 
-    def _handle_result(self, request: _Request, kind: evidence.Kind) -> None:
+    def _handle_result(
+        self, request: _Request, kind: evidence.ResultKind
+    ) -> None:
         now = self._time.seconds
-        if kind is evidence.Kind.SUCCESS:
+        if kind is evidence.ResultKind.SUCCESS:
             if self._is_measured(request):
                 self._latencies.append(now - request.started)
             return
-        not_run = kind is evidence.Kind.REFUSED_CONNECTION
+        not_run = kind is evidence.ResultKind.REFUSED_CONNECTION
         is_repeatable = request.is_idempotent or not_run
         can_retry = (
             kind in _FAILURES
             and is_repeatable
-            and len(request.tried) < MAX_TRIES
+            and len(request.tried) < MAX_ATTEMPTS
         )
         is_retry_allowed = can_retry and self._budget.take(
             self._time.monotonic()
@@ -275,14 +284,14 @@
 
     def _is_measured(self, request: _Request) -> bool:
         """Whether to record latency: from the fault on; 1 % in long runs."""
-        if self._scenario.end > LONG and self._request_count % 100:
+        if self._scenario.end > LONG_RUN_SECONDS and self._request_count % 100:
             return False
-        return request.started >= scenarios.FAULT_FROM
+        return request.started >= scenarios.FAULT_START_SECONDS
 
     def _drain_queue(self) -> None:
         while self._queue:
             request = self._queue[0]
-            if self._time.seconds - request.started >= DEADLINE:
+            if self._time.seconds - request.started >= DEADLINE_SECONDS:
                 self._queue.popleft()
                 self._refused_count += 1
                 continue
@@ -292,16 +301,16 @@
 
     def _start_fault(self) -> None:
         """Fails the running requests of targets whose fault is a crash."""
-        for target in self._scenario.sick:
+        for target in self._scenario.unhealthy_targets:
             if self._crashes(target):
                 for attempt in list(
-                    self._running_attempts[policies.name_of(target)]
+                    self._running_attempts[policies.target_id(target)]
                 ):
-                    self._end_attempt(attempt, evidence.Kind.LOST)
+                    self._end_attempt(attempt, evidence.ResultKind.LOST)
 
     def _crashes(self, target: int) -> bool:
         fault = self._scenario.fault
-        work = scenarios.Work(0.0, 0, 0)
+        work = scenarios.RequestProfile(0.0, 0, 0)
         return fault is not None and (
             fault(work, 0, 0.0, random.Random(0)).refuses
         )
@@ -313,14 +322,18 @@
         )
         if not is_ejected:
             self._ejected_targets.discard(target)
-            if now >= self._scenario.fault_to and self._returned_at is None:
+            if now >= self._scenario.fault_end and self._returned_at is None:
                 self._returned_at = now
             return
         self._ejected_targets.add(target)
-        is_innocent = self._scenario.kind is scenarios.Class.INNOCENT
+        is_innocent = (
+            self._scenario.expectation is scenarios.Expectation.INNOCENT
+        )
         # A flapping target also counts as unhealthy in its healthy phases.
-        in_fault = scenarios.FAULT_FROM <= now < self._scenario.fault_to + 2
-        is_affected = target in self._scenario.sick and in_fault
+        in_fault = (
+            scenarios.FAULT_START_SECONDS <= now < self._scenario.fault_end + 2
+        )
+        is_affected = target in self._scenario.unhealthy_targets and in_fault
         if is_innocent or not is_affected or self._scenario.fault is None:
             self._false_ejections += 1
             return
@@ -328,7 +341,7 @@
         if self._detected_at is None:
             self._detected_at = now
 
-    def _result(self) -> Row:
+    def _result(self) -> ExperimentResult:
         latencies = self._latencies
         latencies.sort()
         detection = None
@@ -342,8 +355,8 @@
             )
         returned = None
         if self._returned_at is not None:
-            returned = self._returned_at - self._scenario.fault_to
-        return Row(
+            returned = self._returned_at - self._scenario.fault_end
+        return ExperimentResult(
             scenario=self._scenario.name,
             policy=self._policy_name,
             seed=self._seed,
--- a/endivewind/bench/scenarios.py
+++ b/endivewind/bench/scenarios.py
@@ -9,22 +9,22 @@
 import math
 import random
 
-TARGETS = 12
-SLOTS = 3
-LOAD = 0.6
+TARGET_COUNT = 12
+SLOTS_PER_TARGET = 3
+DEFAULT_LOAD = 0.6
 MEDIAN_SECONDS = 0.1
-SPREAD = 0.4
-WORKSPACES = 20
-ROUTES = 4
-FAULT_FROM = 20.0
-FAULT_TO = 50.0
-END = 90.0
+LATENCY_LOG_STDDEV = 0.4
+WORKSPACE_COUNT = 20
+ROUTE_COUNT = 4
+FAULT_START_SECONDS = 20.0
+FAULT_END_SECONDS = 50.0
+DURATION_SECONDS = 90.0
 # Two seeds of it make a day; one takes a quarter of an hour of CPU time.
-HALF_DAY = 12 * 3600.0
-SICK = 0
+HALF_DAY_SECONDS = 12 * 3600.0
+UNHEALTHY_TARGET = 0
 
 
-class Class(enum.StrEnum):
+class Expectation(enum.StrEnum):
     """The ejection behaviour that a scenario expects.
 
     GRAY is a partial fault and HARD a crash, both to be ejected. INNOCENT has
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Work:
+class RequestProfile:
     """The properties of one request.
 
     Attributes:
@@ -70,10 +70,12 @@
     refuses: bool = False
 
 
-WELL = Effect()
+HEALTHY = Effect()
 # Returns the effect of a fault on a request, given the slots in use at the
 # target, the seconds since the fault started and a random generator.
-Fault = collections.abc.Callable[[Work, int, float, random.Random], Effect]
+Fault = collections.abc.Callable[
+    [RequestProfile, int, float, random.Random], Effect
+]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -95,45 +97,50 @@
     """
 
     name: str
-    kind: Class
+    expectation: Expectation
     fault: Fault | None = None
-    sick: tuple[int, ...] = (SICK,)
-    load: float = LOAD
+    unhealthy_targets: tuple[int, ...] = (UNHEALTHY_TARGET,)
+    load: float = DEFAULT_LOAD
     period: float = 0.0
-    end: float = END
-    fault_to: float = FAULT_TO
-    skewed: bool = False
+    end: float = DURATION_SECONDS
+    fault_end: float = FAULT_END_SECONDS
+    is_skewed: bool = False
     long_share: float = 0.0
 
-    def is_sick(self, target: int, now: float) -> bool:
+    def is_unhealthy(self, target: int, now: float) -> bool:
         """Whether the fault affects a target now."""
-        if self.fault is None or target not in self.sick:
+        if self.fault is None or target not in self.unhealthy_targets:
             return False
-        if not FAULT_FROM <= now < self.fault_to:
+        if not FAULT_START_SECONDS <= now < self.fault_end:
             return False
         if not self.period:
             return True
-        return (now - FAULT_FROM) % self.period < self.period / 2
+        return (now - FAULT_START_SECONDS) % self.period < self.period / 2
 
-    def work(self, rng: random.Random) -> Work:
+    def draw_request(self, rng: random.Random) -> RequestProfile:
         """Draws the properties of one request."""
-        seconds = MEDIAN_SECONDS * math.exp(rng.gauss(0, SPREAD))
+        seconds = MEDIAN_SECONDS * math.exp(rng.gauss(0, LATENCY_LOG_STDDEV))
         if self.long_share and rng.random() < self.long_share:
             seconds *= 8
         position = rng.random()
-        if self.skewed:
+        if self.is_skewed:
             position = position**3
-        return Work(seconds, int(position * WORKSPACES), rng.randrange(ROUTES))
+        return RequestProfile(
+            seconds, int(position * WORKSPACE_COUNT), rng.randrange(ROUTE_COUNT)
+        )
 
     def mean_seconds(self) -> float:
         """Returns the mean service time at a healthy target."""
-        mean = MEDIAN_SECONDS * math.exp(SPREAD**2 / 2)
+        mean = MEDIAN_SECONDS * math.exp(LATENCY_LOG_STDDEV**2 / 2)
         return mean * (1 + 7 * self.long_share)
 
 
 def _random_errors(share: float) -> Fault:
     def fault(
-        work: Work, in_use: int, seconds_since_start: float, rng: random.Random
+        work: RequestProfile,
+        in_use: int,
+        seconds_since_start: float,
+        rng: random.Random,
     ) -> Effect:
         return Effect(fails=rng.random() < share)
 
@@ -142,7 +149,10 @@
 
 def _constant_fault(effect: Effect) -> Fault:
     def fault(
-        work: Work, in_use: int, seconds_since_start: float, rng: random.Random
+        work: RequestProfile,
+        in_use: int,
+        seconds_since_start: float,
+        rng: random.Random,
     ) -> Effect:
         return effect
 
@@ -150,87 +160,111 @@
 
 
 def _failing_route(
-    work: Work, in_use: int, seconds_since_start: float, rng: random.Random
+    work: RequestProfile,
+    in_use: int,
+    seconds_since_start: float,
+    rng: random.Random,
 ) -> Effect:
     return Effect(fails=work.route == 0)
 
 
 def _failing_workspaces(
-    work: Work, in_use: int, seconds_since_start: float, rng: random.Random
+    work: RequestProfile,
+    in_use: int,
+    seconds_since_start: float,
+    rng: random.Random,
 ) -> Effect:
     return Effect(fails=work.workspace < 3)
 
 
 def _slow_when_loaded(
-    work: Work, in_use: int, seconds_since_start: float, rng: random.Random
+    work: RequestProfile,
+    in_use: int,
+    seconds_since_start: float,
+    rng: random.Random,
 ) -> Effect:
     return Effect(factor=4.0 if in_use >= 2 else 1.0)
 
 
 def _cold_start(
-    work: Work, in_use: int, seconds_since_start: float, rng: random.Random
+    work: RequestProfile,
+    in_use: int,
+    seconds_since_start: float,
+    rng: random.Random,
 ) -> Effect:
     return Effect(factor=1 + 4 * math.exp(-seconds_since_start / 10))
 
 
-_ALL_TARGETS = tuple(range(TARGETS))
+_ALL_TARGETS = tuple(range(TARGET_COUNT))
 _CRASH = _constant_fault(Effect(refuses=True))
 _ALL_ERRORS = _random_errors(1.0)
 
 
 def _flapping_scenario(seconds: float) -> Scenario:
-    end = max(END, 2.5 * seconds + FAULT_FROM)
+    end = max(DURATION_SECONDS, 2.5 * seconds + FAULT_START_SECONDS)
     return Scenario(
         f"flap-{seconds:g}s",
-        Class.GRAY,
+        Expectation.GRAY,
         _ALL_ERRORS,
         period=seconds,
         end=end + 30,
-        fault_to=end,
+        fault_end=end,
     )
 
 
 SCENARIOS: tuple[Scenario, ...] = (
-    Scenario("errors-10", Class.GRAY, _random_errors(0.1)),
-    Scenario("errors-30", Class.GRAY, _random_errors(0.3)),
-    Scenario("errors-100", Class.GRAY, _ALL_ERRORS),
-    Scenario("slow-3x", Class.GRAY, _constant_fault(Effect(factor=3))),
-    Scenario("slow-10x", Class.GRAY, _constant_fault(Effect(factor=10))),
-    Scenario("hang", Class.GRAY, _constant_fault(Effect(hangs=True))),
-    Scenario("one-route", Class.GRAY, _failing_route),
-    Scenario("slow-when-loaded", Class.GRAY, _slow_when_loaded),
+    Scenario("errors-10", Expectation.GRAY, _random_errors(0.1)),
+    Scenario("errors-30", Expectation.GRAY, _random_errors(0.3)),
+    Scenario("errors-100", Expectation.GRAY, _ALL_ERRORS),
+    Scenario("slow-3x", Expectation.GRAY, _constant_fault(Effect(factor=3))),
+    Scenario("slow-10x", Expectation.GRAY, _constant_fault(Effect(factor=10))),
+    Scenario("hang", Expectation.GRAY, _constant_fault(Effect(hangs=True))),
+    Scenario("one-route", Expectation.GRAY, _failing_route),
+    Scenario("slow-when-loaded", Expectation.GRAY, _slow_when_loaded),
     _flapping_scenario(2),
     _flapping_scenario(10),
     _flapping_scenario(60),
     _flapping_scenario(300),
-    Scenario("crash", Class.HARD, _CRASH),
-    Scenario("cold", Class.GRAY, _cold_start),
-    Scenario("shedding", Class.INNOCENT, _constant_fault(Effect(sheds=True))),
-    Scenario("healthy", Class.INNOCENT),
-    Scenario("saturated", Class.INNOCENT, load=1.2),
-    Scenario("skewed", Class.INNOCENT, skewed=True),
-    Scenario("mixed-work", Class.INNOCENT, long_share=0.1),
+    Scenario("crash", Expectation.HARD, _CRASH),
+    Scenario("cold", Expectation.GRAY, _cold_start),
+    Scenario(
+        "shedding", Expectation.INNOCENT, _constant_fault(Effect(sheds=True))
+    ),
+    Scenario("healthy", Expectation.INNOCENT),
+    Scenario("saturated", Expectation.INNOCENT, load=1.2),
+    Scenario("skewed", Expectation.INNOCENT, is_skewed=True),
+    Scenario("mixed-work", Expectation.INNOCENT, long_share=0.1),
     Scenario(
         "all-slow",
-        Class.INNOCENT,
+        Expectation.INNOCENT,
         _constant_fault(Effect(factor=3)),
         _ALL_TARGETS,
     ),
     Scenario(
-        "all-errors-30", Class.INNOCENT, _random_errors(0.3), _ALL_TARGETS
+        "all-errors-30", Expectation.INNOCENT, _random_errors(0.3), _ALL_TARGETS
     ),
-    Scenario("all-errors-100", Class.INNOCENT, _ALL_ERRORS, _ALL_TARGETS),
+    Scenario("all-errors-100", Expectation.INNOCENT, _ALL_ERRORS, _ALL_TARGETS),
     Scenario(
-        "bad-workspace", Class.INNOCENT, _failing_workspaces, _ALL_TARGETS
+        "bad-workspace", Expectation.INNOCENT, _failing_workspaces, _ALL_TARGETS
     ),
     Scenario(
         "little-traffic",
-        Class.INNOCENT,
+        Expectation.INNOCENT,
         _random_errors(0.02),
         _ALL_TARGETS,
         load=0.003,
     ),
-    Scenario("healthy-half-day", Class.INNOCENT, end=HALF_DAY),
-    Scenario("saturated-half-day", Class.INNOCENT, load=1.05, end=HALF_DAY),
-    Scenario("skewed-half-day", Class.INNOCENT, skewed=True, end=HALF_DAY),
+    Scenario("healthy-half-day", Expectation.INNOCENT, end=HALF_DAY_SECONDS),
+    Scenario(
+        "saturated-half-day",
+        Expectation.INNOCENT,
+        load=1.05,
+        end=HALF_DAY_SECONDS,
+    ),
+    Scenario(
+        "skewed-half-day",
+        Expectation.INNOCENT,
+        is_skewed=True,
+        end=HALF_DAY_SECONDS,
+    ),
 )
--- a/endivewind/bench/virtual.py
+++ b/endivewind/bench/virtual_time.py
@@ -8,7 +8,7 @@
 import heapq
 import itertools
 
-Event = collections.abc.Callable[[], None]
+Callback = collections.abc.Callable[[], None]
 
 _START = datetime.datetime(2026, 1, 1, tzinfo=datetime.UTC)
 
@@ -22,7 +22,7 @@
         self._cached_seconds = 0.0
         self._cached_monotonic = datetime.timedelta()
         self._numbers = itertools.count()
-        self._events: list[tuple[float, int, Event]] = []
+        self._events: list[tuple[float, int, Callback]] = []
 
     def now(self) -> datetime.datetime:
         """Returns the wall-clock time in UTC."""
@@ -35,11 +35,11 @@
             self._cached_monotonic = datetime.timedelta(seconds=self.seconds)
         return self._cached_monotonic
 
-    def boot_time(self) -> datetime.timedelta:
+    def time_since_boot(self) -> datetime.timedelta:
         """Returns the same time: the simulated host is never suspended."""
         return self.monotonic()
 
-    def after(self, seconds: float, event: Event) -> None:
+    def call_later(self, seconds: float, event: Callback) -> None:
         """Schedules a callback some seconds from now."""
         at = self.seconds + seconds
         heapq.heappush(self._events, (at, next(self._numbers), event))
--- a/endivewind/callers/authorization.py
+++ b/endivewind/callers/authorization.py
@@ -8,17 +8,17 @@
 import datetime
 
 from endivewind import exchange
-from endivewind.callers import calls
+from endivewind.callers import caller_requests
 from endivewind.callers import workspaces
 from endivewind.config import objects
 
 # While the platform is reachable, the configuration is confirmed to be the
 # newest several times a second.
-UNPROVED_RETRY = datetime.timedelta(seconds=1)
+STALE_RETRY_AFTER = datetime.timedelta(seconds=1)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Doubts:
+class ConfigurationStatus:
     """Whether this node's configuration is complete and up to date.
 
     Attributes:
@@ -29,35 +29,39 @@
     """
 
     missing: collections.abc.Callable[[], str | None]
-    is_proved: collections.abc.Callable[[], bool] = lambda: True
+    is_fresh: collections.abc.Callable[[], bool] = lambda: True
 
 
-def identify(call: calls.Call, known: workspaces.Workspaces) -> None:
+def identify(
+    call: caller_requests.CallerRequest, known: workspaces.Workspaces
+) -> None:
     """Authenticates a request by its key, if keys are required.
 
     Called whenever the request is routed: a request that waited for the first
     configuration arrived before any key was known to this node.
     """
-    if known.have_keys:
-        call.identify(known.holder(call.key))
+    if known.requires_keys:
+        call.assign_workspace(known.authenticate(call.authorization))
 
 
-def refusal(
-    call: calls.Call, route: objects.Route, status: Doubts
+def check_access(
+    call: caller_requests.CallerRequest,
+    route: objects.Route,
+    status: ConfigurationStatus,
 ) -> exchange.Refusal | None:
     """Returns a refusal, or None if the request is authorized.
 
     A request is authorized if its route allows anonymous requests, or if its
     key is valid according to a configuration that is known to be up to date.
     """
-    if not call.is_keyed or route.anonymous:
+    if not call.has_key_workspace or route.anonymous:
         return None
     if not call.workspace:
         detail = "this route requires a workspace's API key"
         return call.refuse(exchange.Reason.UNAUTHENTICATED, detail)
-    if status.is_proved():
+    if status.is_fresh():
         return None
     # The key may have been revoked since. Another node may have the newest
     # configuration, or this one shortly.
     detail = "the configuration may be out of date"
-    return call.refuse(exchange.Reason.NOT_READY, detail, UNPROVED_RETRY)
+    return call.refuse(exchange.Reason.NOT_READY, detail, STALE_RETRY_AFTER)
--- a/endivewind/callers/budgets.py
+++ b/endivewind/callers/budgets.py
@@ -12,25 +12,25 @@
 from endivewind.config import store
 from endivewind.decisions import load_balancing
 from endivewind.decisions import peer_updates
-from endivewind.decisions import retries
+from endivewind.decisions import retry_budget
 from endivewind.nodes import view
 
 # Interval between two samples of the size of the fleet.
 _SIZE_SAMPLE_INTERVAL = datetime.timedelta(milliseconds=500)
 # How often neighbours are counted while the number of known nodes is the same.
 # Counting iterates over all nodes.
-COUNT_PERIOD = datetime.timedelta(seconds=1)
+NEIGHBOUR_COUNT_INTERVAL = datetime.timedelta(seconds=1)
 # Share of its reserve that a node has immediately after it starts; the rest is
 # added over one window. How many retries the node made before a restart is
 # unknown. If all nodes restart, the retries before and after the restart
 # together stay within the fleet's bound.
-START_SHARE = 0.5
+INITIAL_RESERVE_SHARE = 0.5
 # New requests after which a node sends its counts even if it has made no
 # retries. The other nodes can't use budget from requests they don't know of.
-TOLD_REQUESTS = 5
+REQUESTS_PER_UPDATE = 5
 
 
-class FleetSize:
+class PeakFleetSize:
     """The largest number of nodes known at any time in the last window.
 
     Load: half of the fleet is killed or unreachable for a moment. Harm: each
@@ -44,7 +44,7 @@
             collections.deque()
         )
 
-    def note(
+    def record(
         self, nodes: int, now: datetime.timedelta, window: datetime.timedelta
     ) -> None:
         """Records the number of nodes that are known now."""
@@ -56,7 +56,7 @@
         ):
             self._samples.append((now, nodes))
 
-    def most(self, nodes: int) -> int:
+    def peak(self, nodes: int) -> int:
         """Returns the maximum in the window.
 
         Args:
@@ -76,29 +76,29 @@
         clock: clocks.Clock,
     ) -> None:
         self._started = clock.monotonic()
-        self._size = FleetSize()
+        self._size = PeakFleetSize()
         self._locality = locality
         self._configuration = configuration
         self._fleet = fleet
         self._clock = clock
-        self._budgets: dict[str, retries.RetryBudget] = {}
-        self._sent_counts: dict[str, retries.RequestCounts] = {}
+        self._budgets: dict[str, retry_budget.RetryBudget] = {}
+        self._sent_counts: dict[str, retry_budget.RequestCounts] = {}
         # Fractions of retries that are not charged yet.
         self._pending_retries: collections.defaultdict[str, float] = (
             collections.defaultdict(float)
         )
         self._neighbour_count = 0
         # Number of known nodes at the last count of neighbours, and its time.
-        self._last_count = (0, -COUNT_PERIOD)
+        self._last_count = (0, -NEIGHBOUR_COUNT_INTERVAL)
         self._last_update = -peer_updates.MIN_UPDATE_INTERVAL
 
-    def of(self, service: str) -> retries.RetryBudget:
+    def for_service(self, service: str) -> retry_budget.RetryBudget:
         """Returns the budget of a service, with its current limits."""
         config = self._configuration.service(service) or objects.Service()
         limits = self._limits(config)
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = retries.RetryBudget(limits)
+            budget = self._budgets[service] = retry_budget.RetryBudget(limits)
         budget.configure(limits)
         return budget
 
@@ -112,9 +112,9 @@
         self._pending_retries[service] += probability
         if self._pending_retries[service] >= 1:
             self._pending_retries[service] -= 1
-            self.of(service).charge(self._clock.monotonic())
+            self.for_service(service).charge(self._clock.monotonic())
 
-    def hear(self, node: str, usage: peer_updates.RetryUsage) -> None:
+    def update_peer(self, node: str, usage: peer_updates.RetryUsage) -> None:
         """Stores the retry usage of another nearby entry node.
 
         A node that restarts counts from zero. Its usage before the restart is
@@ -130,7 +130,7 @@
             peer = f"{node}/{record.incarnation if record else 0}"
             budget.update_peer(peer, usage.counts, self._clock.monotonic())
 
-    def due(self) -> tuple[peer_updates.RetryUsage, ...]:
+    def due_updates(self) -> tuple[peer_updates.RetryUsage, ...]:
         """Returns the retry usages to send to nearby entry nodes now.
 
         The caller polls this several times a second. The number of neighbours
@@ -138,7 +138,10 @@
         """
         now = self._clock.monotonic()
         nodes, counted_at = self._last_count
-        if len(self._fleet.nodes) != nodes or now - counted_at >= COUNT_PERIOD:
+        if (
+            len(self._fleet.nodes) != nodes
+            or now - counted_at >= NEIGHBOUR_COUNT_INTERVAL
+        ):
             self._neighbour_count = self._count_neighbours()
             self._last_count = (len(self._fleet.nodes), now)
         if now - self._last_update < peer_updates.MIN_UPDATE_INTERVAL:
@@ -146,26 +149,26 @@
         usages = []
         for service, budget in self._budgets.items():
             count = budget.counts(now)
-            sent = self._sent_counts.get(service, retries.RequestCounts())
-            if _has_changed(count, sent) and budget.is_small_share(now):
+            sent = self._sent_counts.get(service, retry_budget.RequestCounts())
+            if _has_changed(count, sent) and budget.needs_sharing(now):
                 self._sent_counts[service] = count
                 usages.append(peer_updates.RetryUsage(service, count))
         if usages:
             self._last_update = now
         return tuple(usages)
 
-    def _limits(self, service: objects.Service) -> retries.RetryLimits:
+    def _limits(self, service: objects.Service) -> retry_budget.RetryLimits:
         """Returns this node's share of the fleet's retry limits."""
         now = self._clock.monotonic()
         window = datetime.timedelta(milliseconds=service.retry_window_ms)
-        reserve = retries.DEFAULT_RESERVE
+        reserve = retry_budget.DEFAULT_RESERVE
         if service.retry_reserve:
             nodes = len(self._fleet.nodes)
-            self._size.note(nodes, now, window)
-            reserve = service.retry_reserve / max(1, self._size.most(nodes))
+            self._size.record(nodes, now, window)
+            reserve = service.retry_reserve / max(1, self._size.peak(nodes))
             age = min(1.0, (now - self._started) / window)
-            reserve *= START_SHARE + (1 - START_SHARE) * age
-        return retries.RetryLimits(
+            reserve *= INITIAL_RESERVE_SHARE + (1 - INITIAL_RESERVE_SHARE) * age
+        return retry_budget.RetryLimits(
             service.retry_percent / 100, reserve, window, self._neighbour_count
         )
 
@@ -182,8 +185,8 @@
 
 
 def _has_changed(
-    count: retries.RequestCounts, sent: retries.RequestCounts
+    count: retry_budget.RequestCounts, sent: retry_budget.RequestCounts
 ) -> bool:
     """Whether the counts differ enough from those last sent."""
     change = abs(count.requests - sent.requests)
-    return count.retries != sent.retries or change >= TOLD_REQUESTS
+    return count.retries != sent.retries or change >= REQUESTS_PER_UPDATE
--- a/endivewind/callers/calls.py
+++ b/endivewind/callers/caller_requests.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Dialect:
+class CallerConventions:
     """The headers and options by which callers use this node.
 
     Attributes:
@@ -36,47 +36,51 @@
         otherwise they are identified by their request id.
     """
 
-    names: headers.HeaderNames = headers.DEFAULT_NAMES
+    header_names: headers.HeaderNames = headers.DEFAULT_NAMES
     caller_service: str = ""
-    tickets: bool = True
+    uses_tickets: bool = True
 
 
-class Call:
+class CallerRequest:
     """One request of a caller, with what routing has added to it so far."""
 
-    def __init__(self, request: web.BaseRequest, conventions: Dialect) -> None:
+    def __init__(
+        self, request: web.BaseRequest, conventions: CallerConventions
+    ) -> None:
         self.request = request
         self._conventions = conventions
-        self.request_id = _request_id(request, conventions.names)
+        self.request_id = _request_id(request, conventions.header_names)
         self.workspace = request.headers.get(headers.WORKSPACE, "")
         # Whether the workspace was determined by its key, not by its header.
-        self.is_keyed = False
+        self.has_key_workspace = False
         self.ticket = request.headers.get(headers.IDEMPOTENCY_KEY, "")
-        self.once = False
+        self.is_non_idempotent = False
         self.route: objects.Route
         self.service = ""
         self.body = exchange.RequestBody()
         self.deadline = datetime.timedelta()
 
-    def identify(self, workspace: str) -> None:
+    def assign_workspace(self, workspace: str) -> None:
         """Sets the workspace that its key belongs to; empty if to none."""
         self.workspace = workspace
-        self.is_keyed = True
+        self.has_key_workspace = True
 
     @property
-    def key(self) -> str:
+    def authorization(self) -> str:
         """The value of its Authorization header."""
         return self.request.headers.get(headers.AUTHORIZATION, "")
 
     @property
-    def ticketed(self) -> bool:
+    def needs_ticket(self) -> bool:
         """Whether it is not idempotent and so needs a ticket."""
-        return self.once and self._conventions.tickets
+        return self.is_non_idempotent and self._conventions.uses_tickets
 
     @property
-    def work_name(self) -> str:
+    def work_id(self) -> str:
         """The id by which homes recognize repeats, if it is not idempotent."""
-        return self.ticket if self._conventions.tickets else self.request_id
+        return (
+            self.ticket if self._conventions.uses_tickets else self.request_id
+        )
 
     @property
     def host(self) -> str:
@@ -93,7 +97,9 @@
 
     def remaining(self) -> datetime.timedelta:
         """Returns the time left until the deadline, at least 1 ms."""
-        return max(self.deadline - now(), datetime.timedelta(milliseconds=1))
+        return max(
+            self.deadline - loop_time(), datetime.timedelta(milliseconds=1)
+        )
 
     def refuse(
         self,
@@ -102,14 +108,17 @@
         retry_after: datetime.timedelta | None = None,
     ) -> exchange.Refusal:
         """Returns a refusal of this request by the entry."""
-        refusal = exchange.not_run(reason, detail, retry_after)
-        if self._conventions.tickets and tickets.parse(self.ticket) is not None:
-            refusal = ticketing.unconfirmed(refusal)
+        refusal = exchange.not_run_refusal(reason, detail, retry_after)
+        if (
+            self._conventions.uses_tickets
+            and tickets.parse(self.ticket) is not None
+        ):
+            refusal = ticketing.unconfirmed_refusal(refusal)
         return refusal
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RequestFields:
+class HeaderFilter:
     """Selects the headers of a request that are forwarded to a target.
 
     Attributes:
@@ -121,15 +130,15 @@
       added_headers: Headers that the node adds to every request.
     """
 
-    dropped: frozenset[bytes]
-    key: bytes
-    request_id: bytes
-    added: exchange.HeaderList
+    dropped_names: frozenset[bytes]
+    key_name: bytes
+    request_id_name: bytes
+    added_headers: exchange.HeaderList
 
     @classmethod
-    def from_dialect(cls, conventions: Dialect) -> "RequestFields":
+    def from_conventions(cls, conventions: CallerConventions) -> "HeaderFilter":
         """Returns the filter for callers with these conventions."""
-        names = conventions.names
+        names = conventions.header_names
         fleet_headers = (
             names.request_id,
             names.caller_service,
@@ -148,7 +157,7 @@
         key = headers.AUTHORIZATION.lower().encode()
         return cls(dropped, key, names.request_id.encode(), added)
 
-    def forwarded(
+    def apply(
         self,
         raw: exchange.HeaderList,
         request_id: str,
@@ -156,7 +165,7 @@
         drop_key: bool = False,
     ) -> exchange.HeaderList:
         """Returns the headers for a target; its home adds the workspace."""
-        dropped_by_request = [self.key] if drop_key else []
+        dropped_by_request = [self.key_name] if drop_key else []
         dropped_by_request += [
             token.strip().lower()
             for name, value in raw
@@ -164,18 +173,18 @@
             for token in value.split(b",")
         ]
         dropped = (
-            self.dropped.union(dropped_by_request)
+            self.dropped_names.union(dropped_by_request)
             if dropped_by_request
-            else self.dropped
+            else self.dropped_names
         )
         forwarded = [item for item in raw if item[0].lower() not in dropped]
-        forwarded.append((self.request_id, request_id.encode()))
-        forwarded.extend(self.added)
+        forwarded.append((self.request_id_name, request_id.encode()))
+        forwarded.extend(self.added_headers)
         return tuple(forwarded)
 
 
-def headers_out(
-    response: exchange.Response, call: Call, names: headers.HeaderNames
+def response_headers(
+    response: exchange.Response, call: CallerRequest, names: headers.HeaderNames
 ) -> multidict.CIMultiDict[str]:
     """Returns the headers of a response as they are sent to the caller."""
     fields = multidict.CIMultiDict(
@@ -190,7 +199,7 @@
     return fields
 
 
-def now() -> datetime.timedelta:
+def loop_time() -> datetime.timedelta:
     """Returns the time of the running event loop."""
     return datetime.timedelta(seconds=asyncio.get_running_loop().time())
 
--- a/endivewind/callers/client.py
+++ b/endivewind/callers/client.py
@@ -19,8 +19,8 @@
 
 # Nodes accept a key for a minute after its issue. The difference allows for
 # network delays.
-SPARE_LIFE = datetime.timedelta(seconds=40)
-FIRST_WAIT = datetime.timedelta(milliseconds=100)
+SPARE_KEY_LIFETIME = datetime.timedelta(seconds=40)
+INITIAL_BACKOFF = datetime.timedelta(milliseconds=100)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
     status: int
     headers: multidict.CIMultiDictProxy[str]
     body: bytes
-    outcome: exchange.Outcome | None
+    outcome: exchange.ExecutionOutcome | None
 
     @property
     def retry_after(self) -> datetime.timedelta | None:
@@ -49,7 +49,7 @@
 
 
 _NO_HEADERS = multidict.CIMultiDictProxy(multidict.CIMultiDict[str]())
-NO_ANSWER = Reply(0, _NO_HEADERS, b"", exchange.Outcome.UNKNOWN)
+NO_RESPONSE = Reply(0, _NO_HEADERS, b"", exchange.ExecutionOutcome.UNKNOWN)
 
 
 class Caller:
@@ -100,7 +100,7 @@
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout.total_seconds()
         key = self._take_spare_key()
-        backoff = FIRST_WAIT
+        backoff = INITIAL_BACKOFF
         while True:
             had_no_key = not key
             reply = await self._send(
@@ -111,7 +111,7 @@
                 continue
             if not _should_resend(reply) or loop.time() >= deadline:
                 return reply
-            if reply.outcome is exchange.Outcome.NOT_RUN:
+            if reply.outcome is exchange.ExecutionOutcome.NOT_RUN:
                 key = self._take_spare_key()
             self._node = next(self._nodes)
             await asyncio.sleep((reply.retry_after or backoff).total_seconds())
@@ -140,14 +140,16 @@
             ):
                 content = await response.read()
         except (TimeoutError, aiohttp.ClientError):
-            return NO_ANSWER
+            return NO_RESPONSE
         self._store_spare_key(response.headers.get(headers.IDEMPOTENCY_KEY, ""))
         outcome_value = response.headers.get(headers.OUTCOME)
-        outcome = exchange.Outcome(outcome_value) if outcome_value else None
+        outcome = (
+            exchange.ExecutionOutcome(outcome_value) if outcome_value else None
+        )
         return Reply(response.status, response.headers, content, outcome)
 
     def _store_spare_key(self, key: str) -> None:
-        lifetime = SPARE_LIFE.total_seconds()
+        lifetime = SPARE_KEY_LIFETIME.total_seconds()
         self._spare_key = key
         self._spare_key_expiry = asyncio.get_running_loop().time() + lifetime
 
@@ -159,7 +161,11 @@
 
 def _should_resend(reply: Reply) -> bool:
     """Whether another send may run the request or determine its outcome."""
-    return reply is NO_ANSWER or (
-        reply.outcome in (exchange.Outcome.NOT_RUN, exchange.Outcome.UNKNOWN)
+    return reply is NO_RESPONSE or (
+        reply.outcome
+        in (
+            exchange.ExecutionOutcome.NOT_RUN,
+            exchange.ExecutionOutcome.UNKNOWN,
+        )
         and reply.retry_after is not None
     )
--- a/endivewind/callers/connections.py
+++ b/endivewind/callers/connections.py
@@ -20,7 +20,7 @@
 import expression
 
 from endivewind import exchange
-from endivewind.callers import calls
+from endivewind.callers import caller_requests
 from endivewind.callers import problems
 
 log = logging.getLogger(__name__)
@@ -29,13 +29,13 @@
 # pipeline usually have a handful outstanding. Each response held back takes up
 # to 64 KB (a longer one remains an unread stream), so that a connection holds
 # half a megabyte at most.
-MAX_AHEAD = 8
+MAX_EARLY_REQUESTS = 8
 
-AnswerResult = expression.Result[exchange.Response, exchange.Refusal]
+ResponseResult = expression.Result[exchange.Response, exchange.Refusal]
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Begun:
+class ActiveRequest:
     """A request that is being served.
 
     Attributes:
@@ -44,16 +44,16 @@
       task: The task that serves it, if it was started before its turn.
     """
 
-    call: calls.Call
+    call: caller_requests.CallerRequest
     started: datetime.timedelta
-    task: asyncio.Task[AnswerResult] | None = None
+    task: asyncio.Task[ResponseResult] | None = None
 
 
 # Starts a request before its turn; returns None if it must wait for its turn.
-Begin = collections.abc.Callable[[web.BaseRequest], Begun | None]
+StartEarly = collections.abc.Callable[[web.BaseRequest], ActiveRequest | None]
 # Cancels a request that was started early and whose caller has disconnected.
-Drop = collections.abc.Callable[[Begun], None]
-Handle = collections.abc.Callable[
+CancelEarly = collections.abc.Callable[[ActiveRequest], None]
+HandleRequest = collections.abc.Callable[
     [web.BaseRequest], collections.abc.Awaitable[web.StreamResponse]
 ]
 
@@ -63,15 +63,15 @@
 
     def __init__(
         self,
-        handle: Handle,
-        start_early: Begin,
-        cancel_early: Drop,
+        handle: HandleRequest,
+        start_early: StartEarly,
+        cancel_early: CancelEarly,
         connection_options: collections.abc.Callable[[], dict[str, Any]],
         **options: Any,
     ) -> None:
         super().__init__(handle, handler_cancellation=True, **options)
-        self.begin = start_early
-        self.drop = cancel_early
+        self.start_early = start_early
+        self.cancel_early = cancel_early
         self._connection_options = connection_options
         self._options = options
 
@@ -97,24 +97,26 @@
     def __init__(self, server: Server, **options: Any) -> None:
         super().__init__(server, **options)
         self._server = server
-        self._early_requests: collections.deque[Begun] = collections.deque()
+        self._early_requests: collections.deque[ActiveRequest] = (
+            collections.deque()
+        )
         self._allows_early = False
 
     @property
-    def has_begun(self) -> bool:
+    def has_early_requests(self) -> bool:
         """Whether requests behind the current one have been started."""
         return bool(self._early_requests)
 
-    def turn(self) -> Begun | None:
+    def pop_early_request(self) -> ActiveRequest | None:
         """Returns the request whose turn has come, if it was started early."""
         return self._early_requests.popleft() if self._early_requests else None
 
-    def open_turn(self) -> None:
+    def allow_early_requests(self) -> None:
         """Starts requests behind the current one, which must be idempotent."""
         self._allows_early = True
         self._start_early_requests()
 
-    def end_turn(self) -> None:
+    def disallow_early_requests(self) -> None:
         """Stops starting requests early, as the current one has ended."""
         self._allows_early = False
 
@@ -128,7 +130,7 @@
         super().connection_lost(exc)
         self._allows_early = False
         while self._early_requests:
-            self._server.drop(self._early_requests.popleft())
+            self._server.cancel_early(self._early_requests.popleft())
 
     def _start_early_requests(self) -> None:
         if not self._allows_early:
@@ -136,7 +138,7 @@
         # aiohttp has no public access to the parsed requests. The first of
         # them have been started already.
         messages = itertools.islice(
-            self._messages, len(self._early_requests), MAX_AHEAD
+            self._messages, len(self._early_requests), MAX_EARLY_REQUESTS
         )
         for message, payload in list(messages):
             active = self._start_early(message, payload)
@@ -144,7 +146,7 @@
                 return
             self._early_requests.append(active)
 
-    def _start_early(self, message: Any, payload: Any) -> Begun | None:
+    def _start_early(self, message: Any, payload: Any) -> ActiveRequest | None:
         if not isinstance(message, http.RawRequestMessage):
             # Messages that could not be parsed are answered in their turn.
             return None
@@ -164,7 +166,9 @@
             self._task_handler,
             self._loop,
         )
-        return None if request.body_exists else self._server.begin(request)
+        return (
+            None if request.body_exists else self._server.start_early(request)
+        )
 
     def handle_error(
         self,
@@ -180,13 +184,15 @@
             )
         if status < 500:
             detail = (message or "not a valid request").strip()
-            refusal = exchange.not_run(exchange.Reason.BAD_REQUEST, detail)
+            refusal = exchange.not_run_refusal(
+                exchange.Reason.BAD_REQUEST, detail
+            )
         else:
             log.error("internal error while serving a request", exc_info=exc)
-            refusal = exchange.outcome_unknown(
+            refusal = exchange.unknown_outcome_refusal(
                 exchange.Reason.INTERNAL, "the node failed"
             )
-        request_id = calls.new_request_id()
+        request_id = caller_requests.new_request_id()
         response = web.Response(
             status=status,
             headers=problems.header_fields(refusal, request_id),
--- a/endivewind/callers/origins.py
+++ b/endivewind/callers/entry_routes.py
@@ -12,25 +12,25 @@
 
 # Interval at which a node sends its ingress routes to its neighbours, so that a
 # node that starts learns them soon.
-TELL_PERIOD = datetime.timedelta(seconds=1)
+UPDATE_INTERVAL = datetime.timedelta(seconds=1)
 # This many routes fit into one datagram. If a deployment has more, each node
 # learns the others from its own requests.
-MAX_TOLD = 16
+MAX_ROUTES_PER_UPDATE = 16
 
 
-class Beside(Protocol):
+class LocalTarget(Protocol):
     """The target on this node's VM, whose calls to services enter here."""
 
     @property
-    def is_working(self) -> bool:
+    def has_active_work(self) -> bool:
         """Whether it is running any request, so that it may call services."""
 
     @property
-    def repeat_share(self) -> float:
+    def possible_duplicate_share(self) -> float:
         """Share of its requests that may have been sent to a target before."""
 
 
-class Origins:
+class EntryRoutes:
     """Learns the routes by which callers' requests enter the fleet.
 
     Load: a target calls other services for each request that it runs, and
@@ -48,7 +48,7 @@
     """
 
     def __init__(
-        self, clock: clocks.Clock, local_target: Beside | None = None
+        self, clock: clocks.Clock, local_target: LocalTarget | None = None
     ) -> None:
         """Starts without any known routes.
 
@@ -60,10 +60,10 @@
         """
         self._clock = clock
         self._local_target = local_target
-        self._caller_routes: set[peer_updates.IngressRoute] = set()
+        self._caller_routes: set[peer_updates.EntryRoute] = set()
         self._last_update = clock.monotonic()
 
-    def is_caller(self, service: str, prefix: str) -> bool:
+    def is_from_caller(self, service: str, prefix: str) -> bool:
         """Whether a request that arrives now is known to be a caller's.
 
         Args:
@@ -72,12 +72,12 @@
         """
         if self._local_target is None:
             return True
-        route = peer_updates.IngressRoute(service, prefix)
-        if not self._local_target.is_working:
+        route = peer_updates.EntryRoute(service, prefix)
+        if not self._local_target.has_active_work:
             self._caller_routes.add(route)
         return route in self._caller_routes
 
-    def repeat_share(self, service: str, prefix: str) -> float:
+    def retry_probability(self, service: str, prefix: str) -> float:
         """Returns the probability that a request is a retried request's call.
 
         Args:
@@ -86,21 +86,24 @@
         """
         if self._local_target is None:
             return 0.0
-        if peer_updates.IngressRoute(service, prefix) in self._caller_routes:
+        if peer_updates.EntryRoute(service, prefix) in self._caller_routes:
             return 0.0
-        return self._local_target.repeat_share
+        return self._local_target.possible_duplicate_share
 
-    def hear(self, route: peer_updates.IngressRoute) -> None:
+    def add_route(self, route: peer_updates.EntryRoute) -> None:
         """Adds an ingress route that a neighbour has sent."""
         self._caller_routes.add(route)
 
-    def due(self) -> tuple[peer_updates.IngressRoute, ...]:
+    def due_updates(self) -> tuple[peer_updates.EntryRoute, ...]:
         """Returns the routes to send to the neighbours now.
 
         The caller polls this several times a second.
         """
         now = self._clock.monotonic()
-        if self._local_target is None or now - self._last_update < TELL_PERIOD:
+        if (
+            self._local_target is None
+            or now - self._last_update < UPDATE_INTERVAL
+        ):
             return ()
         self._last_update = now
-        return tuple(sorted(self._caller_routes)[:MAX_TOLD])
+        return tuple(sorted(self._caller_routes)[:MAX_ROUTES_PER_UPDATE])
--- a/endivewind/callers/gateway.py
+++ b/endivewind/callers/gateway.py
@@ -18,16 +18,16 @@
 from endivewind import clock as clocks
 from endivewind import exchange
 from endivewind import logs
-from endivewind.callers import allowances
 from endivewind.callers import budgets
-from endivewind.callers import counts
-from endivewind.callers import crashes
+from endivewind.callers import entry_routes
 from endivewind.callers import hedging
-from endivewind.callers import origins
 from endivewind.callers import placement
-from endivewind.callers import routed
+from endivewind.callers import poison_guard
+from endivewind.callers import quota_client
+from endivewind.callers import request_metrics
+from endivewind.callers import request_queues
+from endivewind.callers import routed_request
 from endivewind.callers import routing
-from endivewind.callers import waiting
 from endivewind.callers import workspaces
 from endivewind.config import objects
 from endivewind.config import store
@@ -41,11 +41,11 @@
 
 log = logging.getLogger(__name__)
 
-AnswerResult = routed.AnswerResult
+ResponseResult = routed_request.ResponseResult
 
 # Called with the result of each request to a target of another home.
-Witness = collections.abc.Callable[
-    [records.TargetRecord, str, AnswerResult, datetime.timedelta], None
+ResultObserver = collections.abc.Callable[
+    [records.TargetRecord, str, ResponseResult, datetime.timedelta], None
 ]
 
 # Attempts of one request, each at a home. Most homes that refuse do so before
@@ -53,28 +53,31 @@
 # a cooldown of a quarter of the usual latency, so the attempts last for several
 # latencies, and an order with a deadline of many latencies is not refused
 # within the first one.
-MAX_PLACINGS = 16
+MAX_ATTEMPTS = 16
 # Delay of a hedged request, as a share of the latency objective. About 95 % of
 # requests have a response by then, and the second target still has time for
 # one.
-HEDGE_SHARE = 0.6
+HEDGE_DELAY_SHARE = 0.6
 # Delay after which a hedged request is sent although few retries are left: an
 # attempt without a response for so long counts as failed.
-FAILED_SHARE = 1.0
+LATE_HEDGE_DELAY_SHARE = 1.0
 # Spent share of the retry budget above which suspect targets are no longer
 # probed and slow responses no longer hedged. The rest is kept for failed
 # requests, since a late response is worth something and a failure nothing.
-CHOSEN_SPENT = 0.4
+MAX_HEDGE_BUDGET_SHARE = 0.4
 # Delays of hedged requests, each with the spent share of the retry budget up to
 # which it applies.
-_HEDGE_STAGES = ((HEDGE_SHARE, CHOSEN_SPENT), (FAILED_SHARE, 1.0))
+_HEDGE_STAGES = (
+    (HEDGE_DELAY_SHARE, MAX_HEDGE_BUDGET_SHARE),
+    (LATE_HEDGE_DELAY_SHARE, 1.0),
+)
 # Spent share of the retry budget from which several requests compete for each
 # retry.
-CARE_SPENT = 0.75
+CAUTIOUS_BUDGET_SHARE = 0.75
 # Share of a request's remaining time that it may wait in the request queue.
-WAIT_SHARE = 0.5
+MAX_QUEUE_TIME_SHARE = 0.5
 # Added to the entry's estimate, because a home learns of failures earlier.
-RISK_MARGIN = 0.1
+SUSPICION_MARGIN = 0.1
 
 
 class Gateway:
@@ -89,12 +92,12 @@
         dispatcher: dispatch.Dispatcher,
         pool: links.LinkPool,
         clock: clocks.Clock,
-        observer: Witness | None = None,
+        observer: ResultObserver | None = None,
         rng: random.Random | None = None,
-        caller_routes: origins.Origins | None = None,
-        quota_client: allowances.Allowances | None = None,
+        caller_routes: entry_routes.EntryRoutes | None = None,
+        quota_client: quota_client.QuotaClient | None = None,
     ) -> None:
-        self._ingress_routes = caller_routes or origins.Origins(clock)
+        self._ingress_routes = caller_routes or entry_routes.EntryRoutes(clock)
         self._rng = rng or random.Random()
         self._observer = observer
         self._node = node
@@ -106,23 +109,23 @@
         self._clock = clock
         self._routing_table = routing.RoutingTable()
         self._budgets = budgets.RetryBudgets(
-            configuration, fleet, placement.place, clock
+            configuration, fleet, placement.locality, clock
         )
         self._quota_client = quota_client
-        self._poison_guard = crashes.CrashWatch(clock)
+        self._poison_guard = poison_guard.PoisonGuard(clock)
         self._workspaces = workspaces.Workspaces(configuration)
-        self._request_queues = waiting.WaitingRoom(
+        self._request_queues = request_queues.RequestQueues(
             placement, self._queue_limit, clock
         )
-        self._metrics = counts.RequestCounts(clock)
+        self._metrics = request_metrics.RequestMetrics(clock)
         self._caller_limits: objects.CallerLimits | None = None
         self._splitters: dict[
             objects.Route, traffic_splitting.TrafficSplitter
         ] = {}
-        self._active_requests: set[routed.RoutedRequest] = set()
+        self._active_requests: set[routed_request.RoutedRequest] = set()
 
     @property
-    def origins(self) -> origins.Origins:
+    def ingress_routes(self) -> entry_routes.EntryRoutes:
         """The routes by which requests of callers enter the fleet."""
         return self._ingress_routes
 
@@ -137,7 +140,7 @@
         return self._budgets
 
     @property
-    def counts(self) -> counts.RequestCounts:
+    def metrics(self) -> request_metrics.RequestMetrics:
         """The request metrics of this entry."""
         return self._metrics
 
@@ -165,7 +168,7 @@
         """Returns the route of a request, or None."""
         return self._routing_table.match(host, path, workspace)
 
-    def service_of(self, route: objects.Route) -> str:
+    def choose_service(self, route: objects.Route) -> str:
         """Returns the service for the next request of a route."""
         if not route.split:
             return route.service
@@ -200,27 +203,29 @@
         route: objects.Route,
         head: exchange.RequestHead,
         body: exchange.RequestBody,
-    ) -> AnswerResult:
+    ) -> ResponseResult:
         """Sends a request to targets until one has, or may have, executed it.
 
         Returns:
           The target's response, or a refusal.
         """
         started = self._clock.monotonic()
-        deadline = started + head.remaining
-        refused = self._poison_guard.refusal(head, body)
+        deadline = started + head.remaining_time
+        refused = self._poison_guard.check(head, body)
         refused = refused or await self._quota_refusal(head.workspace)
         if refused is not None:
             return expression.Error(refused)
-        call = routed.RoutedRequest(route, head, body, deadline, started)
+        call = routed_request.RoutedRequest(
+            route, head, body, deadline, started
+        )
         call.task = asyncio.current_task()
         self._active_requests.add(call)
         try:
             result = await self._run_attempts(call)
         except asyncio.CancelledError:
-            if not call.was_ended():
+            if not call.was_aborted():
                 raise
-            result = call.told_at_end()
+            result = call.abort_result()
         finally:
             self._active_requests.discard(call)
         self._refund_quota(head.workspace, result)
@@ -228,7 +233,7 @@
         self._log(call, result)
         return result
 
-    def _with_retry_after(self, result: AnswerResult) -> AnswerResult:
+    def _with_retry_after(self, result: ResponseResult) -> ResponseResult:
         """Adds a Retry-After to a refusal of a request that was not executed.
 
         Homes and targets refuse without one, since the entry may try others.
@@ -238,24 +243,26 @@
             return result
         if result.error.retry_after is not None:
             return result
-        wait = self._placement.come_back_after(placement.LEAST_RETRY)
+        wait = self._placement.retry_after(placement.MIN_RETRY_AFTER)
         refusal = dataclasses.replace(result.error, retry_after=wait)
         return expression.Error(refusal)
 
-    def end_all(self) -> None:
+    def abort_all(self) -> None:
         """Cancels all requests; callers get the outcome as far as known."""
         for call in list(self._active_requests):
-            call.end()
+            call.abort()
 
-    async def _run_attempts(self, call: routed.RoutedRequest) -> AnswerResult:
+    async def _run_attempts(
+        self, call: routed_request.RoutedRequest
+    ) -> ResponseResult:
         """Makes attempts until one succeeds or no further one is allowed."""
         self._count_request(call)
         last = await self._place_undelivered(call)
-        while call.may_go_on(MAX_PLACINGS) and call.may_place_again(last):
-            if self._poison_guard.refusal(call.head, call.body) is not None:
+        while call.has_attempts_left(MAX_ATTEMPTS) and call.can_retry(last):
+            if self._poison_guard.check(call.head, call.body) is not None:
                 break
             record = self._relocated_target(call, last)
-            if record is None and routed.was_unseen(last):
+            if record is None and routed_request.was_undelivered(last):
                 last = await self._requeue(call, last)
                 continue
             if record is None:
@@ -265,39 +272,42 @@
                     call, call.demand(may_probe=False)
                 )
                 continue
-            self._placement.started(record, len(call.body.buffered))
+            self._placement.record_start(record, len(call.body.buffered))
             last = await self._attempt(call, record)
-        return call.told(last)
+        return call.final_result(last)
 
-    def _count_request(self, call: routed.RoutedRequest) -> None:
+    def _count_request(self, call: routed_request.RoutedRequest) -> None:
         """Adds a request to its service's retry budget, or charges a retry.
 
         Requests of callers add to the budget. Those from other targets are
         charged with the probability that they are retries.
         """
         service, prefix = call.head.service, call.route.prefix
-        if self._ingress_routes.is_caller(service, prefix):
-            self._budgets.of(service).record_request(call.started)
-        share = self._ingress_routes.repeat_share(service, prefix)
+        if self._ingress_routes.is_from_caller(service, prefix):
+            self._budgets.for_service(service).record_request(call.started)
+        share = self._ingress_routes.retry_probability(service, prefix)
         if share:
             self._budgets.charge(service, share)
 
-    def _log(self, call: routed.RoutedRequest, result: AnswerResult) -> None:
+    def _log(
+        self, call: routed_request.RoutedRequest, result: ResponseResult
+    ) -> None:
         """Logs a request unless its first attempt was successful."""
         is_plain = (
-            result.is_ok() and result.ok.status not in routed.FAILED_STATUS
+            result.is_ok()
+            and result.ok.status not in routed_request.FAILURE_STATUSES
         )
-        if is_plain and call.tries <= 1:
+        if is_plain and call.attempt_count <= 1:
             return
         spent = self._clock.monotonic() - call.started
         fields = logs.fields(
             request_id=call.head.request_id,
             service=call.head.service,
             prefix=call.route.prefix,
-            once=not call.repeatable,
-            result=routed.word(result),
-            milliseconds=routed.milliseconds(spent),
-            tries=[step.as_fields() for step in call.steps],
+            once=not call.is_idempotent,
+            result=routed_request.describe_result(result),
+            milliseconds=routed_request.milliseconds(spent),
+            tries=[step.as_log_fields() for step in call.attempts],
         )
         log.info("request", extra=fields)
 
@@ -307,37 +317,37 @@
         While requests wait here for slots, a retry would displace one of them,
         so this entry then doesn't borrow retries that other entries left over.
         """
-        return self._budgets.of(service).take(
+        return self._budgets.for_service(service).take(
             self._clock.monotonic(),
-            may_borrow=not self._request_queues.waiting(service),
+            may_borrow=not self._request_queues.waiter_count(service),
         )
 
     def _relocated_target(
-        self, call: routed.RoutedRequest, last: AnswerResult
+        self, call: routed_request.RoutedRequest, last: ResponseResult
     ) -> records.TargetRecord | None:
         """Returns the last target at its new home, if the old one named it."""
-        if last.is_ok() or call.record is None:
+        if last.is_ok() or call.last_target is None:
             return None
         home = self._fleet.nodes.get(last.error.moved_to)
         if home is None:
             return None
         return dataclasses.replace(
-            call.record, home=home.name, home_incarnation=home.incarnation
+            call.last_target, home=home.name, home_incarnation=home.incarnation
         )
 
     async def _requeue(
-        self, call: routed.RoutedRequest, last: AnswerResult
-    ) -> AnswerResult:
+        self, call: routed_request.RoutedRequest, last: ResponseResult
+    ) -> ResponseResult:
         """Places a request again that did not reach a target."""
-        if last.error.reason is exchange.Reason.BUSY and call.record:
+        if last.error.reason is exchange.Reason.BUSY and call.last_target:
             # A busy target is eligible again: after its cooldown it may be the
             # only one available.
-            call.tried.discard(call.record.id)
+            call.tried_targets.discard(call.last_target.id)
         return await self._place_undelivered(call)
 
     async def _place_undelivered(
-        self, call: routed.RoutedRequest
-    ) -> AnswerResult:
+        self, call: routed_request.RoutedRequest
+    ) -> ResponseResult:
         """Places a request of which no target has received anything.
 
         Load: most of a service fails, and its retries run out. Harm: an
@@ -345,22 +355,24 @@
         retried, but no retry is left and its failure is final. So its target
         is then chosen as carefully as for a non-idempotent request.
         """
-        budget = self._budgets.of(call.head.service)
+        budget = self._budgets.for_service(call.head.service)
         spent = budget.spent_share(self._clock.monotonic())
         demand = call.demand(
-            may_probe=spent <= CHOSEN_SPENT,
-            is_last=spent >= CARE_SPENT and budget.has_any,
+            may_probe=spent <= MAX_HEDGE_BUDGET_SHARE,
+            is_last=spent >= CAUTIOUS_BUDGET_SHARE and budget.allows_retries,
         )
         return await self._place_and_send(call, demand)
 
     async def _place_and_send(
-        self, call: routed.RoutedRequest, demand: load_balancing.Demand
-    ) -> AnswerResult:
+        self,
+        call: routed_request.RoutedRequest,
+        demand: load_balancing.RequestConstraints,
+    ) -> ResponseResult:
         """Waits in the request queue for a slot and sends the request."""
         workspace = self._workspaces.get(call.head.workspace)
         weight = workspace.weight if workspace else 1
         placed = await self._request_queues.place(
-            waiting.Claim(
+            request_queues.SlotRequest(
                 call.head.service,
                 demand,
                 admission.Waiter(
@@ -373,13 +385,15 @@
             )
         )
         if placed.is_error():
-            call.given_up = True
+            call.is_abandoned = True
             return expression.Error(placed.error)
-        if not call.may_hedge:
+        if not call.can_hedge:
             return await self._attempt(call, placed.ok)
         return await self._send_hedged(call, placed.ok)
 
-    def _queue_deadline(self, call: routed.RoutedRequest) -> datetime.timedelta:
+    def _queue_deadline(
+        self, call: routed_request.RoutedRequest
+    ) -> datetime.timedelta:
         """Returns when a request that waits for a slot is refused.
 
         Load: a service is overloaded for longer than its callers' deadlines,
@@ -388,11 +402,11 @@
         the time is left to the callers that are refused.
         """
         now = self._clock.monotonic()
-        return now + WAIT_SHARE * (call.deadline - now)
+        return now + MAX_QUEUE_TIME_SHARE * (call.deadline - now)
 
     async def _send_hedged(
-        self, call: routed.RoutedRequest, record: records.TargetRecord
-    ) -> AnswerResult:
+        self, call: routed_request.RoutedRequest, record: records.TargetRecord
+    ) -> ResponseResult:
         """Sends the request, and also to a second target if the first is late.
 
         Load: a target that hangs, or is slow for one request in twenty. Harm:
@@ -405,7 +419,8 @@
         started = self._clock.monotonic()
         # A route's time limit may be shorter than its latency objective.
         time = min(
-            call.head.latency_objective, HEDGE_SHARE * (call.deadline - started)
+            call.head.latency_objective,
+            HEDGE_DELAY_SHARE * (call.deadline - started),
         )
         try:
             for share, spent in _HEDGE_STAGES:
@@ -418,13 +433,13 @@
                     tasks.add(asyncio.create_task(second))
                 if first.done() or second is not None:
                     break
-            return await hedging.first_good(tasks)
+            return await hedging.first_success(tasks)
         finally:
-            await hedging.end(tasks)
+            await hedging.cancel_all(tasks)
 
     def _hedge_attempt(
-        self, call: routed.RoutedRequest, max_spent_share: float
-    ) -> collections.abc.Coroutine[Any, Any, AnswerResult] | None:
+        self, call: routed_request.RoutedRequest, max_spent_share: float
+    ) -> collections.abc.Coroutine[Any, Any, ResponseResult] | None:
         """Returns an attempt at another target with a free slot, or None.
 
         Args:
@@ -434,18 +449,20 @@
         """
         if self._spent_share(call) > max_spent_share:
             return None
-        demand = load_balancing.Demand(True, call.tried, is_last=True)
+        demand = load_balancing.RequestConstraints(
+            True, call.tried_targets, is_last_attempt=True
+        )
         record = self._placement.choose(call.head.service, demand)
         if record is None:
             return None
         if not self._take_retry(call.head.service):
             return None
-        self._placement.started(record, len(call.body.buffered))
+        self._placement.record_start(record, len(call.body.buffered))
         return self._attempt(call, record)
 
-    def _spent_share(self, call: routed.RoutedRequest) -> float:
+    def _spent_share(self, call: routed_request.RoutedRequest) -> float:
         """Returns the spent share of its service's retry budget."""
-        budget = self._budgets.of(call.head.service)
+        budget = self._budgets.for_service(call.head.service)
         return budget.spent_share(self._clock.monotonic())
 
     async def _quota_refusal(self, workspace: str) -> exchange.Refusal | None:
@@ -458,13 +475,13 @@
         wait = await self._quota_client.take(workspace)
         if wait is None:
             return None
-        return exchange.not_run(
+        return exchange.not_run_refusal(
             exchange.Reason.RATE_LIMITED,
             "the workspace is over its quota",
-            self._placement.come_back_after(max(wait, placement.LEAST_RETRY)),
+            self._placement.retry_after(max(wait, placement.MIN_RETRY_AFTER)),
         )
 
-    def _refund_quota(self, workspace: str, result: AnswerResult) -> None:
+    def _refund_quota(self, workspace: str, result: ResponseResult) -> None:
         """Returns the quota of a request that was not executed."""
         if (
             self._quota_client is None
@@ -472,61 +489,63 @@
         ):
             return
         if result.is_error() and result.error.was_not_run:
-            self._quota_client.give_back(workspace)
+            self._quota_client.refund(workspace)
 
     async def _attempt(
-        self, call: routed.RoutedRequest, record: records.TargetRecord
-    ) -> AnswerResult:
+        self, call: routed_request.RoutedRequest, record: records.TargetRecord
+    ) -> ResponseResult:
         """Sends the request to a target in which its slot is reserved."""
-        call.tries += 1
-        call.tried.add(record.id)
-        call.record = record
-        self._metrics.placed(call.head.service, call.tries)
+        call.attempt_count += 1
+        call.tried_targets.add(record.id)
+        call.last_target = record
+        self._metrics.record_attempt(call.head.service, call.attempt_count)
         started = self._clock.monotonic()
         suspicion = self._placement.suspicion(record.id)
         head = call.head.for_attempt(
-            call.tries,
+            call.attempt_count,
             call.deadline - started,
             _max_suspicion(suspicion),
-            may_be_duplicate=call.sent + call.under_way > 0,
+            may_be_duplicate=call.delivered_count + call.active_attempts > 0,
         )
-        call.under_way += 1
-        result: AnswerResult | None = None
+        call.active_attempts += 1
+        result: ResponseResult | None = None
         try:
             result = await self._forward(record, head, call.body)
         except TimeoutError:
             result = expression.Error(
-                exchange.outcome_unknown(
+                exchange.unknown_outcome_refusal(
                     exchange.Reason.DEADLINE, "no answer before the deadline"
                 )
             )
         finally:
             latency = self._clock.monotonic() - started
             self._record_attempt(call, record, result, started, suspicion)
-            call.is_open = call.is_open or result is None
-            call.under_way -= 1
-            self._placement.ended(record, result, latency)
-            self._request_queues.ended(call.head.service)
-        if not routed.was_unseen(result):
-            call.sent += 1
+            call.has_cancelled_attempt = (
+                call.has_cancelled_attempt or result is None
+            )
+            call.active_attempts -= 1
+            self._placement.record_end(record, result, latency)
+            self._request_queues.record_end(call.head.service)
+        if not routed_request.was_undelivered(result):
+            call.delivered_count += 1
         if result.is_ok() or not result.error.was_not_run:
-            call.reached = result
-            self._poison_guard.ended(head, call.body, record, result)
+            call.executed_result = result
+            self._poison_guard.record_result(head, call.body, record, result)
         if self._observer is not None and record.home != self._node:
             self._observer(record, call.head.workspace, result, latency)
         return result
 
     def _record_attempt(
         self,
-        call: routed.RoutedRequest,
+        call: routed_request.RoutedRequest,
         record: records.TargetRecord,
-        result: AnswerResult | None,
+        result: ResponseResult | None,
         started: datetime.timedelta,
         suspicion: float,
     ) -> None:
         """Records one attempt for the log."""
-        call.steps.append(
-            routed.Step(
+        call.attempts.append(
+            routed_request.Attempt(
                 record.id,
                 record.home,
                 started - call.started,
@@ -541,19 +560,19 @@
         record: records.TargetRecord,
         head: exchange.RequestHead,
         body: exchange.RequestBody,
-    ) -> AnswerResult:
+    ) -> ResponseResult:
         if record.home == self._node:
             return await self._dispatcher.run(record.id, head, body)
         home = self._fleet.nodes.get(record.home)
         if home is None:
             return expression.Error(
-                exchange.not_run(
+                exchange.not_run_refusal(
                     exchange.Reason.HOME_UNREACHABLE, f"{record.home} is gone"
                 )
             )
         # The dispatcher above has its own timeout; this one applies even if
         # the home no longer responds.
-        async with asyncio.timeout(head.remaining.total_seconds()):
+        async with asyncio.timeout(head.remaining_time.total_seconds()):
             return await self._pool.forward(home, record.id, head, body)
 
 
@@ -563,4 +582,4 @@
     The entry had no better target, so the home should refuse only if its own
     estimate is clearly worse than the entry's.
     """
-    return max(exchange.DEFAULT_MAX_SUSPICION, suspicion + RISK_MARGIN)
+    return max(exchange.DEFAULT_MAX_SUSPICION, suspicion + SUSPICION_MARGIN)
--- a/endivewind/callers/hedging.py
+++ b/endivewind/callers/hedging.py
@@ -6,12 +6,12 @@
 
 import asyncio
 
-from endivewind.callers import routed
+from endivewind.callers import routed_request
 
 
-async def first_good(
-    tasks: set[asyncio.Task[routed.AnswerResult]],
-) -> routed.AnswerResult:
+async def first_success(
+    tasks: set[asyncio.Task[routed_request.ResponseResult]],
+) -> routed_request.ResponseResult:
     """Returns the first successful result, or the last one if all failed."""
     pending = set(tasks)
     while True:
@@ -20,13 +20,18 @@
         )
         results = [task.result() for task in done]
         for result in results:
-            if result.is_ok() and result.ok.status not in routed.FAILED_STATUS:
+            if (
+                result.is_ok()
+                and result.ok.status not in routed_request.FAILURE_STATUSES
+            ):
                 return result
         if not pending:
             return results[-1]
 
 
-async def end(tasks: set[asyncio.Task[routed.AnswerResult]]) -> None:
+async def cancel_all(
+    tasks: set[asyncio.Task[routed_request.ResponseResult]],
+) -> None:
     """Cancels the attempts still running, so that their targets stop too."""
     for task in tasks:
         task.cancel()
--- a/endivewind/callers/listener.py
+++ b/endivewind/callers/listener.py
@@ -19,13 +19,13 @@
 from endivewind import headers
 from endivewind import logs
 from endivewind.callers import authorization
-from endivewind.callers import calls
+from endivewind.callers import caller_requests
 from endivewind.callers import connections
 from endivewind.callers import gateway
 from endivewind.callers import problems
-from endivewind.callers import routed
+from endivewind.callers import request_queues
+from endivewind.callers import routed_request
 from endivewind.callers import ticketing
-from endivewind.callers import waiting
 from endivewind.config import objects
 from endivewind.config import settings
 
@@ -35,12 +35,12 @@
 _READ_CHUNK_BYTES = 65_536
 # Time that a caller has to read a response sent before the end of its request
 # body, until its connection is closed.
-LINGER = datetime.timedelta(seconds=1)
-NOT_READY_RETRY = datetime.timedelta(seconds=1)
-LEAVING_RETRY = datetime.timedelta(seconds=1)
+LINGERING_TIME = datetime.timedelta(seconds=1)
+NOT_READY_RETRY_AFTER = datetime.timedelta(seconds=1)
+STOPPING_RETRY_AFTER = datetime.timedelta(seconds=1)
 # Time after a node's start within which requests wait for the configuration,
 # which normally arrives from peers or from the platform by then.
-START_PATIENCE = datetime.timedelta(seconds=1)
+MAX_CONFIGURATION_WAIT = datetime.timedelta(seconds=1)
 _STARTUP_POLL_INTERVAL = datetime.timedelta(milliseconds=20)
 _CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
@@ -51,10 +51,10 @@
     def __init__(
         self,
         request_gateway: gateway.Gateway,
-        ticket_handler: ticketing.Ticketing,
+        ticket_handler: ticketing.TicketHandler,
         limits: settings.Limits,
-        configuration_status: authorization.Doubts,
-        conventions: calls.Dialect | None = None,
+        configuration_status: authorization.ConfigurationStatus,
+        conventions: caller_requests.CallerConventions | None = None,
     ) -> None:
         """Initializes the listener; `make_server` returns the HTTP server.
 
@@ -69,10 +69,10 @@
         self._ticket_handler = ticket_handler
         self._limits = limits
         self._configuration_status = configuration_status
-        self.speak(conventions or calls.Dialect())
-        self._metrics = request_gateway.counts
+        self.set_conventions(conventions or caller_requests.CallerConventions())
+        self._metrics = request_gateway.metrics
         self._is_stopping = False
-        self._started_at = calls.now()
+        self._started_at = caller_requests.loop_time()
         self._in_flight = 0
         self._cancel_tasks: set[asyncio.Task[None]] = set()
         self._idle = asyncio.Event()
@@ -83,29 +83,33 @@
         """The number of requests being served."""
         return self._in_flight
 
-    def speak(self, conventions: calls.Dialect) -> None:
+    def set_conventions(
+        self, conventions: caller_requests.CallerConventions
+    ) -> None:
         """Sets the conventions of callers, from the next request on."""
         self._conventions = conventions
-        self._header_filter = calls.RequestFields.from_dialect(conventions)
+        self._header_filter = caller_requests.HeaderFilter.from_conventions(
+            conventions
+        )
 
-    def limit(self, limits: settings.Limits) -> None:
+    def set_limits(self, limits: settings.Limits) -> None:
         """Sets the limits of this process, from the next request on."""
         self._limits = limits
 
-    async def drained(self) -> None:
+    async def wait_drained(self) -> None:
         """Waits until no request is being served."""
         await self._idle.wait()
 
-    def server(self) -> web.Server:
+    def make_server(self) -> web.Server:
         """Returns the HTTP server; disconnecting cancels a request."""
         return connections.Server(
             self.handle,
-            self.begin,
-            self.drop,
+            self.start_early,
+            self.cancel_early,
             self._connection_options,
             access_log=None,
             auto_decompress=False,
-            lingering_time=LINGER.total_seconds(),
+            lingering_time=LINGERING_TIME.total_seconds(),
         )
 
     def _connection_options(self) -> dict[str, Any]:
@@ -120,9 +124,9 @@
             "keepalive_timeout": limits.idle_timeout_ms / 1000,
         }
 
-    def end(self) -> None:
+    def abort_all(self) -> None:
         """Cancels all requests; callers get the outcome as far as known."""
-        self._gateway.end_all()
+        self._gateway.abort_all()
 
     def refuse_new(self) -> None:
         """Refuses new requests, except those with a ticket."""
@@ -131,10 +135,10 @@
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serves one request, which may have been started early."""
         connection = _connection(request)
-        active = connection.turn() or self._start(request)
+        active = connection.pop_early_request() or self._start(request)
         call = active.call
         call.request = request
-        result: gateway.AnswerResult | None = None
+        result: gateway.ResponseResult | None = None
         try:
             result = await self._serve_in_turn(active, connection)
             if result.is_error():
@@ -142,10 +146,12 @@
                 return self._refusal_response(call, result.error)
             return await self._send_response(call, result.ok)
         finally:
-            connection.end_turn()
+            connection.disallow_early_requests()
             self._end(active, result)
 
-    def begin(self, request: web.BaseRequest) -> connections.Begun | None:
+    def start_early(
+        self, request: web.BaseRequest
+    ) -> connections.ActiveRequest | None:
         """Starts a request before its turn if it is idempotent.
 
         Requests that would be refused wait for their turn, and so do all
@@ -155,25 +161,25 @@
         Returns:
           The request, or None if it must wait for its turn.
         """
-        call = calls.Call(request, self._conventions)
+        call = caller_requests.CallerRequest(request, self._conventions)
         route = self._find_route(call)
         if self._is_stopping or route is None:
             return None
-        if not routed.may_repeat(route, request.method):
+        if not routed_request.is_idempotent(route, request.method):
             return None
         if self._admit(call) is not None:
             return None
         active = self._start(request, call)
-        active.task = asyncio.create_task(self._pass_on(call))
+        active.task = asyncio.create_task(self._forward(call))
         return active
 
-    def drop(self, active: connections.Begun) -> None:
+    def cancel_early(self, active: connections.ActiveRequest) -> None:
         """Cancels a request that was started early and closes its response."""
         task = asyncio.create_task(self._cancel(active))
         self._cancel_tasks.add(task)
         task.add_done_callback(self._cancel_tasks.discard)
 
-    async def _cancel(self, active: connections.Begun) -> None:
+    async def _cancel(self, active: connections.ActiveRequest) -> None:
         assert active.task is not None
         active.task.cancel()
         try:
@@ -186,42 +192,50 @@
             self._end(active, None)
 
     def _start(
-        self, request: web.BaseRequest, call: calls.Call | None = None
-    ) -> connections.Begun:
+        self,
+        request: web.BaseRequest,
+        call: caller_requests.CallerRequest | None = None,
+    ) -> connections.ActiveRequest:
         """Counts the start of a request."""
         self._in_flight += 1
         self._idle.clear()
-        return connections.Begun(
-            call or calls.Call(request, self._conventions),
-            self._metrics.started(),
+        return connections.ActiveRequest(
+            call or caller_requests.CallerRequest(request, self._conventions),
+            self._metrics.record_start(),
         )
 
     def _end(
-        self, active: connections.Begun, result: gateway.AnswerResult | None
+        self,
+        active: connections.ActiveRequest,
+        result: gateway.ResponseResult | None,
     ) -> None:
         """Counts the end of a request; no result if its caller disconnected."""
-        self._metrics.ended(active.started, active.call.service, result)
+        self._metrics.record_end(active.started, active.call.service, result)
         self._in_flight -= 1
         if not self._in_flight:
             self._idle.set()
 
     async def _serve_in_turn(
-        self, active: connections.Begun, connection: connections.Connection
-    ) -> gateway.AnswerResult:
+        self,
+        active: connections.ActiveRequest,
+        connection: connections.Connection,
+    ) -> gateway.ResponseResult:
         """Returns the result of a request whose turn it is."""
         if active.task is not None:
             self._allow_early_requests(active.call, connection)
             return await active.task
-        await self._settle(active.call)
+        await self._wait_for_configuration(active.call)
         refusal = self._admit(active.call)
         if refusal is None:
             self._allow_early_requests(active.call, connection)
             refusal = await self._read_body(active.call)
         if refusal is not None:
             return expression.Error(refusal)
-        return await self._pass_on(active.call)
+        return await self._forward(active.call)
 
-    async def _settle(self, call: calls.Call) -> None:
+    async def _wait_for_configuration(
+        self, call: caller_requests.CallerRequest
+    ) -> None:
         """Waits for the node's first configuration, if it has just started.
 
         Load: all nodes start at once, after a power failure. Harm: callers
@@ -230,7 +244,10 @@
         first second after the start; if the platform is unavailable for
         longer, callers are refused at once.
         """
-        while calls.now() - self._started_at < START_PATIENCE:
+        while (
+            caller_requests.loop_time() - self._started_at
+            < MAX_CONFIGURATION_WAIT
+        ):
             if (
                 self._find_route(call) is not None
                 or not self._configuration_status.missing()
@@ -239,44 +256,52 @@
             await asyncio.sleep(_STARTUP_POLL_INTERVAL.total_seconds())
 
     def _allow_early_requests(
-        self, call: calls.Call, connection: connections.Connection
+        self,
+        call: caller_requests.CallerRequest,
+        connection: connections.Connection,
     ) -> None:
         """Lets requests behind this one start early if it is idempotent."""
-        if not call.once and call.request.keep_alive:
-            connection.open_turn()
+        if not call.is_non_idempotent and call.request.keep_alive:
+            connection.allow_early_requests()
 
-    async def _pass_on(self, call: calls.Call) -> gateway.AnswerResult:
+    async def _forward(
+        self, call: caller_requests.CallerRequest
+    ) -> gateway.ResponseResult:
         """Passes an admitted request to the gateway or the ticket handler."""
         route = call.route
         head = exchange.RequestHead(
             request_id=call.request_id,
             method=call.request.method,
             path=call.path,
-            headers=self._header_filter.forwarded(
+            headers=self._header_filter.apply(
                 call.request.raw_headers,
                 call.request_id,
-                drop_key=call.is_keyed,
+                drop_key=call.has_key_workspace,
             ),
             service=call.service,
             workspace=call.workspace,
-            remaining=call.remaining(),
-            ticket=call.work_name if call.once else "",
+            remaining_time=call.remaining(),
+            ticket=call.work_id if call.is_non_idempotent else "",
             latency_objective=datetime.timedelta(milliseconds=route.aim_ms),
-            queue_priority=waiting.level(
+            queue_priority=request_queues.queue_priority(
                 route, self._gateway.workspaces.get(call.workspace)
             ),
         )
-        if call.ticketed:
+        if call.needs_ticket:
             return await self._ticket_handler.serve(route, head, call.body)
         return await self._gateway.serve(route, head, call.body)
 
-    def _find_route(self, call: calls.Call) -> objects.Route | None:
+    def _find_route(
+        self, call: caller_requests.CallerRequest
+    ) -> objects.Route | None:
         """Returns the route of a request, or None."""
         authorization.identify(call, self._gateway.workspaces)
         path = call.path.partition("?")[0]
         return self._gateway.route(call.host, path, call.workspace)
 
-    def _admit(self, call: calls.Call) -> exchange.Refusal | None:
+    def _admit(
+        self, call: caller_requests.CallerRequest
+    ) -> exchange.Refusal | None:
         """Routes and checks a request before its body is read.
 
         Returns:
@@ -291,44 +316,52 @@
             # exists. After a 404 callers would give up on requests that
             # another node could serve.
             return call.refuse(
-                exchange.Reason.NOT_READY, missing, NOT_READY_RETRY
+                exchange.Reason.NOT_READY, missing, NOT_READY_RETRY_AFTER
             )
         if route is None:
             detail = f"no route for {call.host}"
             return call.refuse(exchange.Reason.NO_ROUTE, detail)
-        refused = authorization.refusal(call, route, self._configuration_status)
+        refused = authorization.check_access(
+            call, route, self._configuration_status
+        )
         if refused is not None:
             return refused
         return self._admit_to_route(call, route)
 
     def _admit_to_route(
-        self, call: calls.Call, route: objects.Route
+        self, call: caller_requests.CallerRequest, route: objects.Route
     ) -> exchange.Refusal | None:
         """Sets the route of a request and checks its ticket and deadline."""
         call.route = route
-        call.service = self._gateway.service_of(route)
-        call.once = not routed.may_repeat(route, call.request.method)
-        has_ticket = call.ticketed and bool(call.ticket)
+        call.service = self._gateway.choose_service(route)
+        call.is_non_idempotent = not routed_request.is_idempotent(
+            route, call.request.method
+        )
+        has_ticket = call.needs_ticket and bool(call.ticket)
         if self._is_stopping and not has_ticket:
             return call.refuse(
-                exchange.Reason.STOPPING, "the node is leaving", LEAVING_RETRY
+                exchange.Reason.STOPPING,
+                "the node is leaving",
+                STOPPING_RETRY_AFTER,
             )
-        if call.ticketed and not call.ticket:
+        if call.needs_ticket and not call.ticket:
             detail = "send again with the Idempotency-Key of this answer"
             return call.refuse(exchange.Reason.TICKET_REQUIRED, detail)
         remaining = self._remaining(call.request, route)
         if remaining is None:
-            name = self._conventions.names.timeout_ms
+            name = self._conventions.header_names.timeout_ms
             detail = f"{name} must be a whole number from 1"
             return call.refuse(exchange.Reason.BAD_REQUEST, detail)
-        call.deadline = calls.now() + remaining
+        call.deadline = caller_requests.loop_time() + remaining
         return None
 
     def _remaining(
         self, request: web.BaseRequest, route: objects.Route
     ) -> datetime.timedelta | None:
         limit = self._gateway.timeout(route)
-        header_value = request.headers.get(self._conventions.names.timeout_ms)
+        header_value = request.headers.get(
+            self._conventions.header_names.timeout_ms
+        )
         if header_value is None:
             return limit or self._gateway.default_timeout(route)
         if not (
@@ -340,14 +373,14 @@
         requested = datetime.timedelta(milliseconds=int(header_value))
         return min(requested, limit or MAX_TIMEOUT, MAX_TIMEOUT)
 
-    def _body_limit(self, call: calls.Call) -> int:
+    def _body_limit(self, call: caller_requests.CallerRequest) -> int:
         """Returns the maximum size of a body in bytes.
 
         Bodies of requests with a ticket have a limit of their own because they
         are buffered: a repeated request is recognized by its body, so nothing
         of it may be forwarded before all of it has been received.
         """
-        if call.ticketed:
+        if call.needs_ticket:
             return self._limits.ticketed_body_bytes
         return self._configured_body_limit()
 
@@ -355,7 +388,9 @@
         limits = self._gateway.limits()
         return limits.body_bytes if limits else self._limits.body_bytes
 
-    async def _read_body(self, call: calls.Call) -> exchange.Refusal | None:
+    async def _read_body(
+        self, call: caller_requests.CallerRequest
+    ) -> exchange.Refusal | None:
         """Buffers the body if it is small or has a ticket, else streams it."""
         request = call.request
         if not request.body_exists:
@@ -370,13 +405,13 @@
         is_small = length is not None and (
             length <= self._limits.buffered_body_bytes
         )
-        if not is_small and not call.ticketed:
+        if not is_small and not call.needs_ticket:
             call.body = exchange.RequestBody(b"", self._body_chunks(request))
             return None
         return await self._buffer_body(call, limit)
 
     async def _buffer_body(
-        self, call: calls.Call, limit: int
+        self, call: caller_requests.CallerRequest, limit: int
     ) -> exchange.Refusal | None:
         """Reads the whole body before any of it is forwarded."""
         try:
@@ -402,41 +437,45 @@
                 total += len(data)
                 if total > self._configured_body_limit():
                     limit = f"over {self._configured_body_limit()} bytes"
-                    raise exchange.TruncatedBodyError(limit)
+                    raise exchange.RequestBodyError(limit)
                 yield data
         except (OSError, web.RequestPayloadError) as error:
-            raise exchange.TruncatedBodyError(str(error)) from error
+            raise exchange.RequestBodyError(str(error)) from error
 
     def _refusal_response(
-        self, call: calls.Call, refusal: exchange.Refusal
+        self, call: caller_requests.CallerRequest, refusal: exchange.Refusal
     ) -> web.Response:
         response = web.Response(
             status=problems.status(refusal),
             headers=problems.header_fields(
-                refusal, call.request_id, self._conventions.names.request_id
+                refusal,
+                call.request_id,
+                self._conventions.header_names.request_id,
             ),
             body=problems.body(refusal, call.request_id),
         )
         self._add_ticket(call, response)
         is_stopping = refusal.reason is exchange.Reason.STOPPING
-        if is_stopping and not _connection(call.request).has_begun:
+        if is_stopping and not _connection(call.request).has_early_requests:
             # Makes the caller send its next request to another node, but
             # only after requests that targets already have are answered.
             response.force_close()
         return response
 
     def _add_ticket(
-        self, call: calls.Call, response: web.StreamResponse
+        self, call: caller_requests.CallerRequest, response: web.StreamResponse
     ) -> None:
         """Adds a ticket for the caller's next request to the response."""
-        if call.ticketed and not self._is_stopping:
+        if call.needs_ticket and not self._is_stopping:
             ticket = self._ticket_handler.issue(call.workspace)
             response.headers[headers.IDEMPOTENCY_KEY] = ticket
 
     async def _send_response(
-        self, call: calls.Call, response: exchange.Response
+        self, call: caller_requests.CallerRequest, response: exchange.Response
     ) -> web.StreamResponse:
-        fields = calls.headers_out(response, call, self._conventions.names)
+        fields = caller_requests.response_headers(
+            response, call, self._conventions.header_names
+        )
         if response.stream is None:
             if call.request.method != "HEAD":
                 fields.popall("Content-Length", None)
@@ -471,19 +510,23 @@
     return connection
 
 
-def _body_too_large(call: calls.Call, limit: int) -> exchange.Refusal:
+def _body_too_large(
+    call: caller_requests.CallerRequest, limit: int
+) -> exchange.Refusal:
     return call.refuse(
         exchange.Reason.BODY_TOO_LARGE, f"a body may have {limit} bytes"
     )
 
 
-def _log_refusal(call: calls.Call, refusal: exchange.Refusal) -> None:
+def _log_refusal(
+    call: caller_requests.CallerRequest, refusal: exchange.Refusal
+) -> None:
     """Logs a refusal, as a warning only if the outcome is unknown.
 
     Under overload a node refuses thousands of requests a second, and a log
     line for each would cost more than the refusal itself.
     """
-    is_unknown = refusal.outcome is exchange.Outcome.UNKNOWN
+    is_unknown = refusal.outcome is exchange.ExecutionOutcome.UNKNOWN
     level = logging.WARNING if is_unknown else logging.DEBUG
     if not log.isEnabledFor(level):
         return
--- a/endivewind/callers/placement.py
+++ b/endivewind/callers/placement.py
@@ -24,19 +24,19 @@
 from endivewind.nodes import view
 from endivewind.targets import records
 
-Place = load_balancing.Locality
-FloorOf = collections.abc.Callable[[str], int]
-ShareOf = collections.abc.Callable[[str], float]
+Locality = load_balancing.Locality
+FloorSlotsOf = collections.abc.Callable[[str], int]
+FloorShareOf = collections.abc.Callable[[str], float]
 
 # Cooldown of a target that refused a request because it was full. It has room
 # again once some of its work has ended; asking sooner wastes a hop. The
 # cooldown is this share of the service's usual latency, and no less than
 # MIN_COOLDOWN, which also applies where the latency is unknown.
-REST_SHARE = 0.25
-REST = datetime.timedelta(milliseconds=50)
+COOLDOWN_LATENCY_SHARE = 0.25
+MIN_COOLDOWN = datetime.timedelta(milliseconds=50)
 # A target that sheds load answers at once and so looks idle; without a
 # cooldown it would attract the requests of all entries.
-SHED_REST = datetime.timedelta(milliseconds=250)
+LONG_COOLDOWN = datetime.timedelta(milliseconds=250)
 _OVERLOAD_STATUSES = frozenset({429, 503})
 # The same holds for a home that no longer forwards to its target, until this
 # entry learns of the change: each such refusal costs a hop and one of the
@@ -54,25 +54,25 @@
 )
 # One entry's share of the 4 Gbit/s that a pair of regions has in each
 # direction, with about 250 nodes in each region.
-CROSS_REGION_BYTES = 2_000_000.0
+CROSS_REGION_BYTES_PER_SECOND = 2_000_000.0
 # Approximate bytes that headers and framing add in each direction.
-HEAD_BYTES = 500
+HEADER_OVERHEAD_BYTES = 500
 # A change of the pool starts slow start for its new targets only if they are
 # at most this share of the pool.
-RAMP_SHARE = 0.25
+MAX_SLOW_START_SHARE = 0.25
 # Bounds of the Retry-After of a refusal: at least MIN_RETRY_AFTER, at most this
 # many times as long.
-LEAST_RETRY = datetime.timedelta(seconds=1)
-RETRY_SPREAD = 3
+MIN_RETRY_AFTER = datetime.timedelta(seconds=1)
+RETRY_AFTER_SPREAD = 3
 # A node that has just started learns of every live target within this time:
 # targets announce themselves at least every 1.5 s, and the announcements take
 # a few hundred milliseconds to reach all nodes.
-SETTLING = datetime.timedelta(seconds=2)
+DISCOVERY_TIME = datetime.timedelta(seconds=2)
 _LATENCY_EWMA_WEIGHT = 1 / 8
 _MIN_FAILURE_STATUS = 500
 # How long a reported load is used where the service's latency is unknown.
 # Requests take a few hundred milliseconds.
-_GLANCE_LIFE = datetime.timedelta(milliseconds=300)
+_STATUS_LIFETIME = datetime.timedelta(milliseconds=300)
 _NEVER_REPORTED_SECONDS = 86_400.0
 # Older latencies are ignored. For targets that respond within milliseconds the
 # limit is a multiple of the latency instead, so that a target avoided for one
@@ -96,15 +96,18 @@
       service_latency: The service's usual latency in seconds; 0 if unknown.
     """
     if result.is_ok():
-        return SHED_REST if result.ok.status in _OVERLOAD_STATUSES else None
+        return LONG_COOLDOWN if result.ok.status in _OVERLOAD_STATUSES else None
     if (
         result.error.reason in _LONG_COOLDOWN_REASONS
         and not result.error.moved_to
     ):
-        return SHED_REST
+        return LONG_COOLDOWN
     if result.error.reason is exchange.Reason.BUSY:
         return max(
-            REST, datetime.timedelta(seconds=REST_SHARE * service_latency)
+            MIN_COOLDOWN,
+            datetime.timedelta(
+                seconds=COOLDOWN_LATENCY_SHARE * service_latency
+            ),
         )
     return None
 
@@ -127,11 +130,11 @@
         "latency_updated_at",
         "in_use",
         "latency",
-        "others",
+        "peer_load",
         "cooldown_until",
         "slots",
         "suspicion",
-        "told",
+        "reported_at",
     )
 
     def __init__(self) -> None:
@@ -139,20 +142,20 @@
         self.latency = 0.0
         self.latency_updated_at = datetime.timedelta()
         self.cooldown_until = datetime.timedelta()
-        self.others = 0
+        self.peer_load = 0
         self.slots = 0
         self.suspicion = suspicion.PRIOR_SUSPICION
-        self.told = -_GLANCE_LIFE
+        self.reported_at = -_STATUS_LIFETIME
 
     def update_status(
-        self, status: exchange.TargetStatus, now: datetime.timedelta
+        self, status: exchange.TargetReport, now: datetime.timedelta
     ) -> None:
         """Stores the target status that the home has reported."""
-        self.others = max(0, status.load - self.in_use)
+        self.peer_load = max(0, status.load - self.in_use)
         self.suspicion = status.suspicion
-        self.told = now
+        self.reported_at = now
 
-    def others_now(
+    def remaining_peer_load(
         self, service_latency: float, now: datetime.timedelta
     ) -> float:
         """Returns the estimated remainder of the load that the home reported.
@@ -169,11 +172,11 @@
             unknown.
           now: The current time.
         """
-        age = now - self.told
+        age = now - self.reported_at
         if not service_latency or not self.slots:
-            return self.others if age < _GLANCE_LIFE else 0.0
+            return self.peer_load if age < _STATUS_LIFETIME else 0.0
         done = age.total_seconds() * self.slots / service_latency
-        return max(0.0, self.others - done)
+        return max(0.0, self.peer_load - done)
 
     def recent_latency(self, now: datetime.timedelta) -> float:
         """Returns the average latency in seconds; 0 if none is recent."""
@@ -203,7 +206,7 @@
         self.latency_updated_at = now
 
 
-class Loads(load_balancing.Load):
+class TargetLoads(load_balancing.TargetInfo):
     """Load per target, for targets that this entry has used or heard about."""
 
     def __init__(
@@ -233,7 +236,7 @@
             return 0
         known.slots = item.slots
         service_latency = self._service_latencies.get(item.service, 0.0)
-        return known.in_use + known.others_now(
+        return known.in_use + known.remaining_peer_load(
             service_latency, self._clock.monotonic()
         )
 
@@ -250,22 +253,22 @@
         known = self._loads.get(target)
         if known is None:
             return suspicion.PRIOR_SUSPICION
-        age = self._clock.monotonic() - known.told
+        age = self._clock.monotonic() - known.reported_at
         return suspicion.decay(known.suspicion, age)
 
     def seconds_since_report(self, target: str) -> float:
         """Returns the seconds since its home's last report; a day if none."""
         known = self._loads.get(target)
-        if known is None or known.told < datetime.timedelta():
+        if known is None or known.reported_at < datetime.timedelta():
             return _NEVER_REPORTED_SECONDS
-        return (self._clock.monotonic() - known.told).total_seconds()
+        return (self._clock.monotonic() - known.reported_at).total_seconds()
 
     def latency(self, target: str) -> float:
         """Returns its latency in seconds; 0 if there is no recent one."""
         known = self._loads.get(target)
         return known.recent_latency(self._clock.monotonic()) if known else 0.0
 
-    def slots(self, item: capacity_floor.Candidate) -> int:
+    def usable_slots(self, item: capacity_floor.Candidate) -> int:
         """Returns the slots that slow start allows this entry to use now."""
         return self._slow_start.usable_slots(
             item.id, item.slots, self._clock.monotonic()
@@ -286,15 +289,15 @@
         """Returns whether the circuit breaker allows requests to a home."""
         return self._circuit_breakers.allows(home, self._clock.monotonic())
 
-    def started(self, target: str) -> None:
+    def record_start(self, target: str) -> None:
         """Counts a request sent to a target."""
         self._load_of(target).in_use += 1
 
-    def ended(self, target: str) -> None:
+    def record_end(self, target: str) -> None:
         """Counts the end of a request sent to a target."""
         self._load_of(target).in_use -= 1
 
-    def learn(
+    def record_result(
         self,
         record: records.TargetRecord,
         result: expression.Result[exchange.Response, exchange.Refusal],
@@ -310,9 +313,9 @@
         known = self._load_of(record.id)
         now = self._clock.monotonic()
         status = (
-            result.ok.target_status
+            result.ok.target_report
             if result.is_ok()
-            else result.error.target_status
+            else result.error.target_report
         )
         if status is not None:
             known.update_status(status, now)
@@ -327,10 +330,10 @@
             )
             self._service_latencies[record.service] = service_latency
 
-    def hear(self, update: peer_updates.TargetUpdate) -> None:
+    def apply_update(self, update: peer_updates.TargetUpdate) -> None:
         """Stores the target status from a target update of a home."""
         now = self._clock.monotonic()
-        self._load_of(update.target).update_status(update.status, now)
+        self._load_of(update.target).update_status(update.report, now)
 
     def forget(self, targets: collections.abc.Iterable[str]) -> None:
         """Drops the load of removed targets, unless requests are running."""
@@ -351,13 +354,13 @@
 
     def __init__(
         self,
-        locality: Place,
+        locality: Locality,
         fleet: view.FleetView,
-        floor_slots_of: FloorOf,
+        floor_slots_of: FloorSlotsOf,
         clock: clocks.Clock,
         rng: random.Random,
-        cross_region_bytes_per_second: float = CROSS_REGION_BYTES,
-        share_of: ShareOf = _default_floor_share,
+        cross_region_bytes_per_second: float = CROSS_REGION_BYTES_PER_SECOND,
+        floor_share_of: FloorShareOf = _default_floor_share,
     ) -> None:
         """Starts with no load.
 
@@ -371,7 +374,7 @@
           floor_share_of: Returns a service's capacity floor as a share of a
             region's slots, used where no number of slots is set.
         """
-        self._floor_share_of = share_of
+        self._floor_share_of = floor_share_of
         self._locality = locality
         self._fleet = fleet
         self._floor_slots_of = floor_slots_of
@@ -384,7 +387,7 @@
             cross_region_bytes_per_second
         )
         self._slow_start = slow_start.SlowStart()
-        self._loads = Loads(
+        self._loads = TargetLoads(
             clock,
             self._circuit_breakers,
             self._cross_region_budget,
@@ -392,42 +395,42 @@
         )
 
     @property
-    def place(self) -> Place:
+    def locality(self) -> Locality:
         """The location of this entry."""
         return self._locality
 
     @property
-    def is_settling(self) -> bool:
+    def is_discovering(self) -> bool:
         """Whether live targets may exist that this node doesn't know yet."""
-        return self._clock.monotonic() - self._started < SETTLING
+        return self._clock.monotonic() - self._started < DISCOVERY_TIME
 
     def choose(
-        self, service: str, demand: load_balancing.Demand
+        self, service: str, demand: load_balancing.RequestConstraints
     ) -> records.TargetRecord | None:
         """Returns a target that the request can be sent to, or None."""
         pool = self._pool(service)
         chosen = load_balancing.choose(pool, demand, self._loads, self._rng)
         return self._fleet.targets(service)[chosen.id] if chosen else None
 
-    def started(self, record: records.TargetRecord, size: int = 0) -> None:
+    def record_start(self, record: records.TargetRecord, size: int = 0) -> None:
         """Counts a request sent to a target, with the bytes of its body."""
         self._charge_traffic(record, size)
-        self._loads.started(record.id)
+        self._loads.record_start(record.id)
         self._circuit_breakers.record_start(
             record.home, self._clock.monotonic()
         )
 
-    def ended(
+    def record_end(
         self,
         record: records.TargetRecord,
         result: expression.Result[exchange.Response, exchange.Refusal] | None,
         latency: datetime.timedelta,
     ) -> None:
         """Records the end of a request; no result if it was cancelled."""
-        self._loads.ended(record.id)
+        self._loads.record_end(record.id)
         if result is None:
             return
-        self._loads.learn(record, result, latency)
+        self._loads.record_result(record, result, latency)
         if result.is_ok():
             self._charge_traffic(record, _body_size(result.ok))
         if result.is_error() and result.error.reason in _HOME_FAILURE_REASONS:
@@ -437,17 +440,17 @@
         else:
             self._circuit_breakers.record_success(record.home)
 
-    def hear(self, update: peer_updates.TargetUpdate) -> None:
+    def apply_update(self, update: peer_updates.TargetUpdate) -> None:
         """Stores a home's target update if the target is known."""
         if self._fleet.find_target(update.target) is not None:
-            self._loads.hear(update)
+            self._loads.apply_update(update)
 
     def suspicion(self, target: str) -> float:
         """Returns this entry's estimate that a target is unhealthy."""
         return self._loads.suspicion(target)
 
     def has_candidate(
-        self, service: str, demand: load_balancing.Demand
+        self, service: str, demand: load_balancing.RequestConstraints
     ) -> bool:
         """Returns whether any target could take the request, given a slot."""
         return any(
@@ -458,24 +461,22 @@
 
     def admitted_slots(self, service: str) -> int:
         """Returns the slots of all targets that get regular traffic."""
-        return self._pool(service).slots
+        return self._pool(service).admitted_slots
 
     def _charge_traffic(self, record: records.TargetRecord, size: int) -> None:
         if record.region != self._locality.region:
             now = self._clock.monotonic()
             self._cross_region_budget.spend(
-                record.region, size + HEAD_BYTES, now
+                record.region, size + HEADER_OVERHEAD_BYTES, now
             )
 
-    def come_back_after(
-        self, minimum: datetime.timedelta
-    ) -> datetime.timedelta:
+    def retry_after(self, minimum: datetime.timedelta) -> datetime.timedelta:
         """Returns a randomized Retry-After of one to three times the minimum.
 
         Without the jitter, callers that were refused together would come back
         together and be refused together again.
         """
-        return minimum * self._rng.uniform(1, RETRY_SPREAD)
+        return minimum * self._rng.uniform(1, RETRY_AFTER_SPREAD)
 
     def _pool(self, service: str) -> load_balancing.Pool:
         """Returns the service's pool, rebuilt only when something changed.
@@ -501,7 +502,7 @@
             self._floor_share_of(service),
         )
         if known is not None:
-            removed = known[1].targets() - {item.id for item in candidates}
+            removed = known[1].target_ids() - {item.id for item in candidates}
             self._loads.forget(removed)
             self._slow_start.forget(removed)
             self._start_slow_starts(known[1], pool)
@@ -519,8 +520,8 @@
         capacity below the floor.
         """
         now = self._clock.monotonic()
-        new_targets = pool.normal_targets() - before.targets()
-        if len(new_targets) > RAMP_SHARE * len(pool.targets()):
+        new_targets = pool.normal_target_ids() - before.target_ids()
+        if len(new_targets) > MAX_SLOW_START_SHARE * len(pool.target_ids()):
             return
         for target in new_targets:
             self._slow_start.start(target, now)
--- a/endivewind/callers/crashes.py
+++ b/endivewind/callers/poison_guard.py
@@ -11,17 +11,17 @@
 from endivewind.decisions import poison_requests
 from endivewind.targets import records
 
-AnswerResult = expression.Result[exchange.Response, exchange.Refusal]
+ResponseResult = expression.Result[exchange.Response, exchange.Refusal]
 
 
-class CrashWatch:
+class PoisonGuard:
     """Passes the requests of this entry node to the poison request detector."""
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
         self._detector = poison_requests.PoisonRequestDetector()
 
-    def refusal(
+    def check(
         self, head: exchange.RequestHead, body: exchange.RequestBody
     ) -> exchange.Refusal | None:
         """Returns a refusal if the request crashes targets, otherwise None."""
@@ -32,18 +32,18 @@
         )
         if remaining_block is None:
             return None
-        return exchange.not_run(
+        return exchange.not_run_refusal(
             exchange.Reason.POISON,
             "targets crashed while they ran this request",
             remaining_block,
         )
 
-    def ended(
+    def record_result(
         self,
         head: exchange.RequestHead,
         body: exchange.RequestBody,
         record: records.TargetRecord,
-        result: AnswerResult,
+        result: ResponseResult,
     ) -> None:
         """Records the result of an attempt at a target.
 
--- a/endivewind/callers/problems.py
+++ b/endivewind/callers/problems.py
@@ -59,7 +59,7 @@
     statuses that mean "not executed" and those that leave it open.
     """
     default_status = _STATUS_BY_REASON[refusal.reason]
-    if refusal.outcome is exchange.Outcome.NOT_RUN:
+    if refusal.outcome is exchange.ExecutionOutcome.NOT_RUN:
         return (
             503
             if default_status in _UNKNOWN_OUTCOME_STATUSES
--- a/endivewind/callers/allowances.py
+++ b/endivewind/callers/quota_client.py
@@ -13,15 +13,15 @@
 from endivewind.decisions import quotas
 
 # Time for which the token of a request that did not run can be used by another.
-RETURNED_LIFE = datetime.timedelta(seconds=1)
+REFUND_LIFETIME = datetime.timedelta(seconds=1)
 # Maximum time after a refusal in which the owner is not asked again, even if
 # the next token is further away.
-LONGEST_REFUSAL = datetime.timedelta(milliseconds=250)
-_NO_TOKENS = quotas.Grant(0, LONGEST_REFUSAL)
+MAX_REFUSAL_DURATION = datetime.timedelta(milliseconds=250)
+_NO_TOKENS = quotas.Grant(0, MAX_REFUSAL_DURATION)
 
 
 # Requests a number of tokens of a workspace from the bucket's owner.
-Ask = collections.abc.Callable[
+TokenRequester = collections.abc.Callable[
     [str, int], collections.abc.Awaitable[quotas.Grant]
 ]
 
@@ -45,10 +45,12 @@
     request_task: asyncio.Task[None] | None = None
 
 
-class Allowances:
+class QuotaClient:
     """Takes tokens from the quotas of workspaces."""
 
-    def __init__(self, request_tokens: Ask, clock: clocks.Clock) -> None:
+    def __init__(
+        self, request_tokens: TokenRequester, clock: clocks.Clock
+    ) -> None:
         self._request_tokens = request_tokens
         self._clock = clock
         self._accounts: dict[str, _Account] = {}
@@ -81,9 +83,9 @@
         self._remove_if_idle(workspace, account)
         return None if grant.count else grant.retry_after
 
-    def give_back(self, workspace: str) -> None:
+    def refund(self, workspace: str) -> None:
         """Returns the token of a request that did not run."""
-        until = self._clock.monotonic() + RETURNED_LIFE
+        until = self._clock.monotonic() + REFUND_LIFETIME
         self._account(workspace).refunded.append(until)
 
     def _account(self, workspace: str) -> _Account:
@@ -136,7 +138,7 @@
             remaining = max(0, remaining - 1)
         now = self._clock.monotonic()
         if not grant.count:
-            wait = min(grant.retry_after, LONGEST_REFUSAL)
+            wait = min(grant.retry_after, MAX_REFUSAL_DURATION)
             account.refused_until = now + wait
         for _ in range(remaining):
-            account.refunded.append(now + RETURNED_LIFE)
+            account.refunded.append(now + REFUND_LIFETIME)
--- a/endivewind/callers/counts.py
+++ b/endivewind/callers/request_metrics.py
@@ -16,11 +16,11 @@
 from endivewind import clock as clocks
 from endivewind import exchange
 
-ANSWERED = "answered"
-CALLER_LEFT = "caller-left"
+OUTCOME_ANSWERED = "answered"
+OUTCOME_CALLER_LEFT = "caller-left"
 
 # Upper bounds of the histogram's buckets; the last bucket is unbounded.
-LATENCY_BOUNDS = (
+LATENCY_BOUNDS_SECONDS = (
     0.001,
     0.0025,
     0.005,
@@ -37,11 +37,11 @@
     30.0,
 )
 
-Result = expression.Result[exchange.Response, exchange.Refusal]
+ResponseResult = expression.Result[exchange.Response, exchange.Refusal]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ending:
+class RequestOutcome:
     """The labels by which completed requests are counted.
 
     Attributes:
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Latencies:
+class LatencyHistogram:
     """Latency histogram of one service.
 
     Attributes:
@@ -65,12 +65,12 @@
     """
 
     buckets: list[int] = dataclasses.field(
-        default_factory=lambda: [0] * (len(LATENCY_BOUNDS) + 1)
+        default_factory=lambda: [0] * (len(LATENCY_BOUNDS_SECONDS) + 1)
     )
-    seconds: float = 0.0
+    sum_seconds: float = 0.0
 
 
-class RequestCounts:
+class RequestMetrics:
     """Counts requests, attempts and retries, and records latencies."""
 
     def __init__(self, clock: clocks.Clock) -> None:
@@ -79,7 +79,7 @@
         self._completed: dict[tuple[str, str, str], int] = (
             collections.defaultdict(int)
         )
-        self._latencies: dict[str, Latencies] = {}
+        self._latencies: dict[str, LatencyHistogram] = {}
         self._attempts: dict[str, int] = collections.defaultdict(int)
         self._retries: dict[str, int] = collections.defaultdict(int)
 
@@ -89,7 +89,7 @@
         return self._in_flight
 
     @property
-    def placings(self) -> collections.abc.Mapping[str, int]:
+    def attempts(self) -> collections.abc.Mapping[str, int]:
         """Number of attempts at a target, by service."""
         return self._attempts
 
@@ -99,15 +99,18 @@
         return self._retries
 
     @property
-    def latencies(self) -> collections.abc.Mapping[str, Latencies]:
+    def latencies(self) -> collections.abc.Mapping[str, LatencyHistogram]:
         """Latency histograms by service."""
         return self._latencies
 
-    def endings(self) -> list[tuple[Ending, int]]:
+    def outcomes(self) -> list[tuple[RequestOutcome, int]]:
         """Returns the number of completed requests by outcome."""
-        return [(Ending(*key), count) for key, count in self._completed.items()]
+        return [
+            (RequestOutcome(*key), count)
+            for key, count in self._completed.items()
+        ]
 
-    def started(self) -> datetime.timedelta:
+    def record_start(self) -> datetime.timedelta:
         """Records the start of a request.
 
         Returns:
@@ -116,17 +119,17 @@
         self._in_flight += 1
         return self._clock.monotonic()
 
-    def placed(self, service: str, attempt: int) -> None:
+    def record_attempt(self, service: str, attempt: int) -> None:
         """Records an attempt at a target; the first has the number 1."""
         self._attempts[service] += 1
         if attempt > 1:
             self._retries[service] += 1
 
-    def ended(
+    def record_end(
         self,
         started: datetime.timedelta,
         service: str,
-        result: Result | None,
+        result: ResponseResult | None,
     ) -> None:
         """Records the end of a request.
 
@@ -140,14 +143,16 @@
         seconds = (self._clock.monotonic() - started).total_seconds()
         latencies = self._latencies.get(service)
         if latencies is None:
-            latencies = self._latencies[service] = Latencies()
-        latencies.buckets[bisect.bisect_left(LATENCY_BOUNDS, seconds)] += 1
-        latencies.seconds += seconds
+            latencies = self._latencies[service] = LatencyHistogram()
+        latencies.buckets[
+            bisect.bisect_left(LATENCY_BOUNDS_SECONDS, seconds)
+        ] += 1
+        latencies.sum_seconds += seconds
 
 
-def _outcome(result: Result | None) -> tuple[str, str]:
+def _outcome(result: ResponseResult | None) -> tuple[str, str]:
     if result is None:
-        return CALLER_LEFT, ""
+        return OUTCOME_CALLER_LEFT, ""
     if result.is_ok():
-        return ANSWERED, ""
+        return OUTCOME_ANSWERED, ""
     return result.error.outcome.value, result.error.reason.value
--- a/endivewind/callers/waiting.py
+++ b/endivewind/callers/request_queues.py
@@ -22,11 +22,11 @@
 
 # Slots are also freed by other entries' requests, about which this entry gets
 # no event, so a queue with waiters is polled this often.
-LOOK = datetime.timedelta(milliseconds=50)
+POLL_INTERVAL = datetime.timedelta(milliseconds=50)
 # Waiters tried for each free slot. Their demands differ in a few ways only;
 # with a long queue, trying all would cost a millisecond per waiter at each
 # poll.
-TRIED = 8
+MAX_WAITERS_TRIED = 8
 
 PlacedResult = expression.Result[records.TargetRecord, exchange.Refusal]
 QueueLimitOf = collections.abc.Callable[[str], int]
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Claim:
+class SlotRequest:
     """A request's need for a slot of one of a service's targets.
 
     Attributes:
@@ -53,13 +53,13 @@
     """
 
     service: str
-    demand: load_balancing.Demand
+    demand: load_balancing.RequestConstraints
     waiter: admission.Waiter
-    size: int
-    placed: asyncio.Future[PlacedResult] | None = None
+    body_bytes: int
+    future: asyncio.Future[PlacedResult] | None = None
 
 
-def level(
+def queue_priority(
     route: objects.Route, workspace: objects.Workspace | None = None
 ) -> int:
     """Returns a request's queue priority; higher values go first."""
@@ -69,7 +69,7 @@
     return _PRIORITY_VALUES[route.priority] * _RANK_COUNT - rank
 
 
-class WaitingRoom:
+class RequestQueues:
     """The request queues of all services at this entry."""
 
     def __init__(
@@ -81,15 +81,15 @@
         self._placement = placement
         self._queue_limit_of = queue_limit_of
         self._clock = clock
-        self._queues: dict[str, admission.ServiceQueue] = {}
-        self._requests: dict[admission.Waiter, Claim] = {}
+        self._queues: dict[str, admission.AdmissionQueue] = {}
+        self._requests: dict[admission.Waiter, SlotRequest] = {}
         self._timers: dict[str, asyncio.TimerHandle] = {}
 
-    def waiting(self, service: str) -> int:
+    def waiter_count(self, service: str) -> int:
         """Returns the number of requests waiting for a slot of a service."""
         return len(self._queue(service))
 
-    async def place(self, request: Claim) -> PlacedResult:
+    async def place(self, request: SlotRequest) -> PlacedResult:
         """Returns a target with a slot reserved, or a refusal."""
         queue = self._queue(request.service)
         if not len(queue):
@@ -106,13 +106,13 @@
                 exchange.Reason.BUSY, offered.reason.value, offered.retry_after
             )
         if offered is not None:
-            self._evict(offered, admission.Reason.QUEUE_FULL)
-        request.placed = asyncio.get_running_loop().create_future()
+            self._evict(offered, admission.RejectionReason.QUEUE_FULL)
+        request.future = asyncio.get_running_loop().create_future()
         self._requests[request.waiter] = request
         self._assign_free_slots(request.service)
-        return await self._wait(request, request.placed)
+        return await self._wait(request, request.future)
 
-    def ended(self, service: str) -> None:
+    def record_end(self, service: str) -> None:
         """Records the end of a request, whose slot may now be free."""
         queue = self._queue(service)
         queue.record_completion(self._clock.monotonic())
@@ -120,7 +120,7 @@
             self._assign_free_slots(service)
 
     async def _wait(
-        self, request: Claim, future: asyncio.Future[PlacedResult]
+        self, request: SlotRequest, future: asyncio.Future[PlacedResult]
     ) -> PlacedResult:
         self._schedule_poll(request.service)
         remaining = request.waiter.deadline - self._clock.monotonic()
@@ -131,7 +131,7 @@
             self._release_slot(request)
             return self._refusal(
                 exchange.Reason.BUSY,
-                admission.Reason.DEADLINE_TOO_SOON.value,
+                admission.RejectionReason.DEADLINE_TOO_SOON.value,
                 datetime.timedelta(),
             )
         except asyncio.CancelledError:
@@ -141,18 +141,18 @@
             self._queue(request.service).remove(request.waiter)
             self._requests.pop(request.waiter, None)
 
-    def _release_slot(self, request: Claim) -> None:
+    def _release_slot(self, request: SlotRequest) -> None:
         """Frees a slot reserved for a request that was cancelled meanwhile.
 
         Otherwise this entry would count it as in use for ever.
         """
-        if request.placed is None or not request.placed.done():
+        if request.future is None or not request.future.done():
             return
-        if request.placed.cancelled():
+        if request.future.cancelled():
             return
-        result = request.placed.result()
+        result = request.future.result()
         if result.is_ok():
-            self._placement.ended(result.ok, None, datetime.timedelta())
+            self._placement.record_end(result.ok, None, datetime.timedelta())
 
     def _assign_free_slots(self, service: str) -> None:
         """Assigns free slots to the first waiters that can use them.
@@ -163,7 +163,10 @@
         idle (head-of-line blocking).
         """
         queue = self._queue(service)
-        while any(self._assign_slot(item) for item in queue.first_few(TRIED)):
+        while any(
+            self._assign_slot(item)
+            for item in queue.first_few(MAX_WAITERS_TRIED)
+        ):
             pass
 
     def _assign_slot(self, waiter: admission.Waiter) -> bool:
@@ -175,7 +178,7 @@
         self._resolve(request, expression.Ok(record))
         return True
 
-    def _is_unplaceable(self, request: Claim) -> bool:
+    def _is_unplaceable(self, request: SlotRequest) -> bool:
         """Returns whether no target could take the request, even later.
 
         Load: all nodes and targets start at once, after a power failure. Harm:
@@ -186,7 +189,7 @@
         if self._placement.has_candidate(request.service, request.demand):
             return False
         has_no_slots = not self._placement.admitted_slots(request.service)
-        return not (has_no_slots and self._placement.is_settling)
+        return not (has_no_slots and self._placement.is_discovering)
 
     def _poll(self, service: str) -> None:
         del self._timers[service]
@@ -197,9 +200,9 @@
 
     def _refuse_unplaceable(self, service: str) -> None:
         """Refuses waiters for which no target has been discovered."""
-        if self._placement.is_settling:
+        if self._placement.is_discovering:
             return
-        for waiter in self._queue(service).first_few(TRIED):
+        for waiter in self._queue(service).first_few(MAX_WAITERS_TRIED):
             request = self._requests[waiter]
             if self._is_unplaceable(request):
                 self._resolve(request, self._no_target(service))
@@ -208,17 +211,19 @@
         if service not in self._timers:
             loop = asyncio.get_running_loop()
             self._timers[service] = loop.call_later(
-                LOOK.total_seconds(), self._poll, service
+                POLL_INTERVAL.total_seconds(), self._poll, service
             )
 
-    def _choose_target(self, request: Claim) -> records.TargetRecord | None:
+    def _choose_target(
+        self, request: SlotRequest
+    ) -> records.TargetRecord | None:
         record = self._placement.choose(request.service, request.demand)
         if record is not None:
-            self._placement.started(record, request.size)
+            self._placement.record_start(record, request.body_bytes)
         return record
 
     def _evict(
-        self, evicted: admission.Waiter, reason: admission.Reason
+        self, evicted: admission.Waiter, reason: admission.RejectionReason
     ) -> None:
         request = self._requests[evicted]
         wait = self._queue(request.service).expected_wait(evicted.priority)
@@ -226,16 +231,18 @@
             request, self._refusal(exchange.Reason.BUSY, reason.value, wait)
         )
 
-    def _resolve(self, request: Claim, result: PlacedResult) -> None:
+    def _resolve(self, request: SlotRequest, result: PlacedResult) -> None:
         self._queue(request.service).remove(request.waiter)
         del self._requests[request.waiter]
-        assert request.placed is not None
-        if request.placed.done():
+        assert request.future is not None
+        if request.future.done():
             # The request was cancelled at the same moment.
             if result.is_ok():
-                self._placement.ended(result.ok, None, datetime.timedelta())
+                self._placement.record_end(
+                    result.ok, None, datetime.timedelta()
+                )
             return
-        request.placed.set_result(result)
+        request.future.set_result(result)
 
     def _no_target(self, service: str) -> PlacedResult:
         return self._refusal(
@@ -247,17 +254,17 @@
     def _refusal(
         self, reason: exchange.Reason, detail: str, wait: datetime.timedelta
     ) -> PlacedResult:
-        minimum = max(wait, placement.LEAST_RETRY)
+        minimum = max(wait, placement.MIN_RETRY_AFTER)
         return expression.Error(
-            exchange.not_run(
-                reason, detail, self._placement.come_back_after(minimum)
+            exchange.not_run_refusal(
+                reason, detail, self._placement.retry_after(minimum)
             )
         )
 
-    def _queue(self, service: str) -> admission.ServiceQueue:
+    def _queue(self, service: str) -> admission.AdmissionQueue:
         queue = self._queues.get(service)
         if queue is None:
-            queue = admission.ServiceQueue(self._queue_limit_of(service))
+            queue = admission.AdmissionQueue(self._queue_limit_of(service))
             self._queues[service] = queue
         queue.configure(self._queue_limit_of(service))
         return queue
--- a/endivewind/callers/routed.py
+++ b/endivewind/callers/routed_request.py
@@ -16,11 +16,11 @@
 from endivewind.decisions import load_balancing
 from endivewind.targets import records
 
-AnswerResult = expression.Result[exchange.Response, exchange.Refusal]
+ResponseResult = expression.Result[exchange.Response, exchange.Refusal]
 
 # Targets that one request may be sent to, unless its route sets a number.
-MAX_ATTEMPTS = 3
-FAILED_STATUS = frozenset({500, 502, 503, 504})
+DEFAULT_MAX_TARGETS = 3
+FAILURE_STATUSES = frozenset({500, 502, 503, 504})
 # Reasons of refusals before any byte was sent to a target.
 _UNDELIVERED_REASONS = frozenset(
     {
@@ -37,14 +37,14 @@
 # its objective, so its response is still in time. Below a third, one order in
 # twelve went to another region while the near targets were briefly busy; at a
 # half it is one in forty, and none was late.
-PATIENCE_SHARE = 0.5
+MAX_WAIT_SHARE = 0.5
 # Retry-After of requests that a stopping node has not executed. The smallest
 # possible value, since another node takes the request.
-END_RETRY = datetime.timedelta(seconds=1)
+SHUTDOWN_RETRY_AFTER = datetime.timedelta(seconds=1)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Step:
+class Attempt:
     """One attempt of a request, for the log.
 
     Attributes:
@@ -58,20 +58,20 @@
 
     target: str
     home: str
-    after: datetime.timedelta
-    lasted: datetime.timedelta
+    start_offset: datetime.timedelta
+    duration: datetime.timedelta
     suspicion: float
-    result: AnswerResult | None
+    result: ResponseResult | None
 
-    def as_fields(self) -> dict[str, object]:
+    def as_log_fields(self) -> dict[str, object]:
         """Returns the attempt as fields of a log line."""
         return {
             "target": self.target,
             "home": self.home,
-            "after_ms": milliseconds(self.after),
-            "for_ms": milliseconds(self.lasted),
+            "after_ms": milliseconds(self.start_offset),
+            "for_ms": milliseconds(self.duration),
             "suspicion": round(self.suspicion, 2),
-            "result": word(self.result),
+            "result": describe_result(self.result),
         }
 
 
@@ -103,59 +103,62 @@
     body: exchange.RequestBody
     deadline: datetime.timedelta
     started: datetime.timedelta
-    tries: int = 0
-    sent: int = 0
-    under_way: int = 0
-    given_up: bool = False
-    record: records.TargetRecord | None = None
-    reached: AnswerResult | None = None
-    tried: set[str] = dataclasses.field(default_factory=set)
-    steps: list[Step] = dataclasses.field(default_factory=list)
-    is_open: bool = False
+    attempt_count: int = 0
+    delivered_count: int = 0
+    active_attempts: int = 0
+    is_abandoned: bool = False
+    last_target: records.TargetRecord | None = None
+    executed_result: ResponseResult | None = None
+    tried_targets: set[str] = dataclasses.field(default_factory=set)
+    attempts: list[Attempt] = dataclasses.field(default_factory=list)
+    has_cancelled_attempt: bool = False
     task: asyncio.Task[Any] | None = None
     _abort_requested: bool = False
 
-    def end(self) -> None:
+    def abort(self) -> None:
         """Cancels the request in whatever state it is."""
         assert self.task is not None
         self._abort_requested = True
         self.task.cancel()
 
-    def was_ended(self) -> bool:
+    def was_aborted(self) -> bool:
         """Returns whether only `abort` cancelled it, not its caller as well."""
         if not self._abort_requested or self.task is None:
             return False
         return self.task.uncancel() == 0
 
     @property
-    def repeatable(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether it may be executed more than once."""
         if self.head.ticket:
             return False
-        return may_repeat(self.route, self.head.method)
+        return is_idempotent(self.route, self.head.method)
 
     @property
-    def most_sends(self) -> int:
+    def max_targets(self) -> int:
         """The number of targets that it may be sent to."""
-        return self.route.attempts or MAX_ATTEMPTS
+        return self.route.attempts or DEFAULT_MAX_TARGETS
 
-    def may_go_on(self, max_attempts: int) -> bool:
+    def has_attempts_left(self, max_attempts: int) -> bool:
         """Returns whether the limits on attempts and targets allow one more."""
-        return self.sent < self.most_sends and self.tries < max_attempts
+        return (
+            self.delivered_count < self.max_targets
+            and self.attempt_count < max_attempts
+        )
 
     @property
-    def may_hedge(self) -> bool:
+    def can_hedge(self) -> bool:
         """Whether it may be sent to two targets at once."""
         return (
-            self.repeatable
+            self.is_idempotent
             and self.body.is_replayable
             and bool(self.head.latency_objective)
-            and self.most_sends > self.sent + 1
+            and self.max_targets > self.delivered_count + 1
         )
 
     def demand(
         self, *, may_probe: bool, is_last: bool = False
-    ) -> load_balancing.Demand:
+    ) -> load_balancing.RequestConstraints:
         """Returns which targets it may be sent to now.
 
         Args:
@@ -163,16 +166,17 @@
             likely to fail.
           is_last: Whether this attempt can't be retried.
         """
-        max_wait = PATIENCE_SHARE * self.head.latency_objective.total_seconds()
-        return load_balancing.Demand(
-            self.repeatable,
-            self.tried,
+        max_wait = MAX_WAIT_SHARE * self.head.latency_objective.total_seconds()
+        return load_balancing.RequestConstraints(
+            self.is_idempotent,
+            self.tried_targets,
             max_wait,
-            may_probe=may_probe and self.may_hedge,
-            is_last=is_last or self.sent + 1 >= self.most_sends,
+            may_probe=may_probe and self.can_hedge,
+            is_last_attempt=is_last
+            or self.delivered_count + 1 >= self.max_targets,
         )
 
-    def may_place_again(self, result: AnswerResult) -> bool:
+    def can_retry(self, result: ResponseResult) -> bool:
         """Returns whether the request may be sent to another target.
 
         It may if it was certainly not executed or is idempotent. For an
@@ -180,49 +184,55 @@
         as long as the retry budget pays for asking another one. A refusal
         before any target was chosen is final.
         """
-        if not self.body.is_replayable or self.given_up:
+        if not self.body.is_replayable or self.is_abandoned:
             return False
         if result.is_ok():
-            failed = result.ok.status in FAILED_STATUS
-            return failed and self.repeatable and result.ok.stream is None
+            failed = result.ok.status in FAILURE_STATUSES
+            return failed and self.is_idempotent and result.ok.stream is None
         if result.error.reason is exchange.Reason.DEADLINE:
             return False
-        return self.repeatable or result.error.was_not_run
+        return self.is_idempotent or result.error.was_not_run
 
-    def told(self, last: AnswerResult) -> AnswerResult:
+    def final_result(self, last: ResponseResult) -> ResponseResult:
         """Returns the caller's result, given that of the last attempt.
 
         The outcome is never "not run" if an attempt may have executed the
         request: the first one may have failed at its target while a later one
         found no slot.
         """
-        if self.reached is None or last.is_ok() or not last.error.was_not_run:
+        if (
+            self.executed_result is None
+            or last.is_ok()
+            or not last.error.was_not_run
+        ):
             return last
-        return self.reached
+        return self.executed_result
 
-    def told_at_end(self) -> AnswerResult:
+    def abort_result(self) -> ResponseResult:
         """Returns the caller's result after `abort`."""
-        if self.is_open:
+        if self.has_cancelled_attempt:
             detail = "the node ended before the answer came"
-            refusal = exchange.outcome_unknown(
+            refusal = exchange.unknown_outcome_refusal(
                 exchange.Reason.CUT_SHORT, detail
             )
             return expression.Error(refusal)
-        if self.reached is not None:
-            return self.reached
+        if self.executed_result is not None:
+            return self.executed_result
         return expression.Error(
-            exchange.not_run(
-                exchange.Reason.STOPPING, "the node is leaving", END_RETRY
+            exchange.not_run_refusal(
+                exchange.Reason.STOPPING,
+                "the node is leaving",
+                SHUTDOWN_RETRY_AFTER,
             )
         )
 
 
-def was_unseen(result: AnswerResult) -> bool:
+def was_undelivered(result: ResponseResult) -> bool:
     """Returns whether no part of the request was sent to a target."""
     return result.is_error() and result.error.reason in _UNDELIVERED_REASONS
 
 
-def word(result: AnswerResult | None) -> str:
+def describe_result(result: ResponseResult | None) -> str:
     """Returns a short description of a result for logs."""
     if result is None:
         return "cancelled"
@@ -236,12 +246,12 @@
     return duration // datetime.timedelta(milliseconds=1)
 
 
-def may_repeat(route: objects.Route, method: str) -> bool:
+def is_idempotent(route: objects.Route, method: str) -> bool:
     """Returns whether a request of this method may be executed repeatedly."""
     match route.repeat:
-        case objects.Repeat.ALWAYS:
+        case objects.RepeatPolicy.ALWAYS:
             return True
-        case objects.Repeat.NEVER:
+        case objects.RepeatPolicy.NEVER:
             return False
         case _:
             return method in objects.SAFE_METHODS
--- a/endivewind/callers/ticket_book.py
+++ b/endivewind/callers/ticket_store.py
@@ -17,25 +17,25 @@
 # A ticket must be used for the first time within this time after its issue.
 # It is shorter than the retention, so that the record of a ticket that may
 # still start has never been dropped.
-FIRST_USE = datetime.timedelta(minutes=1)
+FIRST_USE_TIMEOUT = datetime.timedelta(minutes=1)
 # Time that a record is kept after the first send. Callers usually resend within
 # seconds; the rest is for callers whose own process was restarted.
 RETENTION = datetime.timedelta(minutes=2)
 # Maximum memory of a record without its response, and the overhead of each
 # header of a kept response. A test measures both.
 RECORD_BYTES = 1_024
-FIELD_BYTES = 128
+HEADER_OVERHEAD_BYTES = 128
 # A node has 64 MB of memory, of which libraries take about 49 MB. 6 MiB hold
 # 6,144 records: those of 51 tickets per second during the retention, at 184
 # requests per second.
-BOOK_BYTES = 6 * 1024 * 1024
-FULL_RETRY = datetime.timedelta(seconds=5)
+MAX_STORE_BYTES = 6 * 1024 * 1024
+FULL_RETRY_AFTER = datetime.timedelta(seconds=5)
 
 Key = tuple[int, str]
 RunResult = expression.Result[exchange.Response, exchange.Refusal]
 
 
-class Step(enum.StrEnum):
+class ClaimAction(enum.StrEnum):
     """What to do with a send that has no recorded result."""
 
     START = "start"
@@ -50,10 +50,12 @@
     size: int = RECORD_BYTES
 
 
-ClaimResult = expression.Result[Step | exchange.Response, exchange.Refusal]
+ClaimResult = expression.Result[
+    ClaimAction | exchange.Response, exchange.Refusal
+]
 
 
-class TicketBook:
+class TicketStore:
     """Records of one incarnation's tickets, each claimed and finished once.
 
     The result of a ticket is final: a response, "not run" or "unknown". A
@@ -62,7 +64,7 @@
     """
 
     def __init__(
-        self, capacity: int = BOOK_BYTES, kept_answer_bytes: int = 65_536
+        self, capacity: int = MAX_STORE_BYTES, kept_answer_bytes: int = 65_536
     ) -> None:
         """Builds an empty store.
 
@@ -87,7 +89,9 @@
         """Number of records."""
         return len(self._records)
 
-    def kept_for(self, now: datetime.timedelta) -> datetime.timedelta:
+    def remaining_retention(
+        self, now: datetime.timedelta
+    ) -> datetime.timedelta:
         """Returns the time until the last record expires; zero if none."""
         self._remove_expired(now)
         if not self._records:
@@ -130,7 +134,7 @@
             return expression.Error(refused)
         self._records[_key(ticket)] = _Record(fingerprint, now + RETENTION)
         self._size += RECORD_BYTES
-        return expression.Ok(Step.START)
+        return expression.Ok(ClaimAction.START)
 
     def finish(self, ticket: tickets.Ticket, result: RunResult) -> None:
         """Records the result; keeps the response if there is room for it.
@@ -150,7 +154,7 @@
             or not fits
             or self._exceeds_capacity(added)
         ):
-            record.result = expression.Error(NOT_KEPT)
+            record.result = expression.Error(RESPONSE_NOT_KEPT)
             return
         record.result = expression.Ok(result.ok)
         record.size += added
@@ -163,34 +167,34 @@
         age = now - ticket.issued
         if age >= RETENTION:
             # Its record may have expired, so its result is unknown.
-            return exchange.outcome_unknown(
+            return exchange.unknown_outcome_refusal(
                 exchange.Reason.TICKET_EXPIRED,
                 "the retention time of the key has passed",
             )
-        if age >= FIRST_USE:
-            return exchange.not_run(
+        if age >= FIRST_USE_TIMEOUT:
+            return exchange.not_run_refusal(
                 exchange.Reason.TICKET_EXPIRED,
                 "the key was not used in time; use the new key",
             )
         if self._closed:
-            return exchange.not_run(
+            return exchange.not_run_refusal(
                 exchange.Reason.STOPPING, "the key's node is shutting down"
             )
         if ticket.issued <= self._refused_until:
-            return exchange.not_run(
+            return exchange.not_run_refusal(
                 exchange.Reason.BUSY,
                 "the key was refused, or issued before another was refused",
-                FULL_RETRY,
+                FULL_RETRY_AFTER,
             )
         if self._exceeds_capacity(RECORD_BYTES):
             # There is no room to record this refusal either. Without a record
             # a delayed copy could run once there is room again, so no ticket
             # issued up to now may start any more.
             self._refused_until = now
-            return exchange.not_run(
+            return exchange.not_run_refusal(
                 exchange.Reason.BUSY,
                 "the node has no room to record another key",
-                FULL_RETRY,
+                FULL_RETRY_AFTER,
             )
         return None
 
@@ -212,8 +216,8 @@
             del self._records[key]
 
 
-NOT_KEPT = exchange.Refusal(
-    exchange.Outcome.RAN,
+RESPONSE_NOT_KEPT = exchange.Refusal(
+    exchange.ExecutionOutcome.RAN,
     exchange.Reason.ANSWER_NOT_KEPT,
     "the request ran and its response was sent, but not kept",
 )
@@ -229,24 +233,25 @@
             )
         )
     if record.result is None:
-        return expression.Ok(Step.JOIN)
+        return expression.Ok(ClaimAction.JOIN)
     if record.result.is_error():
         return expression.Error(record.result.error)
     return expression.Ok(record.result.ok)
 
 
-def _outcome(record: _Record) -> exchange.Outcome:
+def _outcome(record: _Record) -> exchange.ExecutionOutcome:
     """Returns the ticket's outcome, to be reported for any request."""
     if record.result is None:
-        return exchange.Outcome.UNKNOWN
+        return exchange.ExecutionOutcome.UNKNOWN
     if record.result.is_error():
         return record.result.error.outcome
-    return exchange.Outcome.RAN
+    return exchange.ExecutionOutcome.RAN
 
 
 def _response_bytes(answer: exchange.Response) -> int:
     header_bytes = sum(
-        FIELD_BYTES + len(name) + len(value) for name, value in answer.headers
+        HEADER_OVERHEAD_BYTES + len(name) + len(value)
+        for name, value in answer.headers
     )
     return len(answer.body) + header_bytes
 
--- a/endivewind/callers/ticketing.py
+++ b/endivewind/callers/ticketing.py
@@ -15,7 +15,7 @@
 from endivewind import clock as clocks
 from endivewind import exchange
 from endivewind.callers import gateway
-from endivewind.callers import ticket_book
+from endivewind.callers import ticket_store
 from endivewind.callers import tickets
 from endivewind.config import objects
 from endivewind.nodes import links
@@ -23,10 +23,10 @@
 
 log = logging.getLogger(__name__)
 
-ISSUER_RETRY = datetime.timedelta(seconds=1)
-JOIN_RETRY = datetime.timedelta(seconds=1)
+ISSUER_RETRY_AFTER = datetime.timedelta(seconds=1)
+JOIN_RETRY_AFTER = datetime.timedelta(seconds=1)
 
-AnswerResult = gateway.AnswerResult
+ResponseResult = gateway.ResponseResult
 
 
 @dataclasses.dataclass(slots=True)
@@ -39,7 +39,7 @@
       waiter_count: number of sends that wait for the result.
     """
 
-    finished: asyncio.Future[AnswerResult]
+    finished: asyncio.Future[ResponseResult]
     stream: exchange.Response | None = None
     waiter_count: int = 0
 
@@ -52,13 +52,13 @@
             await stream.stream.aclose()
 
 
-class Ticketing:
+class TicketHandler:
     """Issues tickets, forwards sends to their issuer, runs each ticket once."""
 
     def __init__(
         self,
         issuer: tickets.Issuer,
-        store: ticket_book.TicketBook,
+        store: ticket_store.TicketStore,
         request_gateway: gateway.Gateway,
         fleet: view.FleetView,
         pool: links.LinkPool,
@@ -76,7 +76,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def running(self) -> int:
+    def running_count(self) -> int:
         """Number of tickets whose requests are running."""
         return len(self._tasks)
 
@@ -84,7 +84,7 @@
         """Returns a new ticket for a workspace, as a header value."""
         return self._issuer.issue(workspace, self._clock.monotonic()).text
 
-    def abandon(self) -> None:
+    def cancel_all(self) -> None:
         """Cancels all executions, as the end of the process would."""
         for task in self._tasks:
             task.cancel()
@@ -93,26 +93,26 @@
         """Refuses new tickets from now on."""
         self._store.close()
 
-    async def drained(self) -> None:
+    async def wait_drained(self) -> None:
         """Waits until no request with a ticket is running."""
         while self._tasks:
             await asyncio.wait(self._tasks)
 
-    def kept_for(self) -> datetime.timedelta:
+    def remaining_retention(self) -> datetime.timedelta:
         """Returns how long resends may still be answered from the store."""
-        return self._store.kept_for(self._clock.monotonic())
+        return self._store.remaining_retention(self._clock.monotonic())
 
     async def serve(
         self,
         route: objects.Route,
         head: exchange.RequestHead,
         body: exchange.RequestBody,
-    ) -> AnswerResult:
+    ) -> ResponseResult:
         """Forwards a send to the issuer of its ticket, or handles it here."""
         ticket = tickets.parse(head.ticket)
         if ticket is None:
             return _error(
-                exchange.not_run(
+                exchange.not_run_refusal(
                     exchange.Reason.TICKET_INVALID,
                     "send the Idempotency-Key of a 428 response",
                 )
@@ -126,7 +126,9 @@
             )
         issuer = self._fleet.nodes.get(ticket.node)
         if issuer is None:
-            return _issuer_lost_error("the key's node is unknown", ISSUER_RETRY)
+            return _issuer_lost_error(
+                "the key's node is unknown", ISSUER_RETRY_AFTER
+            )
         if issuer.incarnation > ticket.incarnation:
             return _issuer_lost_error("the key's node was restarted", None)
         return await self._pool.forward_to_issuer(
@@ -139,7 +141,7 @@
         body: exchange.RequestBody,
         priority: objects.Priority,
         incarnation: int,
-    ) -> AnswerResult:
+    ) -> ResponseResult:
         """Starts the request of this node's ticket, or returns its result.
 
         A send that does not start the request waits for the running one or gets
@@ -159,7 +161,7 @@
         if not self._issuer.verify(ticket, head.workspace):
             # A request may have run if this is another workspace's ticket.
             return _error(
-                exchange.outcome_unknown(
+                exchange.unknown_outcome_refusal(
                     exchange.Reason.TICKET_INVALID,
                     "the key was not issued to this workspace",
                 )
@@ -168,9 +170,11 @@
         claim = self._store.claim(ticket, fingerprint, self._clock.monotonic())
         match claim:
             case expression.Result(
-                tag="ok", ok=ticket_book.Step.START | ticket_book.Step.JOIN
+                tag="ok",
+                ok=ticket_store.ClaimAction.START
+                | ticket_store.ClaimAction.JOIN,
             ):
-                if claim.ok is ticket_book.Step.START:
+                if claim.ok is ticket_store.ClaimAction.START:
                     self._start_execution(ticket, head, body, priority)
                 return await self._wait_for_result(ticket, head)
             case expression.Result(tag="ok", ok=exchange.Response() as kept):
@@ -190,7 +194,7 @@
         self._executions[ticket.text] = execution
         route = objects.Route(
             service=head.service,
-            repeat=objects.Repeat.NEVER,
+            repeat=objects.RepeatPolicy.NEVER,
             priority=priority,
         )
         coroutine = self._execute_once(execution, ticket, route, head, body)
@@ -207,7 +211,7 @@
         body: exchange.RequestBody,
     ) -> None:
         result = _error(
-            exchange.outcome_unknown(
+            exchange.unknown_outcome_refusal(
                 exchange.Reason.TARGET_LOST, "the execution was interrupted"
             )
         )
@@ -219,13 +223,13 @@
         finally:
             if result.is_ok() and result.ok.stream is not None:
                 execution.stream = result.ok
-                result = _error(ticket_book.NOT_KEPT)
+                result = _error(ticket_store.RESPONSE_NOT_KEPT)
             self._store.finish(ticket, result)
             execution.finished.set_result(result)
             del self._executions[ticket.text]
             await execution.discard_unclaimed_stream()
 
-    async def _buffer_response(self, result: AnswerResult) -> AnswerResult:
+    async def _buffer_response(self, result: ResponseResult) -> ResponseResult:
         """Reads a streamed response to its end if it is small enough."""
         if result.is_error() or result.ok.stream is None:
             return result
@@ -240,7 +244,7 @@
                     return expression.Ok(response)
         except exchange.TruncatedResponseError as error:
             return _error(
-                exchange.outcome_unknown(
+                exchange.unknown_outcome_refusal(
                     exchange.Reason.TARGET_LOST, str(error)
                 )
             )
@@ -252,20 +256,20 @@
 
     async def _wait_for_result(
         self, ticket: tickets.Ticket, head: exchange.RequestHead
-    ) -> AnswerResult:
+    ) -> ResponseResult:
         execution = self._executions[ticket.text]
         execution.waiter_count += 1
         try:
-            async with asyncio.timeout(head.remaining.total_seconds()):
+            async with asyncio.timeout(head.remaining_time.total_seconds()):
                 result = await asyncio.shield(execution.finished)
             stream, execution.stream = execution.stream, None
             return result if stream is None else expression.Ok(stream)
         except TimeoutError:
             return _error(
-                exchange.outcome_unknown(
+                exchange.unknown_outcome_refusal(
                     exchange.Reason.DEADLINE,
                     "still running; resend with the same key",
-                    JOIN_RETRY,
+                    JOIN_RETRY_AFTER,
                 )
             )
         finally:
@@ -273,27 +277,29 @@
             await execution.discard_unclaimed_stream()
 
 
-def unconfirmed(refusal: exchange.Refusal) -> exchange.Refusal:
+def unconfirmed_refusal(refusal: exchange.Refusal) -> exchange.Refusal:
     """Returns the refusal with the outcome "unknown" instead of "not run".
 
     For refusals of a send with a ticket by a node that is not its issuer. The
     entry node knows that this send did not run, but not whether an earlier
     send with the same ticket did; only the issuer may say "not run".
     """
-    if refusal.outcome is not exchange.Outcome.NOT_RUN:
+    if refusal.outcome is not exchange.ExecutionOutcome.NOT_RUN:
         return refusal
-    return dataclasses.replace(refusal, outcome=exchange.Outcome.UNKNOWN)
+    return dataclasses.replace(
+        refusal, outcome=exchange.ExecutionOutcome.UNKNOWN
+    )
 
 
 def _issuer_lost_error(
     detail: str, retry_after: datetime.timedelta | None
-) -> AnswerResult:
+) -> ResponseResult:
     return _error(
-        exchange.outcome_unknown(
+        exchange.unknown_outcome_refusal(
             exchange.Reason.ISSUER_LOST, detail, retry_after
         )
     )
 
 
-def _error(refusal: exchange.Refusal) -> AnswerResult:
+def _error(refusal: exchange.Refusal) -> ResponseResult:
     return expression.Error(refusal)
--- a/endivewind/callers/tickets.py
+++ b/endivewind/callers/tickets.py
@@ -17,7 +17,7 @@
 from endivewind import exchange
 
 SECRET_BYTES = 32
-MAX_TEXT = 256
+MAX_TICKET_LENGTH = 256
 _NONCE_BYTES = 9
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 _PATTERN = re.compile(
@@ -26,7 +26,7 @@
     r":(?P<signature>[A-Za-z0-9_-]{43})"
 )
 
-Nonces = collections.abc.Callable[[], str]
+NonceFactory = collections.abc.Callable[[], str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -70,7 +70,11 @@
     """
 
     def __init__(
-        self, node: str, incarnation: int, secret: bytes, make_nonce: Nonces
+        self,
+        node: str,
+        incarnation: int,
+        secret: bytes,
+        make_nonce: NonceFactory,
     ) -> None:
         self._node = node
         self._incarnation = incarnation
@@ -132,7 +136,7 @@
 def parse(text: str) -> Ticket | None:
     """Parses a header value, quoted or not; returns None if malformed."""
     unquoted = text.strip().removeprefix('"').removesuffix('"')
-    if len(unquoted) > MAX_TEXT:
+    if len(unquoted) > MAX_TICKET_LENGTH:
         return None
     match = _PATTERN.fullmatch(unquoted)
     if match is None:
--- a/endivewind/callers/workspaces.py
+++ b/endivewind/callers/workspaces.py
@@ -11,7 +11,7 @@
 
 # Callers send their key as a bearer token in the Authorization header (RFC
 # 6750). No other scheme is supported.
-SCHEME = "bearer"
+AUTH_SCHEME = "bearer"
 
 
 class Workspaces:
@@ -25,7 +25,7 @@
         self._sources: dict[store.Key, objects.Workspaces] = {}
 
     @property
-    def have_keys(self) -> bool:
+    def requires_keys(self) -> bool:
         """Whether callers are authenticated by keys.
 
         This remains true after the last key is revoked; otherwise anyone could
@@ -44,11 +44,11 @@
             return None
         return quotas.Quota(config.rate, config.burst)
 
-    def named(self) -> list[str]:
+    def names(self) -> list[str]:
         """Returns the names of all workspaces."""
         return list(self._workspaces)
 
-    def holder(self, authorization: str) -> str:
+    def authenticate(self, authorization: str) -> str:
         """Returns the workspace that a caller's API key belongs to.
 
         Args:
@@ -59,7 +59,7 @@
           if the key is unknown.
         """
         scheme, _, key = authorization.strip().partition(" ")
-        if scheme.lower() != SCHEME:
+        if scheme.lower() != AUTH_SCHEME:
             return ""
         return self._workspace_by_digest.get(
             caller_keys.digest(key.strip()), ""
--- a/endivewind/clock.py
+++ b/endivewind/clock.py
@@ -17,7 +17,7 @@
     def monotonic(self) -> datetime.timedelta:
         """Returns the time since an arbitrary start; never decreases."""
 
-    def boot_time(self) -> datetime.timedelta:
+    def time_since_boot(self) -> datetime.timedelta:
         """Like monotonic(), but includes time while the VM was suspended.
 
         CLOCK_BOOTTIME on Linux.
@@ -37,7 +37,7 @@
         # request reads the clock often.
         return datetime.timedelta(0, time.monotonic())
 
-    def boot_time(self) -> datetime.timedelta:
+    def time_since_boot(self) -> datetime.timedelta:
         """Returns the time since the machine booted, with suspended time."""
         return datetime.timedelta(0, time.clock_gettime(time.CLOCK_BOOTTIME))
 
@@ -57,7 +57,7 @@
         """Returns the time advanced so far."""
         return self._elapsed
 
-    def boot_time(self) -> datetime.timedelta:
+    def time_since_boot(self) -> datetime.timedelta:
         """Returns the time advanced so far."""
         return self._elapsed
 
--- a/endivewind/commands/audit.py
+++ b/endivewind/commands/audit.py
@@ -9,8 +9,8 @@
 from absl import flags
 
 from endivewind import exceptions
+from endivewind.commands import cli
 from endivewind.commands import options
-from endivewind.commands import running
 from endivewind.commands import submissions
 from endivewind.commands import tables
 from endivewind.durable import audit
@@ -32,7 +32,7 @@
         raise exceptions.UsageError(f"usage: endivewind {USAGE}")
 
     async def run(platform: client.PlatformClient) -> int:
-        records = await submissions.read(
+        records = await submissions.read_with_retries(
             lambda: audit.read(platform), "the audit trail"
         )
         shown = [
@@ -41,17 +41,17 @@
             if _SUBJECT.value in ("", item.subject)
             and _OPERATION.value in ("", item.operation)
         ]
-        options.show(
+        options.print_result(
             [item.model_dump(mode="json") for item in shown],
             _format_records(shown),
         )
         return 0
 
-    return running.loop(options.with_platform(run))
+    return cli.run_async(options.run_with_platform(run))
 
 
 def _format_records(records: list[audit.Record]) -> str:
-    return tables.table(
+    return tables.format_table(
         ("TIME", "ACTOR", "ACTION", "SUBJECT", "FROM", "TO", "OUTCOME")
         + ("OPERATION", "DETAIL"),
         [
--- a/endivewind/commands/bench.py
+++ b/endivewind/commands/bench.py
@@ -1,6 +1,6 @@
 """The program endivewind-bench, with one module for each measurement."""
 
-from endivewind.commands import running
+from endivewind.commands import cli
 
 MEASUREMENTS: tuple[str, ...] = (
     "control",
@@ -11,10 +11,10 @@
     "spreading",
 )
 
-BINARY = running.Binary(
+BINARY = cli.Binary(
     name="endivewind-bench",
     summary="endivewind-bench: measurements on one machine, over loopback.",
-    prefix="endivewind.commands.bench_",
+    module_prefix="endivewind.commands.bench_",
     commands=MEASUREMENTS,
 )
 
--- a/endivewind/commands/bench_control.py
+++ b/endivewind/commands/bench_control.py
@@ -53,27 +53,27 @@
     "check", "", "Page with a table to compare the figures with."
 )
 
-FULL_NODES = 760
-REAL = "node-real"
+FULL_FLEET_NODES = 760
+REAL_NODE = "node-real"
 # Changes per target and second. On an ordinary day with 12,000 targets, 2,269
 # VMs fail or restart, with about five changes each, and all targets of 135
 # nodes move: 15,400 changes. The rate is twice that.
-ORDINARY_CHANGES = 0.36 / 12_000
+CHANGES_PER_TARGET_SECOND = 0.36 / 12_000
 RESTARTED_SHARE = 0.2
-RESTART_TIME = datetime.timedelta(seconds=10)
-LEASE = datetime.timedelta(seconds=6)
-SWEEP = ((50, 800), (200, 3_200), (400, 6_400), (760, 12_000))
-JOIN_LIMIT = datetime.timedelta(seconds=45)
-SETTLE = datetime.timedelta(seconds=12)
-SPREAD_RUNS = 3
+RESTART_DURATION = datetime.timedelta(seconds=10)
+LEASE_DURATION = datetime.timedelta(seconds=6)
+SWEEP_SIZES = ((50, 800), (200, 3_200), (400, 6_400), (760, 12_000))
+JOIN_TIMEOUT = datetime.timedelta(seconds=45)
+SETTLE_TIME = datetime.timedelta(seconds=12)
+WITHDRAWAL_RUNS = 3
 # Interval of checks whether a state has been reached.
-LOOK = datetime.timedelta(milliseconds=20)
-SHARD_SIZE = 500
-GROUP_SIZE = 100
+POLL_INTERVAL = datetime.timedelta(milliseconds=20)
+WORKSPACES_PER_SHARD = 500
+ROUTES_PER_GROUP = 100
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Load:
+class NodeLoad:
     """Resource usage of the real node in one measurement.
 
     Attributes:
@@ -93,7 +93,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Report:
+class SizeReport:
     """Results at one fleet size.
 
     Attributes:
@@ -111,9 +111,9 @@
     nodes: int
     targets: int
     join_seconds: float
-    day: Load
+    day: NodeLoad
     withdrawal_seconds: float
-    restart: Load | None = None
+    restart: NodeLoad | None = None
     restart_seconds: float | None = None
 
 
@@ -128,31 +128,31 @@
 
 def main(arguments: list[str]) -> int:
     """Runs the measurements and prints the results."""
-    nodes = bench_options.NODES.value or FULL_NODES
+    nodes = bench_options.NODES.value or FULL_FLEET_NODES
     if arguments or nodes < 2:
         raise exceptions.UsageError(f"usage: endivewind-bench {USAGE}")
-    sizes = SWEEP if _SWEEP.value else ((nodes, _TARGETS.value),)
+    sizes = SWEEP_SIZES if _SWEEP.value else ((nodes, _TARGETS.value),)
     reports = [uvloop.run(_measure(*size)) for size in sizes]
     found: dict[str, Any] = {
         "reports": [dataclasses.asdict(item) for item in reports]
     }
     if _SWEEP.value:
-        found["slopes"] = slopes(reports)
-    options.show(found, json.dumps(found, indent=2))
+        found["slopes"] = fit_slopes(reports)
+    options.print_result(found, json.dumps(found, indent=2))
     if _CHECK.value:
         text = pathlib.Path(_CHECK.value).read_text(encoding="utf-8")
-        differences = compare(text, reports)
+        differences = find_differences(text, reports)
         for line in differences:
             print(line)
         return 1 if differences else 0
     return 0
 
 
-def slopes(reports: list[Report]) -> dict[str, dict[str, float]]:
+def fit_slopes(reports: list[SizeReport]) -> dict[str, dict[str, float]]:
     """Fits each figure as a linear function of the number of nodes."""
     nodes = [item.nodes for item in reports]
     found = {}
-    for field in dataclasses.fields(Load):
+    for field in dataclasses.fields(NodeLoad):
         values = [getattr(item.day, field.name) for item in reports]
         line = statistics.linear_regression(nodes, values)
         found[field.name] = {
@@ -166,7 +166,7 @@
 _RELATIVE_TOLERANCES = {"cpu": 0.6, "rss": 0.1, "bytes": 0.25}
 
 
-def compare(page: str, reports: list[Report]) -> list[str]:
+def find_differences(page: str, reports: list[SizeReport]) -> list[str]:
     """Returns the differences between the page's table and the reports.
 
     The rows of the table are `| nodes | targets | cpu % | RSS MB | bytes/s |`.
@@ -197,7 +197,7 @@
     return found
 
 
-def _bytes_per_second(report: Report) -> float:
+def _bytes_per_second(report: SizeReport) -> float:
     day = report.day
     return (
         day.gossip_bytes_per_second
@@ -206,7 +206,7 @@
     )
 
 
-async def _measure(nodes: int, targets: int) -> Report:
+async def _measure(nodes: int, targets: int) -> SizeReport:
     async with contextlib.AsyncExitStack() as stack:
         bench = await _ControlBench.start(stack, nodes, targets)
         return await bench.run()
@@ -217,7 +217,7 @@
 
     def __init__(
         self,
-        fleet: control_fleet.PlayedFleet,
+        fleet: control_fleet.SimulatedFleet,
         session: aiohttp.ClientSession,
         pid: int,
         listening: dict[str, Any],
@@ -227,19 +227,19 @@
         self._pid = pid
         self._listening = listening
         self._renewal_bytes = 0
-        self._own_targets = fleet.targets_of(len(fleet.played))
+        self._own_targets = fleet.targets_of(len(fleet.nodes))
 
     @classmethod
     async def start(
         cls, stack: contextlib.AsyncExitStack, nodes: int, targets: int
     ) -> "_ControlBench":
         """Starts the platform, the simulated nodes and the real one."""
-        fleet = control_fleet.PlayedFleet(nodes - 1, targets, REAL)
+        fleet = control_fleet.SimulatedFleet(nodes - 1, targets, REAL_NODE)
         await fleet.start()
         stack.push_async_callback(fleet.stop)
         objects = platform.ObjectStore()
         _store_configuration(objects)
-        for node in fleet.played:
+        for node in fleet.nodes:
             value = dataclasses.asdict(node.record)
             del value["name"]
             objects.put("node", node.name, value, 0)
@@ -248,7 +248,7 @@
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         file = _write_settings(folder, url)
         child = await stack.enter_async_context(
-            control_fleet.node_process(file)
+            control_fleet.start_node_process(file)
         )
         assert child.stdout is not None
         listening: dict[str, Any] = {}
@@ -259,24 +259,24 @@
         fleet.real_address = listening["nodes"]
         return cls(fleet, session, child.pid, listening)
 
-    async def run(self) -> Report:
+    async def run(self) -> SizeReport:
         """Measures the join, ordinary load, withdrawals and a mass restart."""
         renewals = asyncio.create_task(self._renew_all())
         join = await self._wait_for_complete_view()
-        rate = max(ORDINARY_CHANGES * self._target_count, 0.01)
-        changes = asyncio.create_task(self._fleet.change(rate))
-        await asyncio.sleep(SETTLE.total_seconds())
+        rate = max(CHANGES_PER_TARGET_SECOND * self._target_count, 0.01)
+        changes = asyncio.create_task(self._fleet.run_changes(rate))
+        await asyncio.sleep(SETTLE_TIME.total_seconds())
         day = await self._measure_load(_DAY_SECONDS.value)
         changes.cancel()
         worst = max(
-            [await self._measure_withdrawal() for _ in range(SPREAD_RUNS)]
+            [await self._measure_withdrawal() for _ in range(WITHDRAWAL_RUNS)]
         )
         restart, seconds = None, None
         if _RESTART.value:
             restart, seconds = await self._measure_restart()
         renewals.cancel()
-        nodes = len(self._fleet.played) + 1
-        return Report(
+        nodes = len(self._fleet.nodes) + 1
+        return SizeReport(
             nodes,
             self._target_count,
             join,
@@ -288,14 +288,14 @@
 
     @property
     def _target_count(self) -> int:
-        played = range(len(self._fleet.played) + 1)
+        played = range(len(self._fleet.nodes) + 1)
         return sum(len(self._fleet.targets_of(number)) for number in played)
 
     async def _wait_for_complete_view(self) -> float:
         loop = asyncio.get_running_loop()
         start = loop.time()
         while not await self._has_complete_view():
-            if loop.time() - start > JOIN_LIMIT.total_seconds():
+            if loop.time() - start > JOIN_TIMEOUT.total_seconds():
                 raise exceptions.UnavailableError(
                     "the node did not join in time"
                 )
@@ -305,7 +305,7 @@
     async def _has_complete_view(self) -> bool:
         """Whether the real node agrees with a simulated one and is ready."""
         members = await self._query_members()
-        agreed = members["digest"] == self._fleet.played[0].core.summary
+        agreed = members["digest"] == self._fleet.nodes[0].core.summary
         all_known = members["targets"] == self._target_count
         return agreed and all_known and await self._is_ready()
 
@@ -313,44 +313,46 @@
         """Measures the time until all simulated nodes know of a withdrawal."""
         loop = asyncio.get_running_loop()
         target = self._own_targets[0]
-        played = self._fleet.played
-        before = played[0].view.home_version(REAL).sequence
+        played = self._fleet.nodes
+        before = played[0].view.home_version(REAL_NODE).sequence
         async with self._session.delete(self._target_url(target)) as response:
             response.raise_for_status()
         start = loop.time()
-        limit = start + JOIN_LIMIT.total_seconds()
-        while self._fleet.knowing(REAL, before + 1) < len(played):
+        limit = start + JOIN_TIMEOUT.total_seconds()
+        while self._fleet.count_nodes_knowing(REAL_NODE, before + 1) < len(
+            played
+        ):
             if loop.time() > limit:
                 raise exceptions.UnavailableError(
                     "a change did not reach all nodes in time"
                 )
-            await asyncio.sleep(LOOK.total_seconds())
+            await asyncio.sleep(POLL_INTERVAL.total_seconds())
         seconds = loop.time() - start
         await self._renew_lease(target)
         await asyncio.sleep(2)
         return seconds
 
-    async def _measure_restart(self) -> tuple[Load, float]:
+    async def _measure_restart(self) -> tuple[NodeLoad, float]:
         loop = asyncio.get_running_loop()
-        count = max(1, round(len(self._fleet.played) * RESTARTED_SHARE))
+        count = max(1, round(len(self._fleet.nodes) * RESTARTED_SHARE))
         start = loop.time()
         before = await self._read_counters()
-        await self._fleet.restart(count, RESTART_TIME)
+        await self._fleet.restart(count, RESTART_DURATION)
         await self._wait_for_complete_view()
         seconds = loop.time() - start
         load = self._load_between(before, await self._read_counters())
         return load, round(seconds, 2)
 
-    async def _measure_load(self, seconds: float) -> Load:
+    async def _measure_load(self, seconds: float) -> NodeLoad:
         before = await self._read_counters()
         await asyncio.sleep(seconds)
         return self._load_between(before, await self._read_counters())
 
-    def _load_between(self, before: _Counters, after: _Counters) -> Load:
+    def _load_between(self, before: _Counters, after: _Counters) -> NodeLoad:
         seconds = after.time - before.time
         ticks = os.sysconf("SC_CLK_TCK")
         cpu = (after.ticks - before.ticks) / ticks / seconds * 100
-        return Load(
+        return NodeLoad(
             round(cpu, 2),
             round(_read_rss_bytes(self._pid) / 1e6, 1),
             round((after.gossip - before.gossip) / seconds, 1),
@@ -391,7 +393,7 @@
 
     async def _renew_periodically(self, target: str, number: int) -> None:
         loop = asyncio.get_running_loop()
-        period = LEASE.total_seconds() / 3
+        period = LEASE_DURATION.total_seconds() / 3
         due = loop.time() + period * number / len(self._own_targets)
         while True:
             await asyncio.sleep(due - loop.time())
@@ -407,7 +409,7 @@
                 "service": control_fleet.service_of(target),
                 "address": "http://127.0.0.1:1",
                 "incarnation": 1,
-                "lease_ms": int(LEASE.total_seconds() * 1000),
+                "lease_ms": int(LEASE_DURATION.total_seconds() * 1000),
             }
         )
         async with self._session.put(
@@ -424,7 +426,12 @@
 
 def _write_settings(folder: str, url: str) -> str:
     region, zone = control_fleet.REAL_ZONE
-    values = {"name": REAL, "region": region, "zone": zone, "platform": url}
+    values = {
+        "name": REAL_NODE,
+        "region": region,
+        "zone": zone,
+        "platform": url,
+    }
     file = pathlib.Path(folder, "node.yaml")
     file.write_text(yaml.safe_dump(values), encoding="utf-8")
     return str(file)
@@ -433,7 +440,7 @@
 async def _serve_platform(
     stack: contextlib.AsyncExitStack, objects: platform.ObjectStore
 ) -> str:
-    application = platform.PlatformStandin(objects).application()
+    application = platform.PlatformStandin(objects).make_application()
     runner = web.AppRunner(application, access_log=None)
     await runner.setup()
     stack.push_async_callback(runner.cleanup)
@@ -442,23 +449,25 @@
 
 
 def _store_configuration(objects: platform.ObjectStore) -> None:
-    for number in range(control_fleet.SERVICES):
+    for number in range(control_fleet.SERVICE_COUNT):
         spec = {"slots": 3, "floor_slots": 20}
         _put_object(objects, store.SERVICE, f"service-{number:03}", spec)
     routes = [
         {
             "host": f"firm-{number % 40}.example",
             "prefix": f"/area-{number}",
-            "service": f"service-{number % control_fleet.SERVICES:03}",
+            "service": f"service-{number % control_fleet.SERVICE_COUNT:03}",
         }
         for number in range(_ROUTES.value)
     ]
-    for start in range(0, len(routes), GROUP_SIZE):
-        part = routes[start : start + GROUP_SIZE]
+    for start in range(0, len(routes), ROUTES_PER_GROUP):
+        part = routes[start : start + ROUTES_PER_GROUP]
         name = f"group-{start}"
         _put_object(objects, store.ROUTE_GROUP, name, {"routes": part})
-    for start in range(0, _WORKSPACES.value, SHARD_SIZE):
-        names = range(start, min(start + SHARD_SIZE, _WORKSPACES.value))
+    for start in range(0, _WORKSPACES.value, WORKSPACES_PER_SHARD):
+        names = range(
+            start, min(start + WORKSPACES_PER_SHARD, _WORKSPACES.value)
+        )
         workspaces = {
             f"workspace-{number}": {"firm": f"firm-{number % 40}"}
             for number in names
--- a/endivewind/commands/bench_decisions.py
+++ b/endivewind/commands/bench_decisions.py
@@ -14,7 +14,7 @@
 from absl import flags
 
 from endivewind import exceptions
-from endivewind import names
+from endivewind import spelling
 from endivewind.bench import experiment
 from endivewind.bench import scenarios
 from endivewind.commands import bench_options
@@ -81,7 +81,7 @@
     """Runs the command and returns the exit code."""
     logging.getLogger("endivewind").setLevel(logging.ERROR)
     selected = _select_scenarios(_SCENARIO.value)
-    seeds = bench_options.seeds(DEFAULT_SEEDS)
+    seeds = bench_options.parse_seeds(DEFAULT_SEEDS)
     if _SEED.value is not None:
         seeds = range(_SEED.value, _SEED.value + 1)
     unknown = sorted(set(_POLICIES.value) - set(POLICIES))
@@ -92,7 +92,7 @@
         for scenario in selected
         for policy in _POLICIES.value
     ]
-    options.show(
+    options.print_result(
         [dataclasses.asdict(item) for item in found], _format_table(found)
     )
     return 0
@@ -139,11 +139,13 @@
     known = {item.name: item for item in scenarios.SCENARIOS}
     for name in requested:
         if name not in known:
-            hint = names.suggest(name, known)
+            hint = spelling.suggest(name, known)
             raise exceptions.UsageError(f"unknown scenario {name!r}{hint}")
     if requested:
         return [known[name] for name in requested]
-    return [item for item in known.values() if item.end < scenarios.HALF_DAY]
+    return [
+        item for item in known.values() if item.end < scenarios.HALF_DAY_SECONDS
+    ]
 
 
 def _without_none(
@@ -198,7 +200,7 @@
         )
         for item in found
     ]
-    return tables.table(titles, rows)
+    return tables.format_table(titles, rows)
 
 
 def _format_cell(value: float | None) -> str:
--- a/endivewind/commands/bench_matrix.py
+++ b/endivewind/commands/bench_matrix.py
@@ -10,7 +10,7 @@
 
 from endivewind import exceptions
 from endivewind.commands import options
-from endivewind.standins import matrix
+from endivewind.standins import fault_matrix
 
 USAGE = "matrix [--pairs] [--format=json]"
 
@@ -26,17 +26,19 @@
     """Runs the matrix; returns 1 if a case violated a guarantee."""
     if arguments:
         raise exceptions.UsageError(f"usage: endivewind-bench {USAGE}")
-    runs = {"single faults": matrix.run(matrix.singles())}
+    runs = {
+        "single faults": fault_matrix.run_matrix(fault_matrix.single_faults())
+    }
     if _PAIRS.value:
-        runs["pairs"] = matrix.run(matrix.pairs())
+        runs["pairs"] = fault_matrix.run_matrix(fault_matrix.fault_pairs())
     report = {name: _to_json(outcome) for name, outcome in runs.items()}
-    options.show(
+    options.print_result(
         report, "\n".join(_format_result(*item) for item in runs.items())
     )
     return 1 if any(outcome.red for outcome in runs.values()) else 0
 
 
-def _to_json(outcome: matrix.Outcome) -> dict[str, object]:
+def _to_json(outcome: fault_matrix.MatrixResult) -> dict[str, object]:
     return {
         **dataclasses.asdict(outcome),
         "red": len(outcome.red),
@@ -45,7 +47,7 @@
     }
 
 
-def _format_result(name: str, outcome: matrix.Outcome) -> str:
+def _format_result(name: str, outcome: fault_matrix.MatrixResult) -> str:
     passed = outcome.cells - len(outcome.red)
     lines = [
         f"{name}: {outcome.cells} cases, {passed} passed, "
--- a/endivewind/commands/bench_options.py
+++ b/endivewind/commands/bench_options.py
@@ -16,7 +16,7 @@
 _RANGE = re.compile(r"(?:([1-9]\d*)-)?([1-9]\d*)")
 
 
-def seeds(default: str) -> range:
+def parse_seeds(default: str) -> range:
     """Returns the seeds given by --seeds.
 
     Args:
