--- a/endivewind/commands/bench_overhead.py
+++ b/endivewind/commands/bench_overhead.py
@@ -21,10 +21,10 @@
 
 from endivewind import exceptions
 from endivewind.commands import children
+from endivewind.commands import cli
 from endivewind.commands import options
-from endivewind.commands import running
 from endivewind.commands import tables
-from endivewind.standins import load
+from endivewind.standins import load_generator
 
 USAGE = "overhead [--rate=184] [--seconds=20] [--format=json]"
 
@@ -44,7 +44,7 @@
 ONE_HOP = "one bare hop"
 TWO_HOPS = "two bare hops"
 AT_HOME = "endivewind at home"
-ACROSS = "endivewind across"
+ACROSS_NODES = "endivewind across"
 
 _HOST = "overhead.example"
 _SERVICE = "overhead"
@@ -69,8 +69,10 @@
     """One path to the target and its results."""
 
     name: str
-    request: load.Request
-    samples: load.Samples = dataclasses.field(default_factory=load.Samples)
+    request: load_generator.Request
+    samples: load_generator.Samples = dataclasses.field(
+        default_factory=load_generator.Samples
+    )
     saturation: float = 0.0
     saturation_failures: int = 0
 
@@ -79,8 +81,8 @@
         return {
             "answers": len(self.samples.latencies),
             "failures": self.samples.failures + self.saturation_failures,
-            "p50_ms": round(self.samples.percentile_ms(50), 3),
-            "p99_ms": round(self.samples.percentile_ms(99), 3),
+            "p50_ms": round(self.samples.latency_percentile_ms(50), 3),
+            "p99_ms": round(self.samples.latency_percentile_ms(99), 3),
             "saturation_per_second": round(self.saturation),
         }
 
@@ -89,69 +91,71 @@
     """Measures and prints; returns 1 if a goal is missed."""
     if arguments:
         raise exceptions.UsageError(f"usage: endivewind-bench {USAGE}")
-    return running.loop(_run_benchmark())
+    return cli.run_async(_run_benchmark())
 
 
 async def _run_benchmark() -> int:
-    async with children.Children() as started:
+    async with children.ChildProcesses() as started:
         paths = await _start_paths(started)
-        async with load.session() as session:
+        async with load_generator.make_session() as session:
             await _measure_latency(session, paths)
         for path in paths:
             await _measure_saturation(path)
     figures = {path.name: path.as_json() for path in paths}
-    goals = judge(figures)
+    goals = check_goals(figures)
     value = {
         "rate": _RATE.value,
         "seconds": _SECONDS.value,
         "paths": figures,
         "aims": goals,
     }
-    options.show(value, _format_tables(figures, goals))
+    options.print_result(value, _format_tables(figures, goals))
     return 0 if all(goal["reached"] for goal in goals.values()) else 1
 
 
-async def _start_paths(started: children.Children) -> list[Path]:
+async def _start_paths(started: children.ChildProcesses) -> list[Path]:
     platform = await started.start("platform", "standin", "platform")
-    url = f"http://{platform.listening['address']}"
-    home = await started.node(_node_settings("node-home", url))
-    entry = await started.node(_node_settings("node-entry", url))
+    url = f"http://{platform.listening_line['address']}"
+    home = await started.start_node(_node_settings("node-home", url))
+    entry = await started.start_node(_node_settings("node-entry", url))
     target = await started.start(
         "target",
         "standin",
         "target",
         "--name=overhead-1",
         f"--service={_SERVICE}",
-        f"--nodes={home.listening['targets']}",
+        f"--nodes={home.listening_line['targets']}",
     )
-    hop = await _start_hop(started, "hop-1", target.listening["address"])
-    second = await _start_hop(started, "hop-2", hop.listening["address"])
+    hop = await _start_hop(started, "hop-1", target.listening_line["address"])
+    second = await _start_hop(started, "hop-2", hop.listening_line["address"])
     for child in (platform, home, entry, target, hop, second):
         child.ignore_output()
     await _submit_configuration(url)
     paths = [
-        _make_path(DIRECT, target.listening["address"]),
-        _make_path(ONE_HOP, hop.listening["address"]),
-        _make_path(TWO_HOPS, second.listening["address"]),
-        _make_path(AT_HOME, home.listening["callers"]),
-        _make_path(ACROSS, entry.listening["callers"]),
+        _make_path(DIRECT, target.listening_line["address"]),
+        _make_path(ONE_HOP, hop.listening_line["address"]),
+        _make_path(TWO_HOPS, second.listening_line["address"]),
+        _make_path(AT_HOME, home.listening_line["callers"]),
+        _make_path(ACROSS_NODES, entry.listening_line["callers"]),
     ]
-    async with load.session() as session:
+    async with load_generator.make_session() as session:
         for path in paths:
             await _wait_and_warm_up(session, path)
     return paths
 
 
 async def _start_hop(
-    started: children.Children, name: str, address: str
-) -> children.Child:
+    started: children.ChildProcesses, name: str, address: str
+) -> children.ChildProcess:
     return await started.start(
         name, "standin", "hop", f"--next=http://{address}"
     )
 
 
 def _make_path(name: str, address: str) -> Path:
-    return Path(name, load.Request(f"http://{address}/overhead", _HOST))
+    return Path(
+        name, load_generator.Request(f"http://{address}/overhead", _HOST)
+    )
 
 
 def _node_settings(name: str, platform: str) -> dict[str, Any]:
@@ -167,7 +171,7 @@
     with tempfile.TemporaryDirectory() as folder:
         file = pathlib.Path(folder) / "configuration.yaml"
         file.write_text(yaml.safe_dump(_CONFIGURATION))
-        await children.output_of(
+        await children.run_json_command(
             "main",
             "submit",
             str(file),
@@ -179,14 +183,20 @@
 async def _wait_and_warm_up(session: aiohttp.ClientSession, path: Path) -> None:
     """Waits until a path responds, then warms it up."""
     for _ in range(100):
-        samples = load.Samples()
-        await load.at_rate(session, path.request, 50, 0.1, samples)
+        samples = load_generator.Samples()
+        await load_generator.send_at_rate(
+            session, path.request, 50, 0.1, samples
+        )
         if not samples.failures:
             break
     else:
         raise exceptions.UnavailableError(f"{path.name} does not respond")
-    await load.at_rate(
-        session, path.request, _RATE.value, _WARM_UP_SECONDS, load.Samples()
+    await load_generator.send_at_rate(
+        session,
+        path.request,
+        _RATE.value,
+        _WARM_UP_SECONDS,
+        load_generator.Samples(),
     )
 
 
@@ -196,7 +206,7 @@
     seconds = _SECONDS.value / _TURNS.value
     for _ in range(_TURNS.value):
         for path in paths:
-            await load.at_rate(
+            await load_generator.send_at_rate(
                 session, path.request, _RATE.value, seconds, path.samples
             )
 
@@ -204,7 +214,7 @@
 async def _measure_saturation(path: Path) -> None:
     found = await asyncio.gather(
         *(
-            children.output_of(
+            children.run_json_command(
                 "standin",
                 "load",
                 f"--url={path.request.url}",
@@ -219,7 +229,7 @@
     path.saturation_failures = sum(item["failures"] for item in found)
 
 
-def judge(
+def check_goals(
     figures: collections.abc.Mapping[str, dict[str, Any]],
 ) -> dict[str, dict[str, Any]]:
     """Compares the overhead of endivewind with that of bare hops."""
@@ -233,9 +243,11 @@
 
     return {
         "across p99 added, against two hops (ms)": _at_most(
-            added_p99_ms(ACROSS), added_p99_ms(TWO_HOPS)
+            added_p99_ms(ACROSS_NODES), added_p99_ms(TWO_HOPS)
+        ),
+        "across p99 added (ms)": _at_most(
+            added_p99_ms(ACROSS_NODES), _MAX_ADDED_MS
         ),
-        "across p99 added (ms)": _at_most(added_p99_ms(ACROSS), _MAX_ADDED_MS),
         "at home p99 added, against one hop (ms)": _at_most(
             added_p99_ms(AT_HOME), added_p99_ms(ONE_HOP)
         ),
@@ -243,7 +255,7 @@
             saturation_share(AT_HOME, ONE_HOP), _MIN_SATURATION_SHARE
         ),
         "across saturation, share of two hops": _at_least(
-            saturation_share(ACROSS, TWO_HOPS), _MIN_SATURATION_SHARE
+            saturation_share(ACROSS_NODES, TWO_HOPS), _MIN_SATURATION_SHARE
         ),
         "failures": _at_most(
             sum(item["failures"] for item in figures.values()), 0
@@ -274,8 +286,10 @@
         (name, item["p50_ms"], item["p99_ms"], item["saturation_per_second"])
         for name, item in figures.items()
     ]
-    paths = tables.table(("PATH", "P50 MS", "P99 MS", "SATURATION/S"), rows)
-    goal_table = tables.table(
+    paths = tables.format_table(
+        ("PATH", "P50 MS", "P99 MS", "SATURATION/S"), rows
+    )
+    goal_table = tables.format_table(
         ("AIM", "VALUE", "LIMIT", "REACHED"),
         [
             (
--- a/endivewind/commands/bench_soak.py
+++ b/endivewind/commands/bench_soak.py
@@ -15,8 +15,8 @@
 
 from endivewind import exceptions
 from endivewind.commands import bench_options
+from endivewind.commands import cli
 from endivewind.commands import options
-from endivewind.commands import running
 from endivewind.soak import runs
 from endivewind.soak import schedules
 
@@ -51,7 +51,7 @@
     """Runs the seeds or one schedule; returns 1 on a violated guarantee."""
     if arguments or bool(bench_options.SEEDS.value) == bool(_REPLAY.value):
         raise exceptions.UsageError(f"usage: endivewind-bench {USAGE}")
-    return running.loop(_run_all(_read_schedule()))
+    return cli.run_async(_run_all(_read_schedule()))
 
 
 def _read_schedule() -> schedules.Schedule | None:
@@ -76,12 +76,12 @@
         outcomes = await asyncio.gather(
             *(
                 _run_seed(seed, folder, semaphore)
-                for seed in bench_options.seeds("")
+                for seed in bench_options.parse_seeds("")
             )
         )
     failed = [item for item in outcomes if item.findings]
     requests = sum(item.requests for item in outcomes)
-    options.show(
+    options.print_result(
         [_to_json(item) for item in outcomes],
         f"{len(outcomes)} runs, {requests} requests, {len(failed)} red",
     )
@@ -90,31 +90,33 @@
 
 async def _run_seed(
     seed: int, folder: pathlib.Path, semaphore: asyncio.Semaphore
-) -> runs.Outcome:
+) -> runs.RunResult:
     async with semaphore:
-        schedule = schedules.draw(seed, _SOAK_SECONDS.value)
-        outcome = await _make_run(schedule, folder / f"seed-{seed}").play()
+        schedule = schedules.generate(seed, _SOAK_SECONDS.value)
+        outcome = await _make_run(schedule, folder / f"seed-{seed}").execute()
     _print_outcome(outcome)
     return outcome
 
 
-def _make_run(schedule: schedules.Schedule, folder: pathlib.Path) -> runs.Run:
+def _make_run(
+    schedule: schedules.Schedule, folder: pathlib.Path
+) -> runs.SoakRun:
     other_release = pathlib.Path(_OTHER_RELEASE.value).resolve()
-    return runs.Run(
+    return runs.SoakRun(
         schedule, folder, other_release if _OTHER_RELEASE.value else None
     )
 
 
 async def _run_replay(
     schedule: schedules.Schedule, folder: pathlib.Path
-) -> runs.Outcome:
-    outcome = await _make_run(schedule, folder / "replay").play()
+) -> runs.RunResult:
+    outcome = await _make_run(schedule, folder / "replay").execute()
     _print_outcome(outcome)
     if not (_SHRINK.value and outcome.findings):
         return outcome
 
     async def is_red(smaller: schedules.Schedule) -> bool:
-        outcome_again = await _make_run(smaller, folder / "shrink").play()
+        outcome_again = await _make_run(smaller, folder / "shrink").execute()
         return bool(outcome_again.findings)
 
     smallest = await schedules.shrink(schedule, is_red)
@@ -122,7 +124,7 @@
     return outcome
 
 
-def _print_outcome(outcome: runs.Outcome) -> None:
+def _print_outcome(outcome: runs.RunResult) -> None:
     if options.FORMAT.value == "json":
         return
     seed = outcome.schedule.seed
@@ -133,17 +135,17 @@
         flush=True,
     )
     for finding in outcome.findings:
-        print(f"  {finding.promise}: {finding.detail}", flush=True)
+        print(f"  {finding.guarantee}: {finding.detail}", flush=True)
 
 
-def _to_json(outcome: runs.Outcome) -> dict[str, object]:
+def _to_json(outcome: runs.RunResult) -> dict[str, object]:
     return {
         "seed": outcome.schedule.seed,
         "faults": len(outcome.schedule.faults),
         "requests": outcome.requests,
         "answered": outcome.answered,
         "findings": [
-            {"promise": item.promise.value, "detail": item.detail}
+            {"promise": item.guarantee.value, "detail": item.detail}
             for item in outcome.findings
         ],
     }
--- a/endivewind/commands/bench_spreading.py
+++ b/endivewind/commands/bench_spreading.py
@@ -18,7 +18,7 @@
 from endivewind import exceptions
 from endivewind.commands import bench_options
 from endivewind.commands import options
-from endivewind.config import spreading
+from endivewind.config import replication
 from endivewind.config import store
 from endivewind.nodes import codec
 from endivewind.nodes import configuration
@@ -32,13 +32,13 @@
     ("caribe", "caribe-a"),
     ("caribe", "caribe-b"),
 )
-NEAR_LATENCY = datetime.timedelta(milliseconds=1.5)
-FAR_LATENCY = datetime.timedelta(milliseconds=30)
-GIVE_UP = datetime.timedelta(seconds=60)
+SAME_REGION_LATENCY = datetime.timedelta(milliseconds=1.5)
+CROSS_REGION_LATENCY = datetime.timedelta(milliseconds=30)
+RUN_TIMEOUT = datetime.timedelta(seconds=60)
 # Long enough that digests are most of the traffic of an idle node.
-QUIET = datetime.timedelta(seconds=30)
-LOADED_OBJECTS = 50
-CHANGED = store.Key(store.SERVICE, "riders")
+QUIET_DURATION = datetime.timedelta(seconds=30)
+INITIAL_OBJECTS = 50
+CHANGED_KEY = store.Key(store.SERVICE, "riders")
 
 flags.declare_key_flag("nodes")
 DEFAULT_NODES = 50
@@ -61,7 +61,7 @@
 
     seconds: float
     change_bytes: float
-    most_bytes: int
+    max_bytes: int
     quiet_bytes_per_second: float
 
 
@@ -86,14 +86,16 @@
     zone: str
 
 
-class Cores:
+class SimulatedReplicators:
     """N replicators connected by a lossy network in virtual time."""
 
     def __init__(self, nodes: int, loss: float, seed: int) -> None:
         self._rng = random.Random(seed)
         self._loss = loss
         self._event_numbers = itertools.count()
-        self._queue: list[tuple[float, int, str, spreading.Message | None]] = []
+        self._queue: list[
+            tuple[float, int, str, replication.Message | None]
+        ] = []
         self.members = {
             f"node-{number:04d}": _NodeLocation(
                 f"node-{number:04d}", *ZONES[number % len(ZONES)]
@@ -101,20 +103,22 @@
             for number in range(nodes)
         }
         self.stores = {name: _make_store() for name in self.members}
-        self.cores = {
-            name: spreading.Spreader(
+        self.replicators = {
+            name: replication.Replicator(
                 name, member.region, self.stores[name], self._peers(name), rng
             )
             for (name, member), rng in zip(
                 self.members.items(), self._make_rngs(), strict=False
             )
         }
-        self.sent = dict.fromkeys(self.members, 0)
+        self.sent_bytes = dict.fromkeys(self.members, 0)
         self.now = datetime.timedelta()
-        self.cut: set[tuple[str, str]] = set()
-        for name, core in self.cores.items():
-            core.ready = True
-            phase = self._rng.uniform(0, spreading.TICK.total_seconds())
+        self.blocked_routes: set[tuple[str, str]] = set()
+        for name, core in self.replicators.items():
+            core.is_ready = True
+            phase = self._rng.uniform(
+                0, replication.TICK_INTERVAL.total_seconds()
+            )
             self._push(phase, name, None)
 
     def write(self, name: str, key: store.Key, value: dict) -> None:
@@ -122,11 +126,11 @@
         before = self.stores[name].stamp(key)
         self.stores[name].apply(*key, 1, value)
         if self.stores[name].stamp(key) != before:
-            self.cores[name].taken(key)
+            self.replicators[name].add_rumour(key)
 
     def run_until(self, done: collections.abc.Callable[[], bool]) -> bool:
         """Runs until done, at most for RUN_TIMEOUT; returns whether done."""
-        end = self.now + GIVE_UP
+        end = self.now + RUN_TIMEOUT
         while self.now < end:
             if done():
                 return True
@@ -142,37 +146,43 @@
     def _step(self) -> None:
         seconds, _, name, message = heapq.heappop(self._queue)
         self.now = datetime.timedelta(seconds=seconds)
-        core = self.cores[name]
+        core = self.replicators[name]
         if message is None:
-            self._push(seconds + spreading.TICK.total_seconds(), name, None)
+            self._push(
+                seconds + replication.TICK_INTERVAL.total_seconds(), name, None
+            )
             self._send(name, core.tick(self.now))
         else:
-            self._send(name, core.received(message, self.now).outgoing)
+            self._send(name, core.handle_message(message, self.now).outgoing)
 
-    def _send(self, name: str, outgoing: list[spreading.Outgoing]) -> None:
+    def _send(
+        self, name: str, outgoing: list[replication.OutgoingMessage]
+    ) -> None:
         for item in outgoing:
-            wire = configuration.message_out(item.message)
+            wire = configuration.encode_message(item.message)
             frame = codec.messages.Frame(configuration=wire)
-            self.sent[name] += len(codec.encode_frame(frame))
+            self.sent_bytes[name] += len(codec.encode_frame(frame))
             sender, receiver = self.members[name], self.members[item.to]
-            is_blocked = (sender.zone, receiver.region) in self.cut
+            is_blocked = (sender.zone, receiver.region) in self.blocked_routes
             if is_blocked or self._rng.random() < self._loss:
                 continue
             is_same_region = sender.region == receiver.region
-            latency = NEAR_LATENCY if is_same_region else FAR_LATENCY
+            latency = (
+                SAME_REGION_LATENCY if is_same_region else CROSS_REGION_LATENCY
+            )
             arrives = self.now + latency
             self._push(arrives.total_seconds(), item.to, item.message)
 
     def _push(
-        self, seconds: float, name: str, message: spreading.Message | None
+        self, seconds: float, name: str, message: replication.Message | None
     ) -> None:
         item = (seconds, next(self._event_numbers), name, message)
         heapq.heappush(self._queue, item)
 
     def _peers(
         self, name: str
-    ) -> collections.abc.Callable[[], list[spreading.Peer]]:
-        peers: list[spreading.Peer] = [
+    ) -> collections.abc.Callable[[], list[replication.Peer]]:
+        peers: list[replication.Peer] = [
             member for member in self.members.values() if member.name != name
         ]
         return lambda: peers
@@ -184,12 +194,14 @@
 
 def _make_store() -> store.ConfigurationStore:
     initial_store = store.ConfigurationStore()
-    for number in range(LOADED_OBJECTS):
-        initial_store.apply(store.SERVICE, f"service-{number}", 1, change(3, 1))
+    for number in range(INITIAL_OBJECTS):
+        initial_store.apply(
+            store.SERVICE, f"service-{number}", 1, make_service_value(3, 1)
+        )
     return initial_store
 
 
-def change(slots: int, version: int) -> dict:
+def make_service_value(slots: int, version: int) -> dict:
     """Returns the value of a service object."""
     return {
         "spec": {"slots": slots},
@@ -210,16 +222,17 @@
     node to the other region are lost, while those in the other direction
     arrive, so the change has to take a path through other zones.
     """
-    key, value = changed or (CHANGED, change(5, 2))
-    cores = Cores(nodes, loss, seed)
+    key, value = changed or (CHANGED_KEY, make_service_value(5, 2))
+    cores = SimulatedReplicators(nodes, loss, seed)
     source = next(iter(cores.members.values()))
     other = {region for region, _ in ZONES if region != source.region}
-    cores.cut = {(source.zone, region) for region in other}
-    cores.run_for(QUIET)
+    cores.blocked_routes = {(source.zone, region) for region in other}
+    cores.run_for(QUIET_DURATION)
     quiet_bytes_per_second = (
-        statistics.mean(cores.sent.values()) / QUIET.total_seconds()
+        statistics.mean(cores.sent_bytes.values())
+        / QUIET_DURATION.total_seconds()
     )
-    cores.sent = dict.fromkeys(cores.members, 0)
+    cores.sent_bytes = dict.fromkeys(cores.members, 0)
     start = cores.now
     cores.write(source.name, key, value)
     stores = cores.stores.values()
@@ -228,17 +241,19 @@
     def done() -> bool:
         while pending:
             name = next(iter(pending))
-            if cores.stores[name].in_force(key) != value["version"]:
+            if cores.stores[name].version_in_force(key) != value["version"]:
                 return False
             pending.discard(name)
-        return all(item.in_force(key) == value["version"] for item in stores)
+        return all(
+            item.version_in_force(key) == value["version"] for item in stores
+        )
 
     reached = cores.run_until(done)
     seconds = (cores.now - start).total_seconds() if reached else float("inf")
     return SpreadingRun(
         seconds,
-        statistics.mean(cores.sent.values()),
-        max(cores.sent.values()),
+        statistics.mean(cores.sent_bytes.values()),
+        max(cores.sent_bytes.values()),
         quiet_bytes_per_second,
     )
 
@@ -254,7 +269,7 @@
         round(statistics.median(seconds), 3),
         round(max(seconds), 3),
         round(statistics.mean(item.change_bytes for item in results)),
-        max(item.most_bytes for item in results),
+        max(item.max_bytes for item in results),
         round(statistics.mean(item.quiet_bytes_per_second for item in results)),
     )
 
@@ -274,5 +289,5 @@
         f"{name}: {value}"
         for name, value in dataclasses.asdict(figures).items()
     ]
-    options.show(dataclasses.asdict(figures), "\n".join(lines))
+    options.print_result(dataclasses.asdict(figures), "\n".join(lines))
     return 0
--- a/endivewind/commands/children.py
+++ b/endivewind/commands/children.py
@@ -21,7 +21,7 @@
 MAX_LINE_BYTES = 1_048_576
 
 
-class Child:
+class ChildProcess:
     """One child process.
 
     Attributes:
@@ -31,10 +31,10 @@
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self._name = name
         self._process = process
-        self.listening: dict[str, Any] = {}
+        self.listening_line: dict[str, Any] = {}
         self._reader: asyncio.Task[None] | None = None
 
-    async def line(
+    async def wait_for_line(
         self, matches: collections.abc.Callable[[dict[str, Any]], bool]
     ) -> dict[str, Any]:
         """Reads log lines until one matches.
@@ -68,23 +68,23 @@
         self._reader = asyncio.create_task(self._read_lines(handle_line))
 
     @property
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         """Whether the process has not exited yet."""
         return self._process.returncode is None
 
-    def signal(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         """Sends a signal to this process, unless it has exited."""
-        if self.running:
+        if self.is_running:
             self._process.send_signal(number)
 
-    async def ended(self) -> int:
+    async def wait(self) -> int:
         """Waits until the process exits; returns the exit code."""
         code = await self._process.wait()
         if self._reader is not None:
             await self._reader
         return code
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """Sends SIGTERM and waits until the process exits."""
         if self._process.returncode is None:
             self._process.terminate()
@@ -107,7 +107,7 @@
             handle_line(line)
 
 
-class Children:
+class ChildProcesses:
     """Starts child processes and stops them all on exit of the context."""
 
     def __init__(self) -> None:
@@ -116,7 +116,7 @@
             self._stack.enter_context(tempfile.TemporaryDirectory())
         )
 
-    async def __aenter__(self) -> "Children":
+    async def __aenter__(self) -> "ChildProcesses":
         return self
 
     async def __aexit__(self, *error: object) -> None:
@@ -128,7 +128,7 @@
         binary: str,
         *arguments: str,
         checkout: pathlib.Path | None = None,
-    ) -> Child:
+    ) -> ChildProcess:
         """Starts a program and waits until it listens.
 
         Args:
@@ -139,9 +139,9 @@
             process.
         """
         process = await spawn(binary, *arguments, checkout=checkout)
-        child = Child(name, process)
-        self._stack.push_async_callback(child.end)
-        child.listening = await child.line(
+        child = ChildProcess(name, process)
+        self._stack.push_async_callback(child.stop)
+        child.listening_line = await child.wait_for_line(
             lambda line: line.get("message") == "listening"
         )
         return child
@@ -152,9 +152,9 @@
         file.write_text(yaml.safe_dump(settings))
         return file
 
-    async def node(
+    async def start_node(
         self, settings: dict[str, Any], checkout: pathlib.Path | None = None
-    ) -> Child:
+    ) -> ChildProcess:
         """Starts a node with these settings, from a checkout if given."""
         file = self.write_settings(settings)
         return await self.start(
@@ -179,7 +179,7 @@
     )
 
 
-async def output_of(binary: str, *arguments: str) -> Any:
+async def run_json_command(binary: str, *arguments: str) -> Any:
     """Runs a program until it exits and returns its JSON output."""
     process = await spawn(binary, *arguments)
     output, _ = await process.communicate()
--- a/endivewind/commands/running.py
+++ b/endivewind/commands/cli.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from endivewind import exceptions
-from endivewind import names
+from endivewind import spelling
 
 EXIT_CODES = """exit codes:
   0  success
@@ -55,7 +55,7 @@
 
     name: str
     summary: str
-    prefix: str
+    module_prefix: str
     commands: tuple[str, ...]
 
     def run(self) -> None:
@@ -64,7 +64,7 @@
 
     def main(self, arguments: list[str]) -> int:
         """Runs the command named in the arguments; returns the exit code."""
-        return guarded(lambda: self._dispatch(arguments))
+        return run_guarded(lambda: self._dispatch(arguments))
 
     def _dispatch(self, arguments: list[str]) -> int:
         command = next(
@@ -78,20 +78,20 @@
                 "no command given\n" + self._usage_line()
             )
         if command not in self.commands:
-            hint = names.suggest(command, self.commands)
+            hint = spelling.suggest(command, self.commands)
             raise exceptions.UsageError(
                 f"unknown command {command!r}{hint}\n{self._usage_line()}"
             )
         module = self._load_module(command)
         if _HELP & set(arguments):
-            print(help_text(f"{self.name} {module.USAGE}", module))
+            print(format_help(f"{self.name} {module.USAGE}", module))
             return 0
-        remaining = parse(f"{self.name} {command}", arguments)
+        remaining = parse_flags(f"{self.name} {command}", arguments)
         remaining.remove(command)
         return module.main(remaining)
 
     def _load_module(self, command: str) -> Command:
-        found: Command = importlib.import_module(self.prefix + command)
+        found: Command = importlib.import_module(self.module_prefix + command)
         return found
 
     def _usage_line(self) -> str:
@@ -111,20 +111,20 @@
         return "\n".join([*lines, "", EXIT_CODES])
 
 
-def single(usage: str, module: Command) -> None:
+def run_single_command(usage: str, module: Command) -> None:
     """Entry point of a binary that consists of a single command."""
     arguments = sys.argv[1:]
 
     def run() -> int:
         if _HELP & set(arguments):
-            print(help_text(usage, module))
+            print(format_help(usage, module))
             return 0
-        return module.main(parse(usage.split()[0], arguments))
+        return module.main(parse_flags(usage.split()[0], arguments))
 
-    sys.exit(guarded(run))
+    sys.exit(run_guarded(run))
 
 
-def guarded(action: collections.abc.Callable[[], int]) -> int:
+def run_guarded(action: collections.abc.Callable[[], int]) -> int:
     """Runs an action and returns the exit code.
 
     An EndivewindError is printed without a traceback.
@@ -136,7 +136,7 @@
         return error.exit_code
 
 
-def parse(name: str, arguments: list[str]) -> list[str]:
+def parse_flags(name: str, arguments: list[str]) -> list[str]:
     """Sets the flags and returns the positional arguments.
 
     Raises:
@@ -151,7 +151,7 @@
         ) from error
 
 
-def help_text(usage: str, module: Command) -> str:
+def format_help(usage: str, module: Command) -> str:
     """Returns usage, description, flags and exit codes of a command."""
     lines = [f"usage: {usage}", "", (module.__doc__ or "").strip()]
     key_flags = flags.FLAGS.get_key_flags_for_module(module.__name__)
@@ -163,12 +163,12 @@
     return "\n".join([*lines, "", EXIT_CODES])
 
 
-def loop(coroutine: collections.abc.Coroutine[object, object, int]) -> int:
+def run_async(coroutine: collections.abc.Coroutine[object, object, int]) -> int:
     """Runs a coroutine on uvloop and returns its exit code."""
     return uvloop.run(coroutine)
 
 
-async def until_signal() -> None:
+async def wait_for_stop_signal() -> None:
     """Waits for SIGTERM or SIGINT, which start a graceful shutdown."""
     stop = asyncio.Event()
     event_loop = asyncio.get_running_loop()
@@ -177,7 +177,7 @@
     await stop.wait()
 
 
-def on_hangup(call: collections.abc.Callable[[], None]) -> None:
+def add_hangup_handler(call: collections.abc.Callable[[], None]) -> None:
     """Calls back on SIGHUP, which by default ends the process."""
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, call)
 
--- a/endivewind/commands/control_fleet.py
+++ b/endivewind/commands/control_fleet.py
@@ -17,11 +17,11 @@
 from endivewind.nodes import codec
 from endivewind.nodes import datagrams
 from endivewind.nodes import gossip
+from endivewind.nodes import gossip_frames
 from endivewind.nodes import gossip_messages
 from endivewind.nodes import link_server
 from endivewind.nodes import links
 from endivewind.nodes import membership
-from endivewind.nodes import states
 from endivewind.nodes import view
 from endivewind.targets import records
 
@@ -34,15 +34,15 @@
 # The real node is alone in the fifth zone, so that it watches the platform,
 # which is the more expensive of the two roles.
 REAL_ZONE = ("caribe", "caribe-b")
-SERVICES = 310
-TICK = datetime.timedelta(milliseconds=100)
+SERVICE_COUNT = 310
+TICK_INTERVAL = datetime.timedelta(milliseconds=100)
 _TICK_PHASES = 10
 
 
-class Played(link_server.Home):
+class SimulatedNode(link_server.LinkHandler):
     """One simulated node."""
 
-    def __init__(self, fleet: "PlayedFleet", name: str, zone: int) -> None:
+    def __init__(self, fleet: "SimulatedFleet", name: str, zone: int) -> None:
         self._fleet = fleet
         self.name = name
         self._region, self._zone = ZONES[zone % len(ZONES)]
@@ -93,7 +93,9 @@
         """Runs the timers of the gossip core."""
         self.send(self.core.tick())
 
-    def change(self, target: str, health: records.Health) -> None:
+    def change_target(
+        self, target: str, health: records.EjectionStatus
+    ) -> None:
         """Originates one change of one of its targets."""
         self._sequence += 1
         record = records.TargetRecord(
@@ -118,25 +120,29 @@
             if isinstance(item.message, gossip_messages.Datagram):
                 self._socket.send(item.address, item.message)
             else:
-                self._fleet.link(item.address, states.frame_out(item.message))
+                self._fleet.send_frame(
+                    item.address, gossip_frames.encode_message(item.message)
+                )
 
-    def gossiped(self, frame: Any) -> None:
+    def handle_gossip(self, frame: Any) -> None:
         """Handles a gossip frame received on a link."""
-        message = states.frame_in(frame)
+        message = gossip_frames.decode_message(frame)
         if message.sender == self._fleet.real_name:
-            self._fleet.count_in(frame)
+            self._fleet.record_received(frame)
         if isinstance(message, gossip_messages.Pull):
-            self._fleet.answer(message.address, self.core.answer(message))
+            self._fleet.send_parts(
+                message.address, self.core.answer_pull(message)
+            )
             return
         self.send(self.core.receive_state(message))
 
-    def configuration(self, message: Any) -> None:
+    def handle_configuration(self, message: Any) -> None:
         """Confirms the real node's digest, and sends it the same digest.
 
         Simulated nodes have no configuration. In a fleet, a node receives as
         many digests as it sends, and without changes all digests are equal.
         """
-        self._fleet.count_in(codec.messages.Frame(configuration=message))
+        self._fleet.record_received(codec.messages.Frame(configuration=message))
         if not message.digest:
             return
         for answer in (
@@ -148,7 +154,7 @@
             ),
         ):
             frame = codec.messages.Frame(configuration=answer)
-            self._fleet.link(self._fleet.real_address, frame)
+            self._fleet.send_frame(self._fleet.real_address, frame)
 
     async def stop(self) -> None:
         """Closes the UDP and TCP address."""
@@ -161,7 +167,7 @@
         self.send(self.core.receive(address, datagram))
 
 
-class PlayedFleet:
+class SimulatedFleet:
     """All simulated nodes, in this process."""
 
     def __init__(self, count: int, targets: int, real_name: str) -> None:
@@ -170,8 +176,9 @@
         self.real_name = real_name
         self.real_address = ""
         self.link_bytes = 0
-        self.played = [
-            Played(self, f"node-{number:04}", number) for number in range(count)
+        self.nodes = [
+            SimulatedNode(self, f"node-{number:04}", number)
+            for number in range(count)
         ]
         self._targets = targets
         self._pool = links.LinkPool(self.clock)
@@ -179,20 +186,20 @@
 
     async def start(self) -> None:
         """Binds all nodes, gives them the same state and starts the ticks."""
-        for node in self.played:
+        for node in self.nodes:
             await node.bind()
-        nodes = [node.record for node in self.played]
+        nodes = [node.record for node in self.nodes]
         template = view.FleetView()
         for record in nodes:
             template.put_node(record)
-        for number, node in enumerate(self.played):
+        for number, node in enumerate(self.nodes):
             template.put_home_state(
                 node.name,
                 1,
                 1,
                 self._make_records(node, self.targets_of(number)),
             )
-        for node in self.played:
+        for node in self.nodes:
             node.join(1, template.copy(), nodes)
         for phase in range(_TICK_PHASES):
             self._start_task(self._run_ticks(phase))
@@ -202,7 +209,7 @@
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        for node in self.played:
+        for node in self.nodes:
             await node.stop()
         self._pool.close()
 
@@ -211,17 +218,17 @@
 
         The number after the last simulated node is the real node's.
         """
-        homes = len(self.played) + 1
+        homes = len(self.nodes) + 1
         return [
             f"target-{index:05}"
             for index in range(number, self._targets, homes)
         ]
 
-    def link(self, address: str, frame: Any) -> None:
+    def send_frame(self, address: str, frame: Any) -> None:
         """Starts to send a frame over a link."""
         self._start_task(self._send(address, frame))
 
-    def answer(
+    def send_parts(
         self,
         address: str,
         parts: collections.abc.Iterable[gossip_messages.FleetState],
@@ -229,43 +236,48 @@
         """Starts to send the parts of a response in order, as real nodes do."""
         self._start_task(self._send_in_order(address, parts))
 
-    def count_in(self, frame: Any) -> None:
+    def record_received(self, frame: Any) -> None:
         """Counts the bytes of a frame received from the real node."""
         self.link_bytes += len(codec.encode_frame(frame))
 
-    async def change(self, per_second: float) -> None:
+    async def run_changes(self, per_second: float) -> None:
         """Makes changes at random nodes, at a rate, until cancelled."""
-        healths = (records.Health.EJECTED, records.Health.NORMAL)
+        healths = (
+            records.EjectionStatus.EJECTED,
+            records.EjectionStatus.NORMAL,
+        )
         while True:
             await asyncio.sleep(self.rng.expovariate(per_second))
-            number = self.rng.randrange(len(self.played))
+            number = self.rng.randrange(len(self.nodes))
             targets = self.targets_of(number)
             if targets:
                 target = self.rng.choice(targets)
-                self.played[number].change(target, self.rng.choice(healths))
+                self.nodes[number].change_target(
+                    target, self.rng.choice(healths)
+                )
 
     async def restart(self, count: int, within: datetime.timedelta) -> None:
         """Restarts some nodes within a time; their targets reannounce."""
-        nodes = [node.record for node in self.played]
-        for number in self.rng.sample(range(len(self.played)), count):
-            node = self.played[number]
+        nodes = [node.record for node in self.nodes]
+        for number in self.rng.sample(range(len(self.nodes)), count):
+            node = self.nodes[number]
             new_view = node.view
-            new_view.remove_home(node.name)
+            new_view.remove_home_targets(node.name)
             node.join(node.record.incarnation + 1, new_view, nodes)
-            node.core.introduce()
+            node.core.announce_self()
             for target in self.targets_of(number):
-                node.change(target, records.Health.NORMAL)
+                node.change_target(target, records.EjectionStatus.NORMAL)
             await asyncio.sleep(within.total_seconds() / count)
 
-    def knowing(self, home: str, sequence: int) -> int:
+    def count_nodes_knowing(self, home: str, sequence: int) -> int:
         """Counts the simulated nodes that know a home's changes so far."""
         return sum(
             node.view.home_version(home).sequence >= sequence
-            for node in self.played
+            for node in self.nodes
         )
 
     def _make_records(
-        self, node: Played, targets: list[str]
+        self, node: SimulatedNode, targets: list[str]
     ) -> list[records.TargetRecord]:
         return [
             records.TargetRecord(
@@ -279,7 +291,7 @@
                 slots=3,
                 weight=1,
                 state=records.State.READY,
-                health=records.Health.NORMAL,
+                health=records.EjectionStatus.NORMAL,
                 target_incarnation=1,
             )
             for target in targets
@@ -296,14 +308,16 @@
         parts: collections.abc.Iterable[gossip_messages.FleetState],
     ) -> None:
         for part in parts:
-            await self._send(address, states.frame_out(part))
+            await self._send(address, gossip_frames.encode_message(part))
 
     async def _run_ticks(self, phase: int) -> None:
-        await asyncio.sleep(phase * TICK.total_seconds() / _TICK_PHASES)
+        await asyncio.sleep(
+            phase * TICK_INTERVAL.total_seconds() / _TICK_PHASES
+        )
         while True:
-            for node in self.played[phase::_TICK_PHASES]:
+            for node in self.nodes[phase::_TICK_PHASES]:
                 node.tick()
-            await asyncio.sleep(TICK.total_seconds())
+            await asyncio.sleep(TICK_INTERVAL.total_seconds())
 
     def _start_task(
         self, work: collections.abc.Coroutine[Any, Any, Any]
@@ -315,11 +329,11 @@
 
 def service_of(target: str) -> str:
     """Returns the service of a target."""
-    return f"service-{int(target.rpartition('-')[2]) % SERVICES:03}"
+    return f"service-{int(target.rpartition('-')[2]) % SERVICE_COUNT:03}"
 
 
 @contextlib.asynccontextmanager
-async def node_process(
+async def start_node_process(
     settings: str,
 ) -> collections.abc.AsyncGenerator[asyncio.subprocess.Process, None]:
     """Starts a real endivewind-node, and kills it on exit of the context."""
--- a/endivewind/commands/demo.py
+++ b/endivewind/commands/demo.py
@@ -28,8 +28,8 @@
 from endivewind import headers
 from endivewind import logs
 from endivewind import node
+from endivewind.commands import cli
 from endivewind.commands import options
-from endivewind.commands import running
 from endivewind.commands import tables
 from endivewind.config import base
 from endivewind.config import objects
@@ -63,7 +63,7 @@
 # A target counts as avoided below this share of the mean number of responses. A
 # suspect target still gets occasional requests; the least used healthy target
 # had a third of the mean.
-AVOIDED_SHARE = 0.2
+AVOIDED_TRAFFIC_SHARE = 0.2
 # The key whose digest is in the configuration, and the object that holds it.
 _WORKSPACE_KEY = "demo-key-of-the-crew"
 _SHARD_KEY = store.Key(store.WORKSPACE_SHARD, "camerino")
@@ -75,7 +75,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Seen:
+class CallerResults:
     """Counts of what callers received.
 
     Attributes:
@@ -87,38 +87,38 @@
       complete_by_target: complete responses by target.
     """
 
-    whole: int = 0
+    complete: int = 0
     failed: int = 0
-    first_half_failed: int = 0
+    failed_in_first_half: int = 0
     refused: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    by_target: collections.Counter[str] = dataclasses.field(
+    complete_by_target: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
 
     def as_json(self) -> dict[str, Any]:
         """Returns the counts as JSON values."""
         return {
-            "whole": self.whole,
+            "whole": self.complete,
             "failed": self.failed,
-            "failed_in_first_half": self.first_half_failed,
+            "failed_in_first_half": self.failed_in_first_half,
             "refused": dict(self.refused),
-            "whole_by_target": dict(self.by_target),
+            "whole_by_target": dict(self.complete_by_target),
         }
 
     @property
-    def avoided(self) -> list[str]:
+    def avoided_targets(self) -> list[str]:
         """Targets that served far fewer responses than the others."""
-        mean = self.whole / len(_TARGETS)
+        mean = self.complete / len(_TARGETS)
         return [
             name
             for name in _TARGETS
-            if self.by_target[name] < AVOIDED_SHARE * mean
+            if self.complete_by_target[name] < AVOIDED_TRAFFIC_SHARE * mean
         ]
 
     @property
-    def unclear(self) -> int:
+    def unknown_outcome_count(self) -> int:
         """Number of callers not told whether their request ran."""
         return sum(
             count
@@ -128,7 +128,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Keyed:
+class WorkspaceResults:
     """Results of requests of a workspace with a key and a quota.
 
     Attributes:
@@ -147,7 +147,7 @@
     revoked: int
 
     @property
-    def is_right(self) -> bool:
+    def is_as_expected(self) -> bool:
         """Whether only the valid key was accepted, within its quota."""
         refused = self.without_key == self.revoked == _UNAUTHORIZED
         served = self.with_key != _UNAUTHORIZED and self.served > 0
@@ -165,7 +165,7 @@
             ),
             ("after the key was revoked", self.revoked),
         ]
-        return tables.table(("WORKSPACE", "STATUS OR COUNT"), rows)
+        return tables.format_table(("WORKSPACE", "STATUS OR COUNT"), rows)
 
 
 def main(arguments: list[str]) -> int:
@@ -173,15 +173,17 @@
     if arguments:
         raise exceptions.UsageError(f"usage: endivewind {USAGE}")
     logs.configure("critical")
-    return running.loop(_run_demo())
+    return cli.run_async(_run_demo())
 
 
 async def _run_demo() -> int:
     async with contextlib.AsyncExitStack() as stack:
         api = platform.PlatformStandin(platform.ObjectStore())
-        url = "http://" + await _serve_application(stack, api.application())
+        url = "http://" + await _serve_application(
+            stack, api.make_application()
+        )
         nodes = await _start_fleet(stack, url)
-        results = Seen()
+        results = CallerResults()
         await _send_requests(nodes, results)
         ejected = await _find_ejected(nodes)
         keyed = await _try_workspace_key(nodes, url)
@@ -189,15 +191,17 @@
         "callers": results.as_json(),
         "gray_target": _GRAY_TARGET,
         "ejected": ejected,
-        "avoided": results.avoided,
+        "avoided": results.avoided_targets,
         "workspace": dataclasses.asdict(keyed),
     }
-    options.show(value, text(results, ejected) + "\n\n" + keyed.as_table())
-    without_traffic = set(ejected) | set(results.avoided)
+    options.print_result(
+        value, format_report(results, ejected) + "\n\n" + keyed.as_table()
+    )
+    without_traffic = set(ejected) | set(results.avoided_targets)
     passed = (
-        not results.unclear
+        not results.unknown_outcome_count
         and without_traffic == {_GRAY_TARGET}
-        and keyed.is_right
+        and keyed.is_as_expected
     )
     return 0 if passed else 1
 
@@ -229,7 +233,7 @@
     loaded = base.load_file(str(_CONFIGURATION), objects.Configuration)
     async with aiohttp.ClientSession() as session:
         api = client.PlatformClient(url, session)
-        for key, spec in planning.specs(loaded.ok.model).items():
+        for key, spec in planning.object_specs(loaded.ok.model).items():
             value = {"spec": spec, "operation": "demo", "author": "demo"}
             written = await api.put(*key, value, 0)
             if written.is_error():
@@ -253,14 +257,14 @@
     stack: contextlib.AsyncExitStack, name: str, home: str
 ) -> None:
     standin = target.TargetStandin(name, _SERVICE, [home])
-    address = await _serve_application(stack, standin.application())
+    address = await _serve_application(stack, standin.make_application())
     if name == _GRAY_TARGET:
         async with aiohttp.ClientSession() as session:
             fault = {"errors": _GRAY_ERROR_SHARE}
             url = f"http://{address}{target.FAULT_PATH}"
             async with session.put(url, json=fault) as response:
                 response.raise_for_status()
-    task = asyncio.create_task(standin.announce(address))
+    task = asyncio.create_task(standin.run_announcements(address))
     stack.push_async_callback(_cancel_task, task)
 
 
@@ -291,7 +295,9 @@
         return status
 
 
-async def _send_requests(nodes: list[node.Addresses], results: Seen) -> None:
+async def _send_requests(
+    nodes: list[node.Addresses], results: CallerResults
+) -> None:
     """Sends requests at a fixed rate, alternating between the nodes."""
     start = time.monotonic()
     total = int(_REQUESTS_PER_SECOND * _DURATION_SECONDS.value)
@@ -312,7 +318,10 @@
 
 
 async def _send_request(
-    session: aiohttp.ClientSession, address: str, results: Seen, early: bool
+    session: aiohttp.ClientSession,
+    address: str,
+    results: CallerResults,
+    early: bool,
 ) -> None:
     url = f"http://{address}/riders/42"
     async with session.get(url, headers={"Host": _HOST}) as response:
@@ -321,15 +330,17 @@
         if reason:
             results.refused[f"{outcome} {reason}"] += 1
         elif response.status == 200:
-            results.whole += 1
+            results.complete += 1
             body = await response.json()
-            results.by_target[body["target"]] += 1
+            results.complete_by_target[body["target"]] += 1
         else:
             results.failed += 1
-            results.first_half_failed += early
+            results.failed_in_first_half += early
 
 
-async def _try_workspace_key(nodes: list[node.Addresses], url: str) -> Keyed:
+async def _try_workspace_key(
+    nodes: list[node.Addresses], url: str
+) -> WorkspaceResults:
     """Sends requests with and without a key, then revokes the key."""
     async with aiohttp.ClientSession() as session:
         without_key = await _request_plan(session, nodes[0], "")
@@ -345,7 +356,7 @@
         await _revoke_key(url, session)
         revoked = await _wait_for_revocation(session, nodes)
     over_quota = burst.count(_TOO_MANY_REQUESTS)
-    return Keyed(
+    return WorkspaceResults(
         without_key, with_key, len(burst) - over_quota, over_quota, revoked
     )
 
@@ -402,12 +413,12 @@
     return ejected
 
 
-def text(results: Seen, ejected: dict[str, str]) -> str:
+def format_report(results: CallerResults, ejected: dict[str, str]) -> str:
     """Formats the results of callers and targets for text output."""
-    second_half = results.failed - results.first_half_failed
+    second_half = results.failed - results.failed_in_first_half
     rows = [
-        ("complete responses", results.whole),
-        ("failed responses, first half", results.first_half_failed),
+        ("complete responses", results.complete),
+        ("failed responses, first half", results.failed_in_first_half),
         ("failed responses, second half", second_half),
         *(
             (f"refused: {name}", n)
@@ -418,14 +429,14 @@
         f"Six targets; {_GRAY_TARGET} fails {_GRAY_ERROR_SHARE:.0%} of its "
         "requests but passes its health checks.",
         "",
-        tables.table(("RESPONSES TO CALLERS", "COUNT"), rows),
+        tables.format_table(("RESPONSES TO CALLERS", "COUNT"), rows),
         "",
-        tables.table(
+        tables.format_table(
             ("TARGET", "COMPLETE RESPONSES", "STATE"),
             [
                 (
                     name,
-                    results.by_target[name],
+                    results.complete_by_target[name],
                     _format_state(name, results, ejected),
                 )
                 for name in _TARGETS
@@ -433,12 +444,14 @@
         ),
         "",
         "Ejected: " + (", ".join(sorted(ejected)) or "none"),
-        "Avoided: " + (", ".join(results.avoided) or "none"),
+        "Avoided: " + (", ".join(results.avoided_targets) or "none"),
     ]
     return "\n".join(lines)
 
 
-def _format_state(name: str, results: Seen, ejected: dict[str, str]) -> str:
+def _format_state(
+    name: str, results: CallerResults, ejected: dict[str, str]
+) -> str:
     if name in ejected:
         return ejected[name]
-    return "avoided" if name in results.avoided else "in service"
+    return "avoided" if name in results.avoided_targets else "in service"
--- a/endivewind/commands/diff.py
+++ b/endivewind/commands/diff.py
@@ -10,8 +10,8 @@
 from absl import flags
 
 from endivewind import exceptions
+from endivewind.commands import cli
 from endivewind.commands import options
-from endivewind.commands import running
 from endivewind.commands import submissions
 from endivewind.config import planning
 from endivewind.platform import client
@@ -30,18 +30,18 @@
         raise exceptions.UsageError(f"usage: endivewind {USAGE}")
 
     async def run(platform: client.PlatformClient) -> int:
-        stored = await submissions.current(platform)
-        steps = submissions.steps(arguments[0], stored)
+        stored = await submissions.read_configuration(platform)
+        steps = submissions.plan_submission(arguments[0], stored)
         shown = [
             step for step in steps if step.action is not planning.Action.SAME
         ]
         lines = [
             line for step in shown for line in submissions.step_lines(step)
         ]
-        options.show(
+        options.print_result(
             [submissions.step_json(step) for step in shown],
             "\n".join(lines) or "no differences",
         )
         return 1 if shown else 0
 
-    return running.loop(options.with_platform(run))
+    return cli.run_async(options.run_with_platform(run))
--- a/endivewind/commands/explain.py
+++ b/endivewind/commands/explain.py
@@ -17,7 +17,7 @@
 from endivewind import exceptions
 from endivewind.commands import options
 from endivewind.commands import tables
-from endivewind.operators import explaining
+from endivewind.operators import request_trace
 
 USAGE = "explain REQUEST-ID LOG|- [LOG...]"
 
@@ -32,29 +32,29 @@
         raise exceptions.UsageError(f"usage: endivewind {USAGE}")
     request_id, *files = arguments
     lines = [line for file in files for line in _read_lines(file)]
-    trace = explaining.explain(lines, request_id)
+    trace = request_trace.build_trace(lines, request_id)
     if trace is None:
         print(f"no log line mentions request {request_id}", file=sys.stderr)
         return 1
-    options.show(_to_json(trace), text(trace))
+    options.print_result(_to_json(trace), format_trace(trace))
     return 0
 
 
-def _read_lines(file: str) -> collections.abc.Iterator[explaining.Line]:
+def _read_lines(file: str) -> collections.abc.Iterator[request_trace.LogLine]:
     if file == "-":
-        yield from explaining.parse(sys.stdin, "-")
+        yield from request_trace.parse_lines(sys.stdin, "-")
         return
     path = pathlib.Path(file)
     try:
         with path.open(encoding="utf-8", errors="replace") as stream:
-            yield from explaining.parse(stream, path.stem)
+            yield from request_trace.parse_lines(stream, path.stem)
     except OSError as error:
         raise exceptions.EndivewindError(
             f"can't read {file}: {error}"
         ) from error
 
 
-def text(trace: explaining.Story) -> str:
+def format_trace(trace: request_trace.RequestTrace) -> str:
     """Formats the trace of a request for text output."""
     request = trace.request
     fields = request.line.fields
@@ -75,20 +75,20 @@
         )
     for call in trace.calls:
         parts.append(_format_call(call))
-    if trace.beliefs:
+    if trace.status_lines:
         parts.append("target status at that time:")
-        parts += [f"  {_format_status(line)}" for line in trace.beliefs]
+        parts += [f"  {_format_status(line)}" for line in trace.status_lines]
     parts += [
         _format_other_attempts(target, attempts)
-        for target, attempts in trace.others.items()
+        for target, attempts in trace.other_attempts.items()
     ]
     return "\n".join(parts)
 
 
-def _format_attempts(request: explaining.Request) -> str:
+def _format_attempts(request: request_trace.LoggedRequest) -> str:
     if not request.attempts:
         return "no target was tried: the request was refused at its entry node"
-    return tables.table(
+    return tables.format_table(
         ("AT", "TARGET", "HOME", "SUSPICION", "TOOK", "RESULT"),
         [
             (
@@ -104,7 +104,7 @@
     )
 
 
-def _format_call(call: explaining.Request) -> str:
+def _format_call(call: request_trace.LoggedRequest) -> str:
     fields = call.line.fields
     clock_note = ""
     if call.clock_offset:
@@ -119,7 +119,7 @@
     )
 
 
-def _format_status(line: explaining.Line) -> str:
+def _format_status(line: request_trace.LogLine) -> str:
     details = ", ".join(
         f"{key}={value}"
         for key, value in line.fields.items()
@@ -129,7 +129,7 @@
 
 
 def _format_other_attempts(
-    target: str, attempts: tuple[explaining.Attempt, ...]
+    target: str, attempts: tuple[request_trace.Attempt, ...]
 ) -> str:
     if not attempts:
         return f"no other requests at {target} were logged around that time"
@@ -148,7 +148,7 @@
     return span // _MILLISECOND
 
 
-def _to_json(trace: explaining.Story) -> dict[str, object]:
+def _to_json(trace: request_trace.RequestTrace) -> dict[str, object]:
     return {
         "request": trace.request.line.fields,
         "entry": trace.request.line.node,
@@ -165,10 +165,10 @@
         ],
         "believed": [
             {"node": line.node, "message": line.message, **line.fields}
-            for line in trace.beliefs
+            for line in trace.status_lines
         ],
         "others": {
             target: [item.result for item in attempts]
-            for target, attempts in trace.others.items()
+            for target, attempts in trace.other_attempts.items()
         },
     }
--- a/endivewind/commands/get.py
+++ b/endivewind/commands/get.py
@@ -5,8 +5,8 @@
 from absl import flags
 
 from endivewind import exceptions
+from endivewind.commands import cli
 from endivewind.commands import options
-from endivewind.commands import running
 from endivewind.platform import client
 
 USAGE = "get KIND NAME --platform=URL"
@@ -26,7 +26,7 @@
         if found.is_error():
             raise exceptions.UnavailableError(f"{kind}/{name}: {found.error}")
         value = found.ok.model_dump(mode="json")
-        options.show(value, json.dumps(value, indent=2))
+        options.print_result(value, json.dumps(value, indent=2))
         return 0
 
-    return running.loop(options.with_platform(run))
+    return cli.run_async(options.run_with_platform(run))
--- a/endivewind/commands/main.py
+++ b/endivewind/commands/main.py
@@ -1,6 +1,6 @@
 """The endivewind binary; each command is a module of this package."""
 
-from endivewind.commands import running
+from endivewind.commands import cli
 
 COMMANDS = (
     "validate",
@@ -14,10 +14,10 @@
     "demo",
 )
 
-BINARY = running.Binary(
+BINARY = cli.Binary(
     name="endivewind",
     summary="endivewind: configures and inspects a fleet of endivewind nodes.",
-    prefix="endivewind.commands.",
+    module_prefix="endivewind.commands.",
     commands=COMMANDS,
 )
 
--- a/endivewind/commands/node.py
+++ b/endivewind/commands/node.py
@@ -18,10 +18,10 @@
 from endivewind import exceptions
 from endivewind import logs
 from endivewind import node
-from endivewind.commands import running
+from endivewind.commands import cli
 from endivewind.config import base
-from endivewind.config import following
 from endivewind.config import settings
+from endivewind.config import settings_reloader
 
 log = logging.getLogger(__name__)
 
@@ -35,7 +35,7 @@
 
 def run() -> None:
     """Entry point of the console script."""
-    running.single(USAGE, sys.modules[__name__])
+    cli.run_single_command(USAGE, sys.modules[__name__])
 
 
 def main(arguments: list[str]) -> int:
@@ -45,7 +45,7 @@
     loaded = base.load_file(_SETTINGS.value, settings.NodeSettings)
     if loaded.is_error():
         raise exceptions.InvalidFileError(loaded.error)
-    return running.loop(_run_node(_SETTINGS.value, loaded.ok.model))
+    return cli.run_async(_run_node(_SETTINGS.value, loaded.ok.model))
 
 
 async def _run_node(path: str, node_settings: settings.NodeSettings) -> int:
@@ -58,10 +58,10 @@
     except OSError as error:
         raise exceptions.EndivewindError(f"can't listen: {error}") from error
     log.info("listening", extra=logs.fields(**dataclasses.asdict(addresses)))
-    reloader = following.SettingsFollower(path, running_node.reload)
-    running.on_hangup(reloader.look_now)
+    reloader = settings_reloader.SettingsReloader(path, running_node.reload)
+    cli.add_hangup_handler(reloader.check_now)
     reload_task = asyncio.create_task(reloader.run())
-    await running.until_signal()
+    await cli.wait_for_stop_signal()
     reload_task.cancel()
     await running_node.stop()
     log.info("stopped")
--- a/endivewind/commands/options.py
+++ b/endivewind/commands/options.py
@@ -26,12 +26,12 @@
 
 ModelT = TypeVar("ModelT", bound=pydantic.BaseModel)
 
-PlatformWork = collections.abc.Callable[
+PlatformCommand = collections.abc.Callable[
     [client.PlatformClient], collections.abc.Awaitable[int]
 ]
 
 
-async def with_platform(work: PlatformWork) -> int:
+async def run_with_platform(work: PlatformCommand) -> int:
     """Runs a command with a client of the platform given by --platform.
 
     Args:
@@ -50,7 +50,7 @@
         return await work(client.PlatformClient(PLATFORM.value, session))
 
 
-def load(file: str, model: type[ModelT]) -> base.Loaded[ModelT]:
+def load_file(file: str, model: type[ModelT]) -> base.Loaded[ModelT]:
     """Loads a YAML file, or standard input for "-", into a model.
 
     Raises:
@@ -67,13 +67,13 @@
 
 def load_configuration(file: str) -> objects.Configuration:
     """Loads a configuration file and prints its warnings to stderr."""
-    loaded = load(file, objects.Configuration)
+    loaded = load_file(file, objects.Configuration)
     for warning in loaded.warnings:
         print(warning, file=sys.stderr)
     return loaded.model
 
 
-def show(value: object, text: str) -> None:
+def print_result(value: object, text: str) -> None:
     """Prints a result in the format chosen by --format.
 
     Args:
--- a/endivewind/commands/standin.py
+++ b/endivewind/commands/standin.py
@@ -17,9 +17,9 @@
 
 from endivewind import exceptions
 from endivewind import logs
-from endivewind.commands import running
+from endivewind.commands import cli
 from endivewind.standins import hop
-from endivewind.standins import load
+from endivewind.standins import load_generator
 from endivewind.standins import platform
 from endivewind.standins import target
 
@@ -49,44 +49,44 @@
 
 def run() -> None:
     """Runs the console script."""
-    running.single(USAGE, sys.modules[__name__])
+    cli.run_single_command(USAGE, sys.modules[__name__])
 
 
 def main(arguments: list[str]) -> int:
     """Runs the stand-in named by the first argument."""
     match arguments:
         case ["platform"]:
-            return running.loop(_run_platform())
+            return cli.run_async(_run_platform())
         case ["target"]:
             if not (_NAME.value and _SERVICE.value and _NODES.value):
                 raise exceptions.UsageError(
                     "a target needs --name, --service and --nodes"
                 )
-            return running.loop(_run_target())
+            return cli.run_async(_run_target())
         case ["hop"]:
             if not _NEXT.value:
                 raise exceptions.UsageError("a hop needs --next")
-            return running.loop(_run_hop())
+            return cli.run_async(_run_hop())
         case ["load"]:
             if not _URL.value:
                 raise exceptions.UsageError("load needs --url")
-            return running.loop(_run_load())
+            return cli.run_async(_run_load())
         case _:
             raise exceptions.UsageError(f"usage: {USAGE}")
 
 
 async def _run_platform() -> int:
     store = platform.ObjectStore()
-    await _serve(platform.PlatformStandin(store).application())
-    await running.until_signal()
+    await _serve(platform.PlatformStandin(store).make_application())
+    await cli.wait_for_stop_signal()
     return 0
 
 
 async def _run_target() -> int:
     standin = target.TargetStandin(_NAME.value, _SERVICE.value, _NODES.value)
-    address = await _serve(standin.application())
-    task = asyncio.create_task(standin.announce(address))
-    await running.until_signal()
+    address = await _serve(standin.make_application())
+    task = asyncio.create_task(standin.run_announcements(address))
+    await cli.wait_for_stop_signal()
     task.cancel()
     with contextlib.suppress(asyncio.CancelledError):
         await task
@@ -94,24 +94,26 @@
 
 
 async def _run_hop() -> int:
-    await _serve(hop.Hop(_NEXT.value).application())
-    await running.until_signal()
+    await _serve(hop.HopProxy(_NEXT.value).make_application())
+    await cli.wait_for_stop_signal()
     return 0
 
 
 async def _run_load() -> int:
-    request = load.Request(_URL.value, _HOST.value)
-    samples = load.Samples()
+    request = load_generator.Request(_URL.value, _HOST.value)
+    samples = load_generator.Samples()
     seconds = _SECONDS.value
-    async with load.session() as session:
+    async with load_generator.make_session() as session:
         if _RATE.value:
-            await load.at_rate(session, request, _RATE.value, seconds, samples)
+            await load_generator.send_at_rate(
+                session, request, _RATE.value, seconds, samples
+            )
             rate = len(samples.latencies) / seconds
         else:
-            rate = await load.saturate(
+            rate = await load_generator.saturate(
                 session, request, _CONNECTIONS.value, seconds, samples
             )
-    print(json.dumps(load.summary(samples, rate)))
+    print(json.dumps(load_generator.summarize(samples, rate)))
     return 0
 
 
--- a/endivewind/commands/status.py
+++ b/endivewind/commands/status.py
@@ -12,8 +12,8 @@
 import aiohttp
 
 from endivewind import exceptions
+from endivewind.commands import cli
 from endivewind.commands import options
-from endivewind.commands import running
 from endivewind.commands import tables
 
 USAGE = "status --operators=ADDRESS[,ADDRESS...]"
@@ -24,14 +24,14 @@
 _QUERY_TIMEOUT_SECONDS = 3
 _UNAVAILABLE_EXIT_CODE = exceptions.UnavailableError.exit_code
 
-Status = dict[str, Any]
+NodeStatus = dict[str, Any]
 
 
 def main(arguments: list[str]) -> int:
     """Prints the status of each node given by --operators."""
     if arguments or not options.OPERATORS.value:
         raise exceptions.UsageError(f"usage: endivewind {USAGE}")
-    return running.loop(_print_status(options.OPERATORS.value))
+    return cli.run_async(_print_status(options.OPERATORS.value))
 
 
 async def _print_status(addresses: list[str]) -> int:
@@ -40,7 +40,7 @@
         statuses = await asyncio.gather(
             *(_query_node(session, address) for address in addresses)
         )
-    options.show(statuses, text(statuses))
+    options.print_result(statuses, format_status(statuses))
     return (
         _UNAVAILABLE_EXIT_CODE
         if any("error" in item for item in statuses)
@@ -48,22 +48,24 @@
     )
 
 
-async def _query_node(session: aiohttp.ClientSession, address: str) -> Status:
+async def _query_node(
+    session: aiohttp.ClientSession, address: str
+) -> NodeStatus:
     try:
         async with session.get(f"http://{address}/v1/status") as response:
             response.raise_for_status()
-            status: Status = await response.json()
+            status: NodeStatus = await response.json()
             return {"operators": address, **status}
     except (TimeoutError, aiohttp.ClientError, ValueError) as error:
         reason = str(error) or "timed out"
         return {"operators": address, "error": reason}
 
 
-def text(statuses: collections.abc.Sequence[Status]) -> str:
+def format_status(statuses: collections.abc.Sequence[NodeStatus]) -> str:
     """Formats the status of nodes for text output."""
     responding = [item for item in statuses if "error" not in item]
     lines = [
-        tables.table(
+        tables.format_table(
             ("NODE", "VERSION", "IN FLIGHT", "KNOWS NODES", "KNOWS TARGETS"),
             [
                 (
@@ -89,14 +91,14 @@
 
 
 def _merge_targets(
-    responding: collections.abc.Sequence[Status],
-) -> list[Status]:
+    responding: collections.abc.Sequence[NodeStatus],
+) -> list[NodeStatus]:
     """Returns each target once, sorted by id.
 
     A target's home node has its current state, so the home's entry is
     preferred where the home was queried.
     """
-    targets_by_id: dict[str, Status] = {}
+    targets_by_id: dict[str, NodeStatus] = {}
     for item in responding:
         for target in item["targets"]:
             if target["home"] == item["node"]:
@@ -106,8 +108,8 @@
     return [targets_by_id[name] for name in sorted(targets_by_id)]
 
 
-def _format_targets(targets: list[Status]) -> str:
-    return tables.table(
+def _format_targets(targets: list[NodeStatus]) -> str:
+    return tables.format_table(
         ("TARGET", "SERVICE", "HOME", "ZONE", "SLOTS", "STATE", "HEALTH")
         + ("REASON",),
         [
--- a/endivewind/commands/submissions.py
+++ b/endivewind/commands/submissions.py
@@ -24,10 +24,10 @@
 
 BASE = flags.DEFINE_string("base", "", "The file as it was before editing.")
 REMOVE = flags.DEFINE_list("remove", [], "Objects to remove, as KIND/NAME.")
-READ_ATTEMPTS = 5
+MAX_READ_ATTEMPTS = 5
 
 ResultT = TypeVar("ResultT")
-Read = collections.abc.Callable[
+ReadCall = collections.abc.Callable[
     [],
     collections.abc.Awaitable[
         expression.Result[ResultT, messages.PlatformError]
@@ -35,7 +35,7 @@
 ]
 
 
-async def read(call: Read[ResultT], what: str) -> ResultT:
+async def read_with_retries(call: ReadCall[ResultT], what: str) -> ResultT:
     """Reads from the platform, with backoff between attempts.
 
     Args:
@@ -47,7 +47,7 @@
     """
     backoff = retries.Backoff(random.Random())
     problem = ""
-    for _ in range(READ_ATTEMPTS):
+    for _ in range(MAX_READ_ATTEMPTS):
         result = await call()
         if result.is_ok():
             return result.ok
@@ -56,46 +56,46 @@
     raise exceptions.UnavailableError(f"{what}: {problem}")
 
 
-async def current(
+async def read_configuration(
     platform: client.PlatformClient,
-) -> dict[store.Key, planning.Current]:
+) -> dict[store.Key, planning.StoredObject]:
     """Returns all configuration objects of the platform."""
-    stored: dict[store.Key, planning.Current] = {}
+    stored: dict[store.Key, planning.StoredObject] = {}
     for kind in store.KINDS:
-        listing = await listed(platform, kind)
+        listing = await list_objects(platform, kind)
         for item in listing.objects:
-            stored[store.Key(item.kind, item.name)] = current_of(item)
+            stored[store.Key(item.kind, item.name)] = to_stored_object(item)
     return stored
 
 
-async def listed(
+async def list_objects(
     platform: client.PlatformClient, kind: str
 ) -> messages.Listing:
     """Lists the configuration objects of one kind."""
-    return await read(
+    return await read_with_retries(
         lambda: platform.list(kind), "the platform's configuration"
     )
 
 
-def current_of(stored: messages.StoredObject) -> planning.Current:
+def to_stored_object(stored: messages.StoredObject) -> planning.StoredObject:
     """Decodes an object; its envelope is None if it can't be read."""
     try:
         envelope = store.Envelope.model_validate(stored.value)
     except pydantic.ValidationError:
         envelope = None
-    return planning.Current(stored.version, envelope)
+    return planning.StoredObject(stored.version, envelope)
 
 
-def steps(
+def plan_submission(
     file: str,
-    stored: collections.abc.Mapping[store.Key, planning.Current],
-) -> list[planning.Step]:
+    stored: collections.abc.Mapping[store.Key, planning.StoredObject],
+) -> list[planning.PlanStep]:
     """Plans the submission of a file, using --base and --remove.
 
     Raises:
       UsageError: an object of --remove is invalid or is also in the file.
     """
-    specs = dict(planning.specs(options.load_configuration(file)))
+    specs = dict(planning.object_specs(options.load_configuration(file)))
     for text in REMOVE.value:
         key = _parse_key(text)
         if key in specs:
@@ -105,7 +105,9 @@
         specs[key] = None
     base_specs = None
     if BASE.value:
-        base_specs = planning.specs(options.load_configuration(BASE.value))
+        base_specs = planning.object_specs(
+            options.load_configuration(BASE.value)
+        )
     return planning.plan(specs, stored, base_specs)
 
 
@@ -119,7 +121,7 @@
     return store.Key(kind, name)
 
 
-def step_json(step: planning.Step) -> dict[str, Any]:
+def step_json(step: planning.PlanStep) -> dict[str, Any]:
     """Returns a step of the plan as JSON values."""
     return {
         "object": str(step.key),
@@ -137,7 +139,7 @@
     }
 
 
-def step_lines(step: planning.Step) -> list[str]:
+def step_lines(step: planning.PlanStep) -> list[str]:
     """Formats a step of the plan for text output."""
     verb = "remove" if step.spec is None else "write"
     change_note = ""
--- a/endivewind/commands/submit.py
+++ b/endivewind/commands/submit.py
@@ -27,15 +27,15 @@
 
 from endivewind import clock as clocks
 from endivewind import exceptions
+from endivewind.commands import cli
 from endivewind.commands import options
-from endivewind.commands import running
 from endivewind.commands import submissions
 from endivewind.config import planning
 from endivewind.config import store
 from endivewind.durable import audit
+from endivewind.durable import conditional_writes
 from endivewind.durable import membership
 from endivewind.durable import retries
-from endivewind.durable import writing
 from endivewind.operators import configuration as operators
 from endivewind.platform import client
 
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
+class ObjectResult:
     """Result of the submission of one object.
 
     Attributes:
@@ -76,18 +76,18 @@
       is_superseded: whether a later write has already replaced it.
     """
 
-    step: planning.Step
-    ending: writing.Ending | None = None
+    step: planning.PlanStep
+    write_outcome: conditional_writes.WriteOutcome | None = None
     version: int = 0
     detail: str = ""
-    followed: bool = False
+    is_superseded: bool = False
 
     @property
     def result(self) -> str:
         """The outcome in one word."""
-        if self.ending is None:
+        if self.write_outcome is None:
             return self.step.action.value
-        return self.ending.value
+        return self.write_outcome.value
 
 
 class Submission:
@@ -106,53 +106,59 @@
         self._clock = clock
         self._backoff = retries.Backoff(random.Random())
 
-    async def run(self, steps: list[planning.Step]) -> list[Ended]:
+    async def run(self, steps: list[planning.PlanStep]) -> list[ObjectResult]:
         """Writes the planned objects, or none if any object is refused."""
         refused = any(step.action is planning.Action.REFUSED for step in steps)
         writes = [
             step for step in steps if step.action is planning.Action.WRITE
         ]
         if refused or not writes:
-            return [Ended(step) for step in steps]
+            return [ObjectResult(step) for step in steps]
         # Write routes after the services they refer to; remove them first.
         writes.sort(key=lambda step: (step.spec is None, _write_rank(step)))
         await self._record_intents(writes)
         results = [await self._write_object(step) for step in writes]
         await self._record_outcomes(results)
         done = {item.step.key: item for item in results}
-        return [done.get(step.key, Ended(step)) for step in steps]
+        return [done.get(step.key, ObjectResult(step)) for step in steps]
 
-    async def _write_object(self, step: planning.Step) -> Ended:
+    async def _write_object(self, step: planning.PlanStep) -> ObjectResult:
         now = self._clock.now()
-        envelope = planning.envelope(step, self._operation, self._author, now)
-        written = await writing.write(
+        envelope = planning.make_envelope(
+            step, self._operation, self._author, now
+        )
+        written = await conditional_writes.write(
             self._platform,
             *step.key,
             envelope.model_dump(mode="json"),
             step.current.platform_version,
             self._backoff,
         )
-        if written.ending is writing.Ending.CONFLICT:
+        if written.outcome is conditional_writes.WriteOutcome.CONFLICT:
             return await self._resolve_conflict(step)
         version = envelope.version
-        if written.ending is not writing.Ending.WRITTEN:
+        if written.outcome is not conditional_writes.WriteOutcome.WRITTEN:
             version = 0
-        return Ended(
-            step, written.ending, version, written.detail, written.followed
+        return ObjectResult(
+            step,
+            written.outcome,
+            version,
+            written.detail,
+            written.is_superseded,
         )
 
-    async def _resolve_conflict(self, step: planning.Step) -> Ended:
+    async def _resolve_conflict(self, step: planning.PlanStep) -> ObjectResult:
         """Replans after a conflicting write; retries if nothing conflicts."""
-        stored = await submissions.current(self._platform)
+        stored = await submissions.read_configuration(self._platform)
         replanned = planning.replan(
-            step, stored.get(step.key, planning.Current())
+            step, stored.get(step.key, planning.StoredObject())
         )
         if replanned.action is planning.Action.WRITE:
             # The other write did not change the object's content: try again.
             return await self._write_object(replanned)
-        return Ended(replanned)
+        return ObjectResult(replanned)
 
-    async def _record_intents(self, writes: list[planning.Step]) -> None:
+    async def _record_intents(self, writes: list[planning.PlanStep]) -> None:
         """Records writes before they are made, so that none lacks a record."""
         records = [
             self._make_record(step, audit.Outcome.INTENDED) for step in writes
@@ -164,7 +170,7 @@
                 f"{append_error}"
             )
 
-    async def _record_outcomes(self, results: list[Ended]) -> None:
+    async def _record_outcomes(self, results: list[ObjectResult]) -> None:
         records = [
             self._make_record(item.step, _audit_outcome(item), item.version)
             for item in results
@@ -178,7 +184,7 @@
         return str(appended.error) if appended.is_error() else None
 
     def _make_record(
-        self, step: planning.Step, outcome: audit.Outcome, version: int = 0
+        self, step: planning.PlanStep, outcome: audit.Outcome, version: int = 0
     ) -> audit.Record:
         action = audit.Action.SUBMIT
         if step.spec is None:
@@ -208,13 +214,13 @@
         platform.budget.refill(5_000)
         return await _run_submission(platform, arguments[0])
 
-    return running.loop(options.with_platform(run))
+    return cli.run_async(options.run_with_platform(run))
 
 
 async def _run_submission(platform: client.PlatformClient, file: str) -> int:
     operation = _OPERATION.value or uuid.uuid4().hex
-    stored = await submissions.current(platform)
-    steps = submissions.steps(file, stored)
+    stored = await submissions.read_configuration(platform)
+    steps = submissions.plan_submission(file, stored)
     submission = Submission(
         platform, operation, getpass.getuser(), clocks.SystemClock()
     )
@@ -237,31 +243,31 @@
     lines += [line for item in results for line in _result_lines(item)]
     if wait_result is not None:
         lines += _wait_lines(wait_result)
-    options.show(value, "\n".join(lines))
+    options.print_result(value, "\n".join(lines))
     return _exit_code(results, wait_result)
 
 
-def _write_rank(step: planning.Step) -> int:
+def _write_rank(step: planning.PlanStep) -> int:
     order = (store.SERVICE, store.WORKSPACE_SHARD, store.ROUTE_GROUP)
     rank = order.index(step.key.kind)
     return -rank if step.spec is None else rank
 
 
-def _audit_outcome(item: Ended) -> audit.Outcome:
-    if item.ending is writing.Ending.WRITTEN:
+def _audit_outcome(item: ObjectResult) -> audit.Outcome:
+    if item.write_outcome is conditional_writes.WriteOutcome.WRITTEN:
         return audit.Outcome.DONE
-    if item.ending is writing.Ending.UNKNOWN:
+    if item.write_outcome is conditional_writes.WriteOutcome.UNKNOWN:
         return audit.Outcome.UNKNOWN
     return audit.Outcome.REFUSED
 
 
-def _result_version(item: Ended) -> int:
+def _result_version(item: ObjectResult) -> int:
     if item.version or item.step.action is not planning.Action.SAME:
         return item.version
     return item.step.current.version
 
 
-def _written_versions(results: list[Ended]) -> dict[str, int]:
+def _written_versions(results: list[ObjectResult]) -> dict[str, int]:
     return {
         str(item.step.key): _result_version(item)
         for item in results
@@ -269,24 +275,24 @@
     }
 
 
-def _result_json(item: Ended) -> dict[str, Any]:
+def _result_json(item: ObjectResult) -> dict[str, Any]:
     return {
         **submissions.step_json(item.step),
         "result": item.result,
         "written_version": item.version,
         "detail": item.detail,
-        "followed": item.followed,
+        "followed": item.is_superseded,
     }
 
 
-def _result_lines(item: Ended) -> list[str]:
+def _result_lines(item: ObjectResult) -> list[str]:
     lines = submissions.step_lines(item.step)
-    if item.ending is None:
+    if item.write_outcome is None:
         return lines
     text = f"    {item.result}"
     if item.version:
         text += f" at version {item.version}"
-    if item.followed:
+    if item.is_superseded:
         text += "; already replaced by another write"
     if item.detail:
         text += f" ({item.detail})"
@@ -332,7 +338,7 @@
     """Returns the names of all registered nodes, including departed ones."""
     found: set[str] = set()
     for kind in membership.Directory(platform, zones).kinds:
-        listing = await submissions.read(
+        listing = await submissions.read_with_retries(
             functools.partial(platform.list, kind), "the platform's nodes"
         )
         found |= {item.name for item in listing.objects}
@@ -392,12 +398,17 @@
     return lines
 
 
-def _exit_code(results: list[Ended], wait_result: dict[str, Any] | None) -> int:
-    if any(item.ending is writing.Ending.UNKNOWN for item in results):
+def _exit_code(
+    results: list[ObjectResult], wait_result: dict[str, Any] | None
+) -> int:
+    if any(
+        item.write_outcome is conditional_writes.WriteOutcome.UNKNOWN
+        for item in results
+    ):
         return exceptions.UnavailableError.exit_code
     refused = any(
         item.step.action is planning.Action.REFUSED
-        or item.ending is writing.Ending.UNWRITTEN
+        or item.write_outcome is conditional_writes.WriteOutcome.NOT_WRITTEN
         for item in results
     )
     lagging = wait_result is not None and not wait_result["everywhere"]
--- a/endivewind/commands/tables.py
+++ b/endivewind/commands/tables.py
@@ -3,7 +3,7 @@
 import collections.abc
 
 
-def table(
+def format_table(
     titles: collections.abc.Sequence[str],
     rows: collections.abc.Iterable[collections.abc.Sequence[object]],
 ) -> str:
--- a/endivewind/commands/validate.py
+++ b/endivewind/commands/validate.py
@@ -33,13 +33,13 @@
     if len(arguments) != 1:
         raise exceptions.UsageError(f"usage: endivewind {USAGE}")
     file = arguments[0]
-    loaded = options.load(file, _KINDS[_KIND.value])
+    loaded = options.load_file(file, _KINDS[_KIND.value])
     warnings = loaded.warnings
     if warnings and _STRICT.value:
         raise exceptions.InvalidFileError(warnings)
     value = {"valid": True, "findings": [item.as_json() for item in warnings]}
     name = options.STDIN if file == "-" else file
-    options.show(value, _format_findings(name, warnings))
+    options.print_result(value, _format_findings(name, warnings))
     return 0
 
 
--- a/endivewind/commands/watch.py
+++ b/endivewind/commands/watch.py
@@ -10,8 +10,8 @@
 from absl import flags
 
 from endivewind import exceptions
+from endivewind.commands import cli
 from endivewind.commands import options
-from endivewind.commands import running
 from endivewind.commands import submissions
 from endivewind.config import store
 from endivewind.platform import client
@@ -30,7 +30,7 @@
     """Prints changes of the configuration."""
     if arguments:
         raise exceptions.UsageError(f"usage: endivewind {USAGE}")
-    return running.loop(options.with_platform(_watch_all))
+    return cli.run_async(options.run_with_platform(_watch_all))
 
 
 async def _watch_all(platform: client.PlatformClient) -> int:
@@ -70,7 +70,7 @@
 async def _watch_kind(
     platform: client.PlatformClient, kind: str, printer: _ChangePrinter
 ) -> None:
-    revision = (await submissions.listed(platform, kind)).revision
+    revision = (await submissions.list_objects(platform, kind)).revision
     while True:
         found = await platform.watch(kind, revision)
         if found.is_ok():
@@ -79,14 +79,14 @@
             revision = found.ok.revision
             continue
         # Listing is retried with backoff while the platform is unavailable.
-        listing = await submissions.listed(platform, kind)
+        listing = await submissions.list_objects(platform, kind)
         if found.error.failure is messages.Failure.COMPACTED:
             print("# some changes may be missing here", flush=True)
             revision = listing.revision
 
 
 def _print_change(item: messages.StoredObject) -> None:
-    stored = submissions.current_of(item)
+    stored = submissions.to_stored_object(item)
     envelope = stored.envelope
     if envelope is None:
         line = f"{item.kind}/{item.name}: deleted, or not written by submit"
--- a/endivewind/config/base.py
+++ b/endivewind/config/base.py
@@ -16,12 +16,12 @@
 import pydantic
 import yaml
 
-from endivewind import names
+from endivewind import spelling
 from endivewind.config import findings
 
 _MAX_SHOWN_CHARACTERS = 60
 # Keys whose values are redacted in findings and logs.
-SECRETS = frozenset({"gossip_key"})
+SECRET_KEYS = frozenset({"gossip_key"})
 _REDACTED = "(hidden)"
 # The last part of the locations that pydantic reports for invalid mapping keys.
 _KEY_MARKER = "[key]"
@@ -56,7 +56,7 @@
     )
 
     @classmethod
-    def problems(cls, data: object) -> collections.abc.Iterator[Problem]:
+    def find_problems(cls, data: object) -> collections.abc.Iterator[Problem]:
         """Yields inconsistencies between parts of the raw data.
 
         The data may be malformed. It is checked before validation so that
@@ -141,7 +141,7 @@
     collected = document.duplicate_keys()
     if issubclass(model, Model):
         collected += [
-            document.problem_finding(item) for item in model.problems(data)
+            document.problem_finding(item) for item in model.find_problems(data)
         ]
     value = None
     try:
@@ -159,7 +159,7 @@
     return expression.Ok(Loaded(value, tuple(collected)))
 
 
-def findings_of(
+def to_findings(
     error: pydantic.ValidationError,
     source: str,
     model: type[pydantic.BaseModel],
@@ -200,7 +200,7 @@
         if item["type"] == "extra_forbidden":
             message = _unknown_key_message(location, model)
         seen = "" if item["type"] == "missing" else item["input"]
-        if set(location) & SECRETS:
+        if set(location) & SECRET_KEYS:
             seen = _REDACTED
         return self._make_finding(location, message, seen)
 
@@ -308,7 +308,7 @@
     location: Location, model: type[pydantic.BaseModel]
 ) -> str:
     known = _field_names(location[:-1], model)
-    hint = names.suggest(str(location[-1]), known)
+    hint = spelling.suggest(str(location[-1]), known)
     return f"unknown key{hint} Allowed: {', '.join(sorted(known))}"
 
 
--- a/endivewind/config/references.py
+++ b/endivewind/config/consistency_checks.py
@@ -8,7 +8,7 @@
 import dataclasses
 from typing import Any
 
-from endivewind import names
+from endivewind import spelling
 from endivewind.config import base
 from endivewind.config import findings
 
@@ -39,7 +39,7 @@
                 yield (*self.location, "split", index, "service"), name
 
 
-def problems(data: object) -> collections.abc.Iterator[base.Problem]:
+def find_problems(data: object) -> collections.abc.Iterator[base.Problem]:
     """Yields all inconsistencies between the parts of a configuration."""
     services = _as_mapping(_as_mapping(data).get("services"))
     routes = list(_routes(data))
@@ -70,7 +70,7 @@
         for location, name in route.services():
             if name in known:
                 continue
-            hint = names.suggest(name, known)
+            hint = spelling.suggest(name, known)
             allowed = ", ".join(sorted(known)) or "none is defined"
             yield base.Problem(
                 location,
--- a/endivewind/config/freshness.py
+++ b/endivewind/config/freshness.py
@@ -12,11 +12,11 @@
 import datetime
 
 # The clocks of two machines may run at slightly different rates.
-CLOCK_RATE_MARGIN = 0.02
+CLOCK_DRIFT_MARGIN = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class ProofResponse:
     """A node's response to a query for its proof.
 
     Attributes:
@@ -36,7 +36,7 @@
     moment: datetime.timedelta
 
 
-class Freshness:
+class FreshnessTracker:
     """Tracks the latest time at which this configuration was the newest.
 
     Guards against a node that is partitioned, or receives late a configuration
@@ -69,11 +69,11 @@
         """Maximum age of a proof; None if none is required."""
         return self._bound
 
-    def limit(self, bound: datetime.timedelta | None) -> None:
+    def set_bound(self, bound: datetime.timedelta | None) -> None:
         """Changes the maximum age of a proof."""
         self._bound = bound
 
-    def proved(self, version: int, moment: datetime.timedelta) -> bool:
+    def record_proof(self, version: int, moment: datetime.timedelta) -> bool:
         """Records that a version was the newest at or after a time.
 
         Args:
@@ -96,7 +96,9 @@
         self._proof = proof
         return True
 
-    def answered(self, answer: Answer, asked: datetime.timedelta) -> bool:
+    def handle_response(
+        self, response: ProofResponse, query_time: datetime.timedelta
+    ) -> bool:
         """Records another node's response to a query.
 
         Args:
@@ -106,31 +108,31 @@
         Returns:
           Whether this made the node's proof younger.
         """
-        age = max(answer.age, datetime.timedelta())
-        return self.proved(answer.version, asked - age)
+        age = max(response.age, datetime.timedelta())
+        return self.record_proof(response.version, query_time - age)
 
-    def answer(self, now: datetime.timedelta) -> Answer | None:
+    def make_response(self, now: datetime.timedelta) -> ProofResponse | None:
         """Returns the response to a query; None without a proof."""
         self._apply_pending()
         if self._proof is None:
             return None
-        return Answer(self._proof.version, now - self._proof.moment)
+        return ProofResponse(self._proof.version, now - self._proof.moment)
 
     def age(self, now: datetime.timedelta) -> datetime.timedelta | None:
         """Returns the age of the proof; None if there is none."""
         self._apply_pending()
         return None if self._proof is None else now - self._proof.moment
 
-    def is_proved(self, now: datetime.timedelta) -> bool:
+    def is_fresh(self, now: datetime.timedelta) -> bool:
         """Returns whether requests that need a key may be served now."""
         if self._bound is None:
             return True
         age = self.age(now)
-        return age is not None and age <= self._bound * (1 - CLOCK_RATE_MARGIN)
+        return age is not None and age <= self._bound * (1 - CLOCK_DRIFT_MARGIN)
 
     def _apply_pending(self) -> None:
         """Applies a proof whose version has come into force since."""
         pending = self._pending_proof
         if pending is not None and pending.version <= self._in_force():
             self._pending_proof = None
-            self.proved(pending.version, pending.moment)
+            self.record_proof(pending.version, pending.moment)
--- a/endivewind/config/objects.py
+++ b/endivewind/config/objects.py
@@ -8,7 +8,7 @@
 
 from endivewind.config import base
 from endivewind.config import caller_keys
-from endivewind.config import references
+from endivewind.config import consistency_checks
 
 OptionalName = Annotated[
     str, pydantic.Field(pattern=r"^([a-z0-9][a-z0-9.-]{0,62})?$")
@@ -25,7 +25,7 @@
     CAPACITY = "capacity"
 
 
-class Repeat(enum.StrEnum):
+class RepeatPolicy(enum.StrEnum):
     """Which requests of a route may run more than once."""
 
     SAFE_METHODS = "safe-methods"
@@ -92,7 +92,7 @@
     )
 
 
-class Share(base.Model):
+class SplitEntry(base.Model):
     """One service's share of a route's requests.
 
     Attributes:
@@ -127,12 +127,12 @@
     """
 
     service: OptionalName = ""
-    split: tuple[Share, ...] = ()
+    split: tuple[SplitEntry, ...] = ()
     host: str = pydantic.Field(default="*", min_length=1, max_length=253)
     prefix: str = pydantic.Field(default="/", pattern=r"^/", max_length=512)
     workspace: str = ""
     anonymous: pydantic.StrictBool = False
-    repeat: Repeat = Repeat.SAFE_METHODS
+    repeat: RepeatPolicy = RepeatPolicy.SAFE_METHODS
     priority: Priority = Priority.NORMAL
     rank: pydantic.StrictInt = pydantic.Field(default=0, ge=0, le=1_000)
     timeout_ms: pydantic.StrictInt = pydantic.Field(default=0, ge=0, le=600_000)
@@ -262,6 +262,8 @@
     workspace_shards: dict[Name, WorkspaceShard] = {}
 
     @classmethod
-    def problems(cls, data: object) -> collections.abc.Iterator[base.Problem]:
+    def find_problems(
+        cls, data: object
+    ) -> collections.abc.Iterator[base.Problem]:
         """Yields unknown services, duplicate routes, excessive floors, etc."""
-        return references.problems(data)
+        return consistency_checks.find_problems(data)
--- a/endivewind/config/planning.py
+++ b/endivewind/config/planning.py
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Current:
+class StoredObject:
     """An object as stored on the platform.
 
     Attributes:
@@ -74,7 +74,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Step:
+class PlanStep:
     """What a submission does with one object, and why.
 
     Attributes:
@@ -90,12 +90,12 @@
     key: store.Key
     action: Action
     spec: Spec
-    current: Current
+    current: StoredObject
     differences: tuple[Difference, ...] = ()
     theirs: tuple[Difference, ...] = ()
 
 
-def specs(configuration: objects.Configuration) -> dict[store.Key, Spec]:
+def object_specs(configuration: objects.Configuration) -> dict[store.Key, Spec]:
     """Returns the objects of a configuration, services first."""
     groups: tuple[tuple[str, collections.abc.Mapping[str, Any]], ...] = (
         (store.SERVICE, configuration.services),
@@ -111,9 +111,9 @@
 
 def plan(
     wanted: collections.abc.Mapping[store.Key, Spec],
-    current: collections.abc.Mapping[store.Key, Current],
+    current: collections.abc.Mapping[store.Key, StoredObject],
     base: collections.abc.Mapping[store.Key, Spec] | None = None,
-) -> list[Step]:
+) -> list[PlanStep]:
     """Merges a submission with those of other operators.
 
     Args:
@@ -125,7 +125,7 @@
     """
     removed = {} if base is None else dict.fromkeys(base.keys() - wanted.keys())
     return [
-        _plan_step(key, spec, current.get(key, Current()), base)
+        _plan_step(key, spec, current.get(key, StoredObject()), base)
         for key, spec in {**wanted, **removed}.items()
     ]
 
@@ -133,38 +133,38 @@
 def _plan_step(
     key: store.Key,
     spec: Spec,
-    current: Current,
+    current: StoredObject,
     base: collections.abc.Mapping[store.Key, Spec] | None,
-) -> Step:
+) -> PlanStep:
     if current.spec == spec:
-        return Step(key, Action.SAME, spec, current)
-    changes = tuple(differences(current.spec, spec))
+        return PlanStep(key, Action.SAME, spec, current)
+    changes = tuple(find_differences(current.spec, spec))
     if current.envelope is None:
-        return Step(key, Action.WRITE, spec, current, changes)
+        return PlanStep(key, Action.WRITE, spec, current, changes)
     if base is None:
         is_outdated = (
             spec is not None
             and _spec_fingerprint(spec) in current.envelope.ancestors
         )
         action = Action.KEPT if is_outdated else Action.WRITE
-        return Step(key, action, spec, current, changes)
+        return PlanStep(key, action, spec, current, changes)
     origin = base.get(key)
     if spec == origin:
-        return Step(key, Action.KEPT, spec, current, changes)
+        return PlanStep(key, Action.KEPT, spec, current, changes)
     if current.spec == origin:
-        return Step(key, Action.WRITE, spec, current, changes)
-    theirs = tuple(differences(origin, current.spec))
-    return Step(key, Action.REFUSED, spec, current, changes, theirs)
+        return PlanStep(key, Action.WRITE, spec, current, changes)
+    theirs = tuple(find_differences(origin, current.spec))
+    return PlanStep(key, Action.REFUSED, spec, current, changes, theirs)
 
 
-def replan(step: Step, current: Current) -> Step:
+def replan(step: PlanStep, current: StoredObject) -> PlanStep:
     """Plans a step anew after its object has changed since it was read."""
     base = {step.key: step.current.spec}
     return _plan_step(step.key, step.spec, current, base)
 
 
-def envelope(
-    step: Step, operation: str, author: str, now: datetime.datetime
+def make_envelope(
+    step: PlanStep, operation: str, author: str, now: datetime.datetime
 ) -> store.Envelope:
     """Creates the envelope to write for a step.
 
@@ -193,17 +193,17 @@
     )
 
 
-def differences(
+def find_differences(
     before: Any, after: Any, path: str = ""
 ) -> collections.abc.Iterator[Difference]:
     """Yields the values that differ, each with its path."""
     if isinstance(before, dict) and isinstance(after, dict):
         for key in dict.fromkeys((*before, *after)):
             inner = f"{path}.{key}" if path else str(key)
-            yield from differences(before.get(key), after.get(key), inner)
+            yield from find_differences(before.get(key), after.get(key), inner)
     elif isinstance(before, list) and isinstance(after, list):
         for number in range(max(len(before), len(after))):
-            yield from differences(
+            yield from find_differences(
                 before[number] if number < len(before) else None,
                 after[number] if number < len(after) else None,
                 f"{path}[{number}]",
--- a/endivewind/config/proving.py
+++ b/endivewind/config/proof_tree.py
@@ -19,29 +19,29 @@
 # Shares of the revocation bound. The primary reader reads once in a fifth of
 # it. With a query every eighth, a proof is at most 0.6 of the bound old three
 # hops from the reader, and stays within the bound if one query is lost.
-READ_AGE = 0.2
-ASK_PERIOD = 1 / 8
+READER_PROOF_AGE_SHARE = 0.2
+QUERY_PERIOD_SHARE = 1 / 8
 # Proof age, as a share of the bound, at which other nodes read as well: one
 # after the other, so that the loss of a reader costs only a few extra calls.
-STAND_IN_AGE = 0.5
-STAND_IN_STEP = 0.05
-LAST_AGE = 0.8
+STANDBY_PROOF_AGE_SHARE = 0.5
+STANDBY_STEP_SHARE = 0.05
+RANDOM_READ_AGE_SHARE = 0.8
 # Time, in multiples of the bound, for which a node that had to stand in for the
 # primary reader keeps reading as often as that would.
-STAND_IN_TIME = 4
+STANDBY_DURATION_BOUNDS = 4
 # A proof that is still older than this after a query does not come from a
 # reader that works.
-STALE_AGE = 0.45
+STALE_PROOF_AGE_SHARE = 0.45
 # Nodes that query the same parent, each a few times per second.
-ASKERS = 16
+MAX_CHILDREN = 16
 # Oldest nodes, queried in addition if a node's parent has no fresh proof.
-STAND_INS = 3
+FALLBACK_READERS = 3
 # Query period of a node without any proof, since its callers are waiting.
-FIRST_PERIOD = datetime.timedelta(milliseconds=50)
+INITIAL_QUERY_PERIOD = datetime.timedelta(milliseconds=50)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Rank(Generic[MemberT]):
+class TreePosition(Generic[MemberT]):
     """A node's position in the distribution tree.
 
     Attributes:
@@ -51,14 +51,14 @@
       fallbacks: nodes that it queries if its parent has no fresh proof.
     """
 
-    number: int
+    start_rank: int
     parent: MemberT | None
-    others: tuple[MemberT, ...]
+    fallbacks: tuple[MemberT, ...]
 
 
-def rank(
+def tree_position(
     me: MemberT, members: collections.abc.Iterable[MemberT]
-) -> Rank[MemberT]:
+) -> TreePosition[MemberT]:
     """Returns a node's position in the distribution tree.
 
     The primary reader passes proofs to the oldest node of each region, these
@@ -67,14 +67,14 @@
     the order of starts, they change only when a node stops.
     """
     others = [item for item in members if item.name != me.name]
-    ordered = sorted([*others, me], key=watchers.start)
+    ordered = sorted([*others, me], key=watchers.start_order)
     parent = _parent(me, ordered)
     known = [item for item in ordered if item is not me and item is not parent]
     near = [item for item in known if item.zone == me.zone]
-    return Rank(
+    return TreePosition(
         ordered.index(me),
         parent,
-        (*known[:STAND_INS], *near[:1]),
+        (*known[:FALLBACK_READERS], *near[:1]),
     )
 
 
@@ -82,20 +82,20 @@
     zone = [item for item in ordered if item.zone == me.zone]
     number = zone.index(me)
     if number:
-        return zone[(number - 1) // ASKERS]
+        return zone[(number - 1) // MAX_CHILDREN]
     region = [item for item in ordered if item.region == me.region]
     if region[0] is not me:
         return region[0]
     return None if ordered[0] is me else ordered[0]
 
 
-def reads(
-    number: int,
+def should_read(
+    start_rank: int,
     age: datetime.timedelta,
     bound: datetime.timedelta,
     rng: random.Random,
     *,
-    stands_in: bool = False,
+    is_standby: bool = False,
 ) -> bool:
     """Returns whether a node should read the platform now.
 
@@ -111,9 +111,11 @@
       rng: selects at random among the nodes beyond the ordered standbys.
       is_standby: whether it had to stand in for the primary reader recently.
     """
-    if number == 0 or stands_in:
-        return age >= READ_AGE * bound
-    limit = STAND_IN_AGE + STAND_IN_STEP * (number - 1)
-    if limit < LAST_AGE:
+    if start_rank == 0 or is_standby:
+        return age >= READER_PROOF_AGE_SHARE * bound
+    limit = STANDBY_PROOF_AGE_SHARE + STANDBY_STEP_SHARE * (start_rank - 1)
+    if limit < RANDOM_READ_AGE_SHARE:
         return age >= limit * bound
-    return age >= LAST_AGE * bound and rng.random() < 1 / number
+    return (
+        age >= RANDOM_READ_AGE_SHARE * bound and rng.random() < 1 / start_rank
+    )
--- a/endivewind/config/joining.py
+++ b/endivewind/config/readiness.py
@@ -2,14 +2,14 @@
 
 import collections.abc
 
-from endivewind.config import spreading
+from endivewind.config import replication
 
 # A single peer may itself have missed a change. Three peers that hold the same
 # versions as this node have rarely all missed it.
-JOIN_PEERS = 3
+MIN_AGREEING_PEERS = 3
 
 
-class Joining:
+class Readiness:
     """Decides when a starting node is ready; does no I/O.
 
     Load: a node is replaced while the platform is unavailable. Harm: it would
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        replicator: spreading.Spreader,
+        replicator: replication.Replicator,
         kinds: collections.abc.Iterable[str],
     ) -> None:
         """Creates the check for a node without configuration.
@@ -33,18 +33,18 @@
         self._replicator = replicator
         self._unlisted = set(kinds)
 
-    def listed(self, kind: str) -> None:
+    def mark_listed(self, kind: str) -> None:
         """Records that the complete listing of a kind has been applied."""
         self._unlisted.discard(kind)
 
-    def missing(self, known_peers: int) -> str | None:
+    def not_ready_reason(self, known_peers: int) -> str | None:
         """Returns why the node is not ready yet; None if it is ready."""
-        if self._replicator.ready:
+        if self._replicator.is_ready:
             return None
-        agreed = len(self._replicator.agreed)
-        required = min(JOIN_PEERS, max(1, known_peers))
+        agreed = len(self._replicator.agreeing_peers)
+        required = min(MIN_AGREEING_PEERS, max(1, known_peers))
         if not self._unlisted or agreed >= required:
-            self._replicator.ready = True
+            self._replicator.is_ready = True
             return None
         return (
             "no configuration yet: the platform has not answered, and "
--- a/endivewind/config/spreading.py
+++ b/endivewind/config/replication.py
@@ -25,19 +25,19 @@
 EXTRA_SENDS = 4
 # Maximum size of an object sent within a rumour. Larger objects are requested
 # by the receiver, so that a node receives each about once.
-PUSH_BYTES = 512
-TICK = datetime.timedelta(milliseconds=250)
+MAX_PUSH_BYTES = 512
+TICK_INTERVAL = datetime.timedelta(milliseconds=250)
 # If nothing differs, a comparison costs two messages with one number each.
 DIGEST_PERIOD = datetime.timedelta(seconds=2)
 # A joining node compares digests more often and with several peers at once,
 # because it isn't ready before several peers agree.
-JOINING_PERIOD = datetime.timedelta(milliseconds=100)
-JOINING_PEERS = 3
+JOINING_DIGEST_PERIOD = datetime.timedelta(milliseconds=100)
+JOINING_DIGEST_PEERS = 3
 # If one message in ten is lost, one request in five gets no response. The last
 # peer that advertised the object is then asked again, because rumours have
 # ended by then and anti-entropy takes several periods.
 WANT_TIMEOUT = datetime.timedelta(milliseconds=400)
-MAX_ASKS = 8
+MAX_WANT_ATTEMPTS = 8
 # Limits of one message. A single object, up to a megabyte, is always sent.
 MAX_ENTRIES = 256
 MAX_OBJECT_BYTES = 65_536
@@ -49,7 +49,7 @@
 _DIGEST_ENTRY_BYTES = 10
 # Probability of choosing a peer of the own region. Traffic between regions is
 # slow and billed, but some is needed to replicate between them.
-NEAR_SHARE = 0.75
+SAME_REGION_SHARE = 0.75
 
 
 class Peer(Protocol):
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Have:
+class Advertisement:
     """An object and the state in which the sender has it."""
 
     key: store.Key
@@ -73,7 +73,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Packed:
+class PackedObject:
     """An object in the compressed form in which it is replicated."""
 
     key: store.Key
@@ -101,14 +101,14 @@
     ready: bool = False
     digest: tuple[int, ...] = ()
     same: bool = False
-    have: tuple[Have, ...] = ()
+    have: tuple[Advertisement, ...] = ()
     buckets: tuple[int, ...] = ()
     want: tuple[store.Key, ...] = ()
-    objects: tuple[Packed, ...] = ()
+    objects: tuple[PackedObject, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Outgoing:
+class OutgoingMessage:
     """A message and its receiver."""
 
     to: str
@@ -116,7 +116,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Received:
+class MessageResult:
     """Result of handling a message.
 
     Attributes:
@@ -125,7 +125,7 @@
       rejections: objects that were rejected.
     """
 
-    outgoing: list[Outgoing] = dataclasses.field(default_factory=list)
+    outgoing: list[OutgoingMessage] = dataclasses.field(default_factory=list)
     in_force: list[store.Key] = dataclasses.field(default_factory=list)
     rejections: list[store.Rejection] = dataclasses.field(default_factory=list)
 
@@ -161,7 +161,7 @@
         return self.remaining > 0
 
 
-class Spreader:
+class Replicator:
     """Replicates one node's configuration store to and from its peers."""
 
     def __init__(
@@ -186,7 +186,7 @@
         self._ready = False
 
     @property
-    def agreed(self) -> collections.abc.Set[str]:
+    def agreeing_peers(self) -> collections.abc.Set[str]:
         """Ready peers that have reported the same digest as this node's.
 
         Peers that aren't ready don't count, since two empty nodes agree, too.
@@ -194,27 +194,27 @@
         return self._agreeing_peers
 
     @property
-    def agreed_at(self) -> datetime.timedelta:
+    def last_agreement_at(self) -> datetime.timedelta:
         """When a ready peer last reported the same digest; zero if none did."""
         return self._last_agreement_at
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this node's configuration is known to be complete."""
         return self._ready
 
-    @ready.setter
-    def ready(self, value: bool) -> None:
+    @is_ready.setter
+    def is_ready(self, value: bool) -> None:
         self._ready = value
 
-    def taken(self, key: store.Key) -> None:
+    def add_rumour(self, key: store.Key) -> None:
         """Queues the new version of an object to be sent as a rumour."""
         count = len(self._peers()) + 1
         self._rumour_sends_left[key] = (
             math.ceil(math.log(count + 1)) + EXTRA_SENDS
         )
 
-    def tick(self, now: datetime.timedelta) -> list[Outgoing]:
+    def tick(self, now: datetime.timedelta) -> list[OutgoingMessage]:
         """Returns messages that are due: rumours, digests and retries."""
         outgoing = self._due_rumours(now)
         if now >= self._next_digest:
@@ -222,9 +222,11 @@
         outgoing.extend(self._retry_requests(now))
         return outgoing
 
-    def received(self, message: Message, now: datetime.timedelta) -> Received:
+    def handle_message(
+        self, message: Message, now: datetime.timedelta
+    ) -> MessageResult:
         """Handles a message from a peer."""
-        result = Received()
+        result = MessageResult()
         self._apply_objects(message, result)
         if message.same and message.ready:
             self._agreeing_peers.add(message.sender)
@@ -236,13 +238,15 @@
         )
         for response in responses:
             if response is not None:
-                self._budget.remaining -= size(response)
-                result.outgoing.append(Outgoing(message.sender, response))
+                self._budget.remaining -= message_size(response)
+                result.outgoing.append(
+                    OutgoingMessage(message.sender, response)
+                )
         if message.objects:
             result.outgoing.extend(self._due_rumours(now))
         return result
 
-    def _apply_objects(self, message: Message, result: Received) -> None:
+    def _apply_objects(self, message: Message, result: MessageResult) -> None:
         for item in message.objects:
             before = self._store.stamp(item.key)
             applied = self._store.apply_packed(
@@ -255,9 +259,9 @@
                 case expression.Result(tag="error", error=rejection):
                     result.rejections.append(rejection)
             if self._store.stamp(item.key) != before:
-                self.taken(item.key)
+                self.add_rumour(item.key)
 
-    def _due_rumours(self, now: datetime.timedelta) -> list[Outgoing]:
+    def _due_rumours(self, now: datetime.timedelta) -> list[OutgoingMessage]:
         if not self._rumour_sends_left or not self._budget.refill(now):
             return []
         outgoing = []
@@ -269,13 +273,13 @@
                 key=lambda key: -self._rumour_sends_left[key],
             )
             message = self._make_rumour(keys[:MAX_ENTRIES])
-            outgoing.append(Outgoing(peer.name, message))
-            self._budget.remaining -= size(message)
+            outgoing.append(OutgoingMessage(peer.name, message))
+            self._budget.remaining -= message_size(message)
             for key in keys[:MAX_ENTRIES]:
                 self._count_rumour_send(key)
         return outgoing
 
-    def _retry_requests(self, now: datetime.timedelta) -> list[Outgoing]:
+    def _retry_requests(self, now: datetime.timedelta) -> list[OutgoingMessage]:
         overdue = [
             key
             for key, pending in self._pending_requests.items()
@@ -285,7 +289,7 @@
         for key in overdue:
             pending = self._pending_requests[key]
             if (
-                pending.attempts >= MAX_ASKS
+                pending.attempts >= MAX_WANT_ATTEMPTS
                 or self._store.stamp(key) >= pending.stamp
             ):
                 del self._pending_requests[key]
@@ -294,24 +298,26 @@
             pending.attempts += 1
             keys_by_holder.setdefault(pending.holder, []).append(key)
         return [
-            Outgoing(holder, self._make_message(want=tuple(keys[:MAX_ENTRIES])))
+            OutgoingMessage(
+                holder, self._make_message(want=tuple(keys[:MAX_ENTRIES]))
+            )
             for holder, keys in keys_by_holder.items()
         ]
 
     def _make_rumour(self, keys: list[store.Key]) -> Message:
-        have: list[Have] = []
-        objects: list[Packed] = []
+        have: list[Advertisement] = []
+        objects: list[PackedObject] = []
         pushed = 0
         for key in keys:
             packed = self._store.packed(key) or b""
             stamp = self._store.stamp(key)
             # For a large submission, sending every object to every peer would
             # cost several times as much as letting peers request them.
-            if len(packed) <= PUSH_BYTES and pushed < 8 * PUSH_BYTES:
+            if len(packed) <= MAX_PUSH_BYTES and pushed < 8 * MAX_PUSH_BYTES:
                 pushed += len(packed)
-                objects.append(Packed(key, stamp.version, packed))
+                objects.append(PackedObject(key, stamp.version, packed))
             else:
-                have.append(Have(key, stamp))
+                have.append(Advertisement(key, stamp))
         return self._make_message(have=tuple(have), objects=tuple(objects))
 
     def _count_rumour_send(self, key: store.Key) -> None:
@@ -321,42 +327,44 @@
         else:
             self._rumour_sends_left.pop(key, None)
 
-    def _due_digests(self, now: datetime.timedelta) -> list[Outgoing]:
-        period = DIGEST_PERIOD if self._ready else JOINING_PERIOD
+    def _due_digests(self, now: datetime.timedelta) -> list[OutgoingMessage]:
+        period = DIGEST_PERIOD if self._ready else JOINING_DIGEST_PERIOD
         # Jitter keeps nodes that started together from staying in step.
         self._next_digest = now + period * self._rng.uniform(0.5, 1.5)
         if not self._budget.refill(now):
             return []
-        message = self._make_message(digest=(self._store.summary,))
-        chosen = self._choose_peers(1 if self._ready else JOINING_PEERS)
-        self._budget.remaining -= size(message) * len(chosen)
-        return [Outgoing(peer.name, message) for peer in chosen]
+        message = self._make_message(digest=(self._store.combined_hash,))
+        chosen = self._choose_peers(1 if self._ready else JOINING_DIGEST_PEERS)
+        self._budget.remaining -= message_size(message) * len(chosen)
+        return [OutgoingMessage(peer.name, message) for peer in chosen]
 
     def _respond_to_digest(self, message: Message) -> Message | None:
         if len(message.digest) == 1:
-            if message.digest[0] == self._store.summary:
+            if message.digest[0] == self._store.combined_hash:
                 return self._make_message(same=True)
             # The sender compares the buckets and requests what it lacks.
-            return self._make_message(digest=self._store.buckets)
-        if len(message.digest) != store.BUCKETS:
+            return self._make_message(digest=self._store.bucket_hashes)
+        if len(message.digest) != store.BUCKET_COUNT:
             return None
-        own = self._store.buckets
+        own = self._store.bucket_hashes
         differing = [
             number
-            for number in range(store.BUCKETS)
+            for number in range(store.BUCKET_COUNT)
             if own[number] != message.digest[number]
         ]
         if not differing:
             return self._make_message(same=True)
         self._rng.shuffle(differing)
         listed: list[int] = []
-        have: list[Have] = []
+        have: list[Advertisement] = []
         for number in differing:
-            keys = self._store.in_bucket(number)
+            keys = self._store.keys_in_bucket(number)
             if listed and len(have) + len(keys) > MAX_ENTRIES:
                 break
             listed.append(number)
-            have.extend(Have(key, self._store.stamp(key)) for key in keys)
+            have.extend(
+                Advertisement(key, self._store.stamp(key)) for key in keys
+            )
         return self._make_message(have=tuple(have), buckets=tuple(listed))
 
     def _respond_to_have(
@@ -376,14 +384,14 @@
                 want.append(item.key)
         listed = {item.key for item in message.have}
         for number in message.buckets:
-            keys = self._store.in_bucket(number)
+            keys = self._store.keys_in_bucket(number)
             newer_here.extend(key for key in keys if key not in listed)
         if not want and not newer_here:
             return None
         objects = self._fitting_objects(newer_here)
         return self._make_message(want=tuple(want), objects=objects)
 
-    def _is_requested(self, item: Have, holder: str) -> bool:
+    def _is_requested(self, item: Advertisement, holder: str) -> bool:
         pending = self._pending_requests.get(item.key)
         if pending is None or pending.stamp < item.stamp:
             return False
@@ -400,16 +408,20 @@
             return None
         return self._make_message(objects=self._fitting_objects(keys))
 
-    def _fitting_objects(self, keys: list[store.Key]) -> tuple[Packed, ...]:
+    def _fitting_objects(
+        self, keys: list[store.Key]
+    ) -> tuple[PackedObject, ...]:
         """Returns as many as fit; the next comparison brings the rest."""
-        chosen: list[Packed] = []
+        chosen: list[PackedObject] = []
         total = 0
         for key in keys[:MAX_ENTRIES]:
             value = self._store.packed(key) or b""
             total += len(value)
             if chosen and total > MAX_OBJECT_BYTES:
                 break
-            chosen.append(Packed(key, self._store.stamp(key).version, value))
+            chosen.append(
+                PackedObject(key, self._store.stamp(key).version, value)
+            )
         return tuple(chosen)
 
     def _choose_peers(self, count: int) -> list[Peer]:
@@ -417,7 +429,9 @@
         same_region = [peer for peer in known if peer.region == self._region]
         chosen: dict[str, Peer] = {}
         for _ in range(min(count, len(known))):
-            group = same_region if self._rng.random() < NEAR_SHARE else known
+            group = (
+                same_region if self._rng.random() < SAME_REGION_SHARE else known
+            )
             peer = self._rng.choice(group or known)
             chosen[peer.name] = peer
         return list(chosen.values())
@@ -426,17 +440,17 @@
         self,
         digest: tuple[int, ...] = (),
         same: bool = False,
-        have: tuple[Have, ...] = (),
+        have: tuple[Advertisement, ...] = (),
         buckets: tuple[int, ...] = (),
         want: tuple[store.Key, ...] = (),
-        objects: tuple[Packed, ...] = (),
+        objects: tuple[PackedObject, ...] = (),
     ) -> Message:
         return Message(
             self._name, self._ready, digest, same, have, buckets, want, objects
         )
 
 
-def size(message: Message) -> int:
+def message_size(message: Message) -> int:
     """Estimates the size of a message on the wire in bytes."""
     entries = len(message.have) + len(message.want) + len(message.objects)
     return (
--- a/endivewind/config/settings.py
+++ b/endivewind/config/settings.py
@@ -16,7 +16,7 @@
 ]
 
 
-MIN_GOSSIP_KEY = 16
+MIN_GOSSIP_KEY_CHARACTERS = 16
 
 
 class Tls(base.Model):
@@ -42,7 +42,7 @@
     PLATFORM = "platform"
 
 
-class Once(enum.StrEnum):
+class DeduplicationKey(enum.StrEnum):
     """What identifies a request that must not run more than once.
 
     TICKET: an idempotency key that this system issues; the caller may resend
@@ -54,14 +54,14 @@
     REQUEST_ID = "request-id"
 
 
-class Trail(enum.StrEnum):
+class AuditDestination(enum.StrEnum):
     """Where a node records its ejections, drains and membership changes."""
 
     PLATFORM = "platform"
     LOG = "log"
 
 
-class Beside(base.Model):
+class LocalTarget(base.Model):
     """The only target on the node's VM, if each target has its own node.
 
     Attributes:
@@ -122,7 +122,7 @@
 # Share of the fleet's retry budget that nodes spend. The rest covers retries
 # spent twice while counts propagate, retries sent just before they are charged,
 # and windows that slide in steps.
-OWN_RETRIES = 0.75
+NODE_RETRY_SHARE = 0.75
 
 
 class FleetLimits(base.Model):
@@ -141,12 +141,12 @@
     retry_window_seconds: pydantic.StrictFloat = pydantic.Field(gt=0, le=600)
     floor_share: pydantic.StrictFloat = pydantic.Field(ge=0, le=1)
 
-    def applied_to(self, service: objects.Service) -> objects.Service:
+    def apply_to(self, service: objects.Service) -> objects.Service:
         """Returns a service's settings with these limits applied."""
         return service.model_copy(
             update={
-                "retry_percent": int(100 * OWN_RETRIES * self.retry_share),
-                "retry_reserve": int(OWN_RETRIES * self.retry_reserve),
+                "retry_percent": int(100 * NODE_RETRY_SHARE * self.retry_share),
+                "retry_reserve": int(NODE_RETRY_SHARE * self.retry_reserve),
                 "retry_window_ms": int(1000 * self.retry_window_seconds),
                 "floor_percent": math.ceil(100 * self.floor_share),
             }
@@ -154,7 +154,7 @@
 
 
 # Settings that a running node reloads; all others take effect at start only.
-RELOADED = frozenset(
+RELOADABLE_KEYS = frozenset(
     {
         "platform",
         "beside",
@@ -267,9 +267,9 @@
     operators: Address = "127.0.0.1:0"
     readiness: Address | None = None
     interface: Interface = Interface.OWN
-    once: Once = Once.TICKET
-    beside: Beside | None = None
-    audit: Trail = Trail.PLATFORM
+    once: DeduplicationKey = DeduplicationKey.TICKET
+    beside: LocalTarget | None = None
+    audit: AuditDestination = AuditDestination.PLATFORM
     service_defaults: objects.Service = objects.Service()
     fleet_limits: FleetLimits | None = None
     quota_tolerance: QuotaTolerance = QuotaTolerance()
@@ -284,11 +284,11 @@
     )
 
     @property
-    def defaults(self) -> objects.Service:
+    def effective_defaults(self) -> objects.Service:
         """Service settings that the platform's configuration leaves open."""
         if self.fleet_limits is None:
             return self.service_defaults
-        return self.fleet_limits.applied_to(self.service_defaults)
+        return self.fleet_limits.apply_to(self.service_defaults)
 
     @pydantic.model_validator(mode="after")
     def _validate_revocation(self) -> "NodeSettings":
@@ -315,8 +315,8 @@
         # declare nodes dead and forge targets.
         if self.nodes_tls is not None and not self.gossip_key:
             raise ValueError("nodes_tls needs a gossip_key as well")
-        if self.gossip_key and len(self.gossip_key) < MIN_GOSSIP_KEY:
+        if self.gossip_key and len(self.gossip_key) < MIN_GOSSIP_KEY_CHARACTERS:
             raise ValueError(
-                f"gossip_key needs {MIN_GOSSIP_KEY} characters or more"
+                f"gossip_key needs {MIN_GOSSIP_KEY_CHARACTERS} characters or more"
             )
         return self
--- a/endivewind/config/following.py
+++ b/endivewind/config/settings_reloader.py
@@ -14,15 +14,15 @@
 
 # The file may change without a signal to the process. Reading it takes a few
 # microseconds.
-LOOK_PERIOD = datetime.timedelta(seconds=1)
+POLL_INTERVAL = datetime.timedelta(seconds=1)
 
-Take = collections.abc.Callable[[settings.NodeSettings], None]
+ReloadCallback = collections.abc.Callable[[settings.NodeSettings], None]
 
 
-class SettingsFollower:
+class SettingsReloader:
     """Passes changed settings to a callback; ignores an invalid file."""
 
-    def __init__(self, path: str, on_reload: Take) -> None:
+    def __init__(self, path: str, on_reload: ReloadCallback) -> None:
         """Reads the file's present content as the one in effect.
 
         Args:
@@ -34,7 +34,7 @@
         self._last_content = self._read()
         self._check_requested = asyncio.Event()
 
-    def look_now(self) -> None:
+    def check_now(self) -> None:
         """Makes `run` check the file without waiting for the next poll."""
         self._check_requested.set()
 
@@ -42,14 +42,14 @@
         """Polls the file until cancelled."""
         while True:
             try:
-                async with asyncio.timeout(LOOK_PERIOD.total_seconds()):
+                async with asyncio.timeout(POLL_INTERVAL.total_seconds()):
                     await self._check_requested.wait()
             except TimeoutError:
                 pass
             self._check_requested.clear()
-            self.look()
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Reloads the file if its content has changed."""
         raw = self._read()
         if raw is None or raw == self._last_content:
--- a/endivewind/config/store.py
+++ b/endivewind/config/store.py
@@ -34,7 +34,7 @@
 MAX_VERSION = 2**62
 # Groups of objects that are compared by one hash each. With 650 objects, a
 # difference in one object leads to a list of about ten.
-BUCKETS = 64
+BUCKET_COUNT = 64
 
 _MODELS: dict[str, type[pydantic.BaseModel]] = {
     SERVICE: objects.Service,
@@ -95,7 +95,7 @@
     fingerprint: int
 
 
-ABSENT = Stamp(0, 0)
+ABSENT_STAMP = Stamp(0, 0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -112,7 +112,7 @@
     key: Key
     version: int
     problems: tuple[str, ...]
-    kept: bool = False
+    is_retained: bool = False
 
     def __str__(self) -> str:
         return f"{self.key}@{self.version}: {'; '.join(self.problems)}"
@@ -141,7 +141,7 @@
 
     def __init__(self) -> None:
         self._objects: dict[Key, _ObjectState] = {}
-        self._buckets = [0] * BUCKETS
+        self._buckets = [0] * BUCKET_COUNT
         self._version = 0
         self._workspaces: dict[objects.Workspace, objects.Workspace] = {}
 
@@ -151,12 +151,12 @@
         return self._version
 
     @property
-    def buckets(self) -> tuple[int, ...]:
+    def bucket_hashes(self) -> tuple[int, ...]:
         """One hash for each bucket; equal if all its objects are equal."""
         return tuple(self._buckets)
 
     @property
-    def summary(self) -> int:
+    def combined_hash(self) -> int:
         """One hash of all objects; equal if all objects are equal."""
         combined = 0
         for bucket in self._buckets:
@@ -219,7 +219,7 @@
     def stamp(self, key: Key) -> Stamp:
         """Returns the highest state known of an object, or ABSENT_STAMP."""
         held = self._objects.get(key)
-        return held.stamp if held else ABSENT
+        return held.stamp if held else ABSENT_STAMP
 
     def packed(self, key: Key) -> bytes | None:
         """Returns the highest value known, compressed."""
@@ -231,12 +231,12 @@
         held = self._objects.get(key)
         return unpack(held.packed) if held else None
 
-    def in_force(self, key: Key) -> int:
+    def version_in_force(self, key: Key) -> int:
         """Returns the version in force of an object; 0 if there is none."""
         held = self._objects.get(key)
         return held.in_force if held else 0
 
-    def in_bucket(self, bucket: int) -> list[Key]:
+    def keys_in_bucket(self, bucket: int) -> list[Key]:
         """Returns the keys of the objects in a bucket."""
         return [key for key in self._objects if bucket_of(key) == bucket]
 
@@ -310,7 +310,7 @@
             # Stored although invalid here: a newer release may know its fields,
             # and nodes of that release may receive it only through this one.
             return expression.Error(
-                Rejection(key, stamp.version, problems, kept=True)
+                Rejection(key, stamp.version, problems, is_retained=True)
             )
         return expression.Ok(True)
 
@@ -357,7 +357,7 @@
 
 def bucket_of(key: Key) -> int:
     """Returns the bucket of an object, which is the same on every node."""
-    return zlib.crc32(f"{key.kind}/{key.name}".encode()) % BUCKETS
+    return zlib.crc32(f"{key.kind}/{key.name}".encode()) % BUCKET_COUNT
 
 
 def stamp_of(version: int, value: dict[str, Any]) -> Stamp:
@@ -365,7 +365,7 @@
     try:
         envelope = Envelope.model_validate(value)
     except pydantic.ValidationError:
-        return ABSENT
+        return ABSENT_STAMP
     return Stamp(
         envelope.version or version, _fingerprint(_canonical_json(value))
     )
--- a/endivewind/config/watchers.py
+++ b/endivewind/config/watchers.py
@@ -46,24 +46,30 @@
     other members is a watcher.
     """
     zone = region = 0
-    own_start = start(me)
+    own_start = start_order(me)
     for member in members:
-        if member.region != me.region or start(member) >= own_start:
+        if member.region != me.region or start_order(member) >= own_start:
             continue
         region += 1
         zone += member.zone == me.zone
     return zone < WATCHERS_PER_ZONE or region < WATCHERS_PER_REGION
 
 
-def is_oldest(me: Member, members: collections.abc.Iterable[Member]) -> bool:
+def is_oldest_in_zone(
+    me: Member, members: collections.abc.Iterable[Member]
+) -> bool:
     """Returns whether a node is the longest-running one of its zone."""
-    own_start = start(me)
+    own_start = start_order(me)
     return all(
-        start(item) >= own_start for item in members if item.zone == me.zone
+        start_order(item) >= own_start
+        for item in members
+        if item.zone == me.zone
     )
 
 
-def sharers(me: Member, members: collections.abc.Collection[Member]) -> int:
+def budget_sharer_count(
+    me: Member, members: collections.abc.Collection[Member]
+) -> int:
     """Returns the number of nodes that share a call budget with this one.
 
     Watchers share one budget of platform calls and all other nodes another.
@@ -79,6 +85,6 @@
     )
 
 
-def start(member: Member) -> tuple[int, str]:
+def start_order(member: Member) -> tuple[int, str]:
     """Returns a sort key by start; names break ties."""
     return member.incarnation, member.name
--- a/endivewind/reading.py
+++ b/endivewind/configuration_reader.py
@@ -29,7 +29,7 @@
 log = logging.getLogger(__name__)
 
 
-def kinds_of(interface: settings.Interface) -> tuple[str, ...]:
+def configuration_kinds(interface: settings.Interface) -> tuple[str, ...]:
     """Returns the kinds of objects that hold the configuration."""
     if interface is settings.Interface.PLATFORM:
         return (names.CONFIGURATION_KIND,)
@@ -45,7 +45,7 @@
         platform: client.PlatformClient,
         peer: configuration.ConfigurationPeer,
         has_complete_view: collections.abc.Callable[[], bool],
-        freshness_tracker: freshness.Freshness,
+        freshness_tracker: freshness.FreshnessTracker,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
@@ -71,9 +71,12 @@
         self._newest: _Newest | None = None
         self._rng = rng
 
-    def watchers(self) -> list[watcher.Watcher]:
+    def make_watchers(self) -> list[watcher.Watcher]:
         """Makes a watcher for each kind of object."""
-        return [self._make_watcher(kind) for kind in kinds_of(self._interface)]
+        return [
+            self._make_watcher(kind)
+            for kind in configuration_kinds(self._interface)
+        ]
 
     @property
     def _interface(self) -> settings.Interface:
@@ -81,8 +84,11 @@
 
     def _make_watcher(self, kind: str) -> watcher.Watcher:
         on_object: collections.abc.Callable[[messages.StoredObject], object]
-        on_object, on_listed = self._peer.seen, self._peer.listed
-        list_objects: watcher.List | None = None
+        on_object, on_listed = (
+            self._peer.apply_platform_object,
+            self._peer.mark_listed,
+        )
+        list_objects: watcher.ListObjects | None = None
         if kind == names.CONFIGURATION_KIND:
             on_object, on_listed = self._apply, _ignore_listing
             list_objects = self._list
@@ -110,7 +116,7 @@
             )
         return await self._read_fresh()
 
-    async def prove(self, timeout: datetime.timedelta) -> bool:
+    async def read_proof(self, timeout: datetime.timedelta) -> bool:
         """Reads from the platform whether the newest version is in force.
 
         Args:
@@ -131,17 +137,17 @@
     async def _is_unchanged(self) -> bool:
         if self._newest is None:
             return False
-        started_at = self._clock.boot_time()
-        result = await self._platform.revision(names.CONFIGURATION_KIND)
+        started_at = self._clock.time_since_boot()
+        result = await self._platform.get_revision(names.CONFIGURATION_KIND)
         if result.is_error() or result.ok != self._newest.revision:
             return False
-        self._freshness_tracker.proved(self._newest.version, started_at)
+        self._freshness_tracker.record_proof(self._newest.version, started_at)
         return True
 
     async def _read_fresh(
         self,
     ) -> expression.Result[messages.Listing, messages.PlatformError]:
-        started_at = self._clock.boot_time()
+        started_at = self._clock.time_since_boot()
         result = await self._platform.list(names.CONFIGURATION_KIND)
         if result.is_error():
             log.warning("platform: %s", result.error)
@@ -150,16 +156,16 @@
             version = self._apply(stored)
             if version is not None:
                 self._newest = _Newest(result.ok.revision, version)
-                self._freshness_tracker.proved(version, started_at)
+                self._freshness_tracker.record_proof(version, started_at)
         return result
 
-    def _read_mode(self) -> watcher.Role:
+    def _read_mode(self) -> watcher.ReadMode:
         """Returns what this node has to read now."""
         if self._has_complete_view() and self._peer.is_watcher:
-            return watcher.Role.ALWAYS
-        if self._peer.lacks_peers:
-            return watcher.Role.ONCE
-        return watcher.Role.NOTHING
+            return watcher.ReadMode.WATCH
+        if self._peer.needs_platform:
+            return watcher.ReadMode.LIST
+        return watcher.ReadMode.NONE
 
     def _apply(self, stored: messages.StoredObject) -> int | None:
         """Applies the configuration that the platform's operators wrote.
@@ -169,16 +175,16 @@
         """
         if stored.name != names.CONFIGURATION_NAME or not stored.value:
             return None
-        defaults = self._config().defaults
+        defaults = self._config().effective_defaults
         decoded = operator_configuration.decode(stored, defaults)
         if decoded.is_error():
             fields = logs.fields(revision=stored.version, problem=decoded.error)
             log.error("invalid configuration", extra=fields)
             return None
-        self._peer.seen(decoded.ok)
+        self._peer.apply_platform_object(decoded.ok)
         # Operators may write the first configuration after the nodes have
         # started, so a listing without it is not complete.
-        self._peer.listed(stored.kind)
+        self._peer.mark_listed(stored.kind)
         return store.stamp_of(decoded.ok.version, decoded.ok.value).version
 
 
--- a/endivewind/decisions/admission.py
+++ b/endivewind/decisions/admission.py
@@ -17,7 +17,7 @@
 _MAX_COMPLETION_GAP = datetime.timedelta(seconds=1)
 
 
-class Reason(enum.Enum):
+class RejectionReason(enum.Enum):
     """Why a request is rejected before it is sent to any target."""
 
     QUEUE_FULL = "the queue of the service is full"
@@ -28,7 +28,7 @@
 class Rejection:
     """A rejection, and the time after which a retry may succeed."""
 
-    reason: Reason
+    reason: RejectionReason
     retry_after: datetime.timedelta
 
 
@@ -49,7 +49,7 @@
     deadline: datetime.timedelta
 
 
-class ServiceQueue:
+class AdmissionQueue:
     """A bounded queue, by priority, then fair between workspaces.
 
     Scenario: more requests than slots, most of them from a few workspaces.
@@ -92,13 +92,13 @@
         """
         wait = self.expected_wait(waiter.priority)
         if now + wait >= waiter.deadline:
-            return Rejection(Reason.DEADLINE_TOO_SOON, wait)
+            return Rejection(RejectionReason.DEADLINE_TOO_SOON, wait)
         if len(self._waiting) < self._limit:
             self._push(waiter)
             return None
         replaced = self._newest_below(waiter.priority)
         if replaced is None:
-            return Rejection(Reason.QUEUE_FULL, wait)
+            return Rejection(RejectionReason.QUEUE_FULL, wait)
         self.remove(replaced)
         self._push(waiter)
         return replaced
--- a/endivewind/decisions/baseline.py
+++ b/endivewind/decisions/baseline.py
@@ -30,11 +30,11 @@
 # Weights of a request in the moving averages of a target's signal shares: the
 # first follows a change within a few requests, the second is precise enough to
 # serve as a baseline.
-FAST_WEIGHT = 1 / 8
-RECENT_WEIGHT = 1 / 64
+SHORT_TERM_WEIGHT = 1 / 8
+LONG_TERM_WEIGHT = 1 / 64
 # The expected share is multiplied by this, because a share that is measured
 # over few requests has an error.
-EXPECTED_SHARE_MARGIN = 1.25
+EXPECTED_SHARE_FACTOR = 1.25
 # Above one half, so that noise does not decide, and low enough that the loss of
 # one availability zone out of three does not change the typical peer.
 TYPICAL_PEER_QUANTILE = 0.6
@@ -50,8 +50,8 @@
 # expected to show it. An unusual signal fails a request in trial.
 MAX_UNUSUAL_SHARE = 0.1
 
-_SIGNAL_COUNT = len(sequential_test.FaultSignal)
-_TEST_COUNT = len(sequential_test.ALTERNATIVES)
+_SIGNAL_COUNT = len(sequential_test.OutlierSignal)
+_TEST_COUNT = len(sequential_test.FAULT_HYPOTHESES)
 _UNKNOWN_LATENCY = datetime.timedelta.max
 
 
@@ -73,7 +73,7 @@
     updated_at: datetime.timedelta
     signal_shares: tuple[float, ...]
     evidence: tuple[float, ...]
-    median_latency: datetime.timedelta
+    home_median_latency: datetime.timedelta
 
 
 class Baseline:
@@ -87,7 +87,7 @@
         self._typical_evidence = [0.0] * _TEST_COUNT
         self._steps = [
             sequential_test.evidence_step(item, 0.0)
-            for item in sequential_test.ALTERNATIVES
+            for item in sequential_test.FAULT_HYPOTHESES
         ]
         self._refreshed_at = -REFRESH_INTERVAL
         self._slow_latency = _UNKNOWN_LATENCY
@@ -104,7 +104,7 @@
         return self._stalled_latency
 
     @property
-    def steps(self) -> list[sequential_test.EvidenceStep]:
+    def evidence_steps(self) -> list[sequential_test.EvidenceStep]:
         """Evidence that one request adds to each test."""
         return self._steps
 
@@ -118,17 +118,17 @@
     ) -> None:
         """Adds one request of a target that is not ejected."""
         self._history.add(request_latency)
-        self._update_mean_share(sequential_test.FaultSignal.FAILED, signals)
+        self._update_mean_share(sequential_test.OutlierSignal.FAILED, signals)
         if self._slow_latency == _UNKNOWN_LATENCY:
             # No request can be called slow before the latency limits are known.
             # Errors are counted above even then: a node that has just started
             # must not miss them.
             return
-        self._update_mean_share(sequential_test.FaultSignal.SLOW, signals)
-        self._update_mean_share(sequential_test.FaultSignal.STALLED, signals)
+        self._update_mean_share(sequential_test.OutlierSignal.SLOW, signals)
+        self._update_mean_share(sequential_test.OutlierSignal.STALLED, signals)
 
     def _update_mean_share(
-        self, signal: sequential_test.FaultSignal, signals: list[bool]
+        self, signal: sequential_test.OutlierSignal, signals: list[bool]
     ) -> None:
         self._request_counts[signal] += 1
         weight = max(HISTORY_WEIGHT, 1 / self._request_counts[signal])
@@ -189,16 +189,18 @@
         self._expected_shares = expected
         self._steps = [
             sequential_test.evidence_step(
-                item, EXPECTED_SHARE_MARGIN * expected[item.signal]
+                item, EXPECTED_SHARE_FACTOR * expected[item.signal]
             )
-            for item in sequential_test.ALTERNATIVES
+            for item in sequential_test.FAULT_HYPOTHESES
         ]
 
     def _update_latency_limits(self, fresh_peers: list[TargetSummary]) -> None:
         medians = [
-            peer.median_latency for peer in fresh_peers if peer.median_latency
+            peer.home_median_latency
+            for peer in fresh_peers
+            if peer.home_median_latency
         ]
-        if self._history.request_count >= MIN_HISTORY_REQUESTS:
+        if self._history.weighted_count >= MIN_HISTORY_REQUESTS:
             medians.append(self._history.median())
         if not medians:
             return
--- a/endivewind/decisions/cross_region.py
+++ b/endivewind/decisions/cross_region.py
@@ -9,7 +9,7 @@
 # Time in which an empty bucket fills up; sets its capacity. A full bucket lasts
 # for the requests of a zone while its targets restart, and costs little
 # compared with a day's traffic.
-BURST_DURATION = datetime.timedelta(seconds=30)
+BUCKET_FILL_TIME = datetime.timedelta(seconds=30)
 
 
 @dataclasses.dataclass(slots=True)
@@ -41,7 +41,7 @@
         self._bucket(region, now).tokens -= size
 
     def _bucket(self, region: str, now: datetime.timedelta) -> _Bucket:
-        capacity = self._rate * BURST_DURATION.total_seconds()
+        capacity = self._rate * BUCKET_FILL_TIME.total_seconds()
         bucket = self._buckets.get(region)
         if bucket is None:
             bucket = self._buckets[region] = _Bucket(capacity, now)
--- a/endivewind/decisions/ejection.py
+++ b/endivewind/decisions/ejection.py
@@ -71,7 +71,7 @@
         """Replaces the settings; they apply to a current ejection, too."""
         self._settings = settings
 
-    def ejection_time(self) -> datetime.timedelta:
+    def ejection_duration(self) -> datetime.timedelta:
         """Returns how long the current ejection lasts until its trial."""
         ejection_time = self._settings.base_ejection_time * 2 ** min(
             self._recent_ejections - 1, 16
@@ -98,7 +98,7 @@
         Returns:
           Whether the status changed.
         """
-        has_expired = now - self._status_since >= self.ejection_time()
+        has_expired = now - self._status_since >= self.ejection_duration()
         if self._status is not Status.EJECTED or not has_expired:
             return False
         self._set_status(Status.TRIAL, now)
--- a/endivewind/decisions/ejection_settings.py
+++ b/endivewind/decisions/ejection_settings.py
@@ -41,7 +41,7 @@
 # Four consecutive failures eject a target, and one that was ejected by mistake
 # is back within seconds. Three would not be enough: when a workspace begins to
 # send requests that fail at every target, three in a row at one are common.
-DETECTION = EjectionSettings(
+FAST_DETECTION_PRESET = EjectionSettings(
     false_alarm_probability=1e-6,
     base_ejection_time=datetime.timedelta(seconds=3),
     max_ejection_time=datetime.timedelta(minutes=5),
@@ -53,7 +53,7 @@
 # already be short. At ten requests per second a target has nearly a million
 # chances of a false alarm per day; with this bound each test has less than one
 # false alarm in ten thousand days.
-CAPACITY = EjectionSettings(
+KEEP_CAPACITY_PRESET = EjectionSettings(
     false_alarm_probability=1e-10,
     base_ejection_time=datetime.timedelta(seconds=3),
     max_ejection_time=datetime.timedelta(minutes=2),
--- a/endivewind/decisions/latency_histogram.py
+++ b/endivewind/decisions/latency_histogram.py
@@ -35,7 +35,7 @@
         self._max_count = max_count
 
     @property
-    def request_count(self) -> float:
+    def weighted_count(self) -> float:
         """Sum of all counts; halved with them when it reaches the limit."""
         return self._weighted_count
 
--- a/endivewind/decisions/load_balancing.py
+++ b/endivewind/decisions/load_balancing.py
@@ -23,7 +23,7 @@
 SUBSET_SIZE = 24
 # One in this many idempotent requests goes to a target in trial, if there is
 # one.
-REQUESTS_PER_TRIAL = 20
+REQUESTS_PER_TRIAL_REQUEST = 20
 _CROSS_REGION_TIER = 2
 # A target counts as slower if its latency is at least this many times the
 # other's.
@@ -56,7 +56,7 @@
 # the mean time that a target stays unhealthy.
 PROBE_INTERVAL_SECONDS = 0.15
 PROBE_BACKOFF_THRESHOLD = 0.4
-PROBE_BACKOFF_SECONDS = 1.5
+PROBE_BACKOFF_SECONDS_PER_SUSPICION = 1.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
 
     tiers: tuple[tuple[capacity_floor.Candidate, ...], ...]
     trials: tuple[capacity_floor.Candidate, ...]
-    slots: int
+    admitted_slots: int
 
     @classmethod
     def from_candidates(
@@ -122,11 +122,11 @@
             sum(item.slots for item in admitted),
         )
 
-    def targets(self) -> set[str]:
+    def target_ids(self) -> set[str]:
         """Returns the ids of all targets in the tiers, of any status."""
         return {item.id for tier in self.tiers for item in tier}
 
-    def normal_targets(self) -> set[str]:
+    def normal_target_ids(self) -> set[str]:
         """Returns the ids of the targets in the tiers with status NORMAL."""
         return {
             item.id
@@ -137,7 +137,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Demand:
+class RequestConstraints:
     """What limits the choice of a target for one request.
 
     Attributes:
@@ -156,12 +156,12 @@
     excluded: collections.abc.Set[str] = frozenset()
     max_wait: float = 0.0
     may_probe: bool = False
-    is_last: bool = False
+    is_last_attempt: bool = False
 
     @property
     def can_retry(self) -> bool:
         """Whether it can be retried at another target if it fails."""
-        return self.is_idempotent and not self.is_last
+        return self.is_idempotent and not self.is_last_attempt
 
     @property
     def max_suspicion(self) -> float:
@@ -173,7 +173,7 @@
         )
 
     @property
-    def cross_region_suspicion(self) -> float:
+    def cross_region_threshold(self) -> float:
         """Suspicion above which a target ranks after other regions' targets."""
         return (
             self.max_suspicion
@@ -182,7 +182,7 @@
         )
 
 
-class Load(Protocol):
+class TargetInfo(Protocol):
     """What this node knows of its targets, such as load and health."""
 
     def in_use(self, item: capacity_floor.Candidate) -> float:
@@ -210,7 +210,7 @@
     def is_reachable(self, home: str) -> bool:
         """Whether the circuit breaker lets this node send to a home."""
 
-    def slots(self, item: capacity_floor.Candidate) -> int:
+    def usable_slots(self, item: capacity_floor.Candidate) -> int:
         """Returns how many slots this node may use now (slow start)."""
 
     def has_traffic_budget(self, region: str) -> bool:
@@ -260,7 +260,10 @@
 
 
 def choose(
-    pool: Pool, constraints: Demand, info: Load, rng: random.Random
+    pool: Pool,
+    constraints: RequestConstraints,
+    info: TargetInfo,
+    rng: random.Random,
 ) -> capacity_floor.Candidate | None:
     """Chooses the better of two random targets of the best rank.
 
@@ -282,7 +285,7 @@
     if (
         constraints.is_idempotent
         and pool.trials
-        and not rng.randrange(REQUESTS_PER_TRIAL)
+        and not rng.randrange(REQUESTS_PER_TRIAL_REQUEST)
     ):
         tried = _choose_trial(pool.trials, constraints, info, rng)
         if tried:
@@ -302,8 +305,8 @@
 
 def _best_rank(
     tiers: tuple[tuple[capacity_floor.Candidate, ...], ...],
-    constraints: Demand,
-    info: Load,
+    constraints: RequestConstraints,
+    info: TargetInfo,
     rng: random.Random,
 ) -> tuple[_Rank, list[capacity_floor.Candidate]] | None:
     """Finds the lowest rank of any target, and targets that have it.
@@ -328,12 +331,15 @@
 
 
 def _target_rank(
-    item: capacity_floor.Candidate, tier: int, constraints: Demand, info: Load
+    item: capacity_floor.Candidate,
+    tier: int,
+    constraints: RequestConstraints,
+    info: TargetInfo,
 ) -> _Rank | None:
     """Ranks a target for a request; None if it can't take the request."""
     if item.id in constraints.excluded or info.is_cooling_down(item.id):
         return None
-    free = info.in_use(item) < info.slots(item)
+    free = info.in_use(item) < info.usable_slots(item)
     can_start = free or 0 < info.wait(item) <= constraints.max_wait
     affordable = tier != _CROSS_REGION_TIER or info.has_traffic_budget(
         item.region
@@ -345,7 +351,7 @@
         # refusing the request.
         return _Rank.UNREACHABLE if free else None
     risk = info.suspicion(item.id)
-    if risk > constraints.cross_region_suspicion:
+    if risk > constraints.cross_region_threshold:
         return _UNHEALTHY[tier]
     if risk > constraints.max_suspicion:
         return _SUSPECT[tier]
@@ -354,8 +360,8 @@
 
 def _choose_probe(
     tier: tuple[capacity_floor.Candidate, ...],
-    constraints: Demand,
-    info: Load,
+    constraints: RequestConstraints,
+    info: TargetInfo,
     rng: random.Random,
 ) -> capacity_floor.Candidate | None:
     """Finds a suspect target of the zone to probe with this request.
@@ -370,7 +376,10 @@
     for item in _shuffled(tier, rng):
         risk = info.suspicion(item.id)
         excess = max(0.0, risk - PROBE_BACKOFF_THRESHOLD)
-        interval = PROBE_INTERVAL_SECONDS + PROBE_BACKOFF_SECONDS * excess
+        interval = (
+            PROBE_INTERVAL_SECONDS
+            + PROBE_BACKOFF_SECONDS_PER_SUSPICION * excess
+        )
         if risk < suspicion.SUSPECT_THRESHOLD or info.own_in_use(item.id):
             continue
         if info.seconds_since_report(item.id) < interval:
@@ -387,8 +396,8 @@
 
 def _choose_trial(
     trials: tuple[capacity_floor.Candidate, ...],
-    constraints: Demand,
-    info: Load,
+    constraints: RequestConstraints,
+    info: TargetInfo,
     rng: random.Random,
 ) -> capacity_floor.Candidate | None:
     """Picks a random target in trial, if it is idle as far as is known."""
@@ -421,7 +430,9 @@
 
 
 def _least_cost(
-    items: list[capacity_floor.Candidate], constraints: Demand, info: Load
+    items: list[capacity_floor.Candidate],
+    constraints: RequestConstraints,
+    info: TargetInfo,
 ) -> capacity_floor.Candidate:
     """Returns the target with the lower cost: load plus suspicion.
 
@@ -450,7 +461,9 @@
     return items[costs.index(min(costs))]
 
 
-def _excess_suspicion(item: capacity_floor.Candidate, info: Load) -> float:
+def _excess_suspicion(
+    item: capacity_floor.Candidate, info: TargetInfo
+) -> float:
     """Returns the suspicion above that of a target without any reports.
 
     Scenario: few requests, and most targets idle; some of them have recent
--- a/endivewind/decisions/outlier_detection.py
+++ b/endivewind/decisions/outlier_detection.py
@@ -36,8 +36,8 @@
 _MAX_OTHERS_FAILURE_SHARE = 0.05
 _MAX_TRACKED_WORKSPACES = 16
 
-_TEST_COUNT = len(sequential_test.ALTERNATIVES)
-_SIGNAL_COUNT = len(sequential_test.FaultSignal)
+_TEST_COUNT = len(sequential_test.FAULT_HYPOTHESES)
+_SIGNAL_COUNT = len(sequential_test.OutlierSignal)
 _STALLED_TEST_INDEX = _TEST_COUNT - 1
 
 
@@ -198,18 +198,20 @@
     def update_shares(self, signal: int, is_shown: bool) -> None:
         fast = self.short_term_shares
         recent = self.long_term_shares
-        fast[signal] += baseline.FAST_WEIGHT * (is_shown - fast[signal])
-        recent[signal] += baseline.RECENT_WEIGHT * (is_shown - recent[signal])
+        fast[signal] += baseline.SHORT_TERM_WEIGHT * (is_shown - fast[signal])
+        recent[signal] += baseline.LONG_TERM_WEIGHT * (
+            is_shown - recent[signal]
+        )
 
     def dismiss_evidence(
-        self, signal: sequential_test.FaultSignal, now: datetime.timedelta
+        self, signal: sequential_test.OutlierSignal, now: datetime.timedelta
     ) -> None:
         """Discards evidence of a signal that has another cause.
 
         Requests that are still overdue are counted again: if they stay overdue
         after the peers have recovered, this target is the one that hangs.
         """
-        for index, hypothesis in enumerate(sequential_test.ALTERNATIVES):
+        for index, hypothesis in enumerate(sequential_test.FAULT_HYPOTHESES):
             if hypothesis.signal is signal:
                 self.evidence[index] = 0.0
         self.dismissed_at = now
@@ -284,7 +286,7 @@
             if state.ejection.status is ejection.Status.NORMAL
         ]
 
-    def update_peer(self, summary: baseline.TargetSummary) -> None:
+    def record_peer_summary(self, summary: baseline.TargetSummary) -> None:
         """Stores another home node's summary of one of its targets."""
         if summary.target not in self._targets:
             self._peer_summaries[summary.target] = summary
@@ -344,7 +346,7 @@
         ]
         if (
             result is Result.UNFINISHED
-            and not signals[sequential_test.FaultSignal.SLOW]
+            and not signals[sequential_test.OutlierSignal.SLOW]
         ):
             return None
         self._decay_evidence(state, now)
@@ -392,7 +394,9 @@
             min(value, self._threshold) for value in state.evidence
         ]
 
-    def advance(self, now: datetime.timedelta) -> list[StatusChange]:
+    def run_periodic_checks(
+        self, now: datetime.timedelta
+    ) -> list[StatusChange]:
         """Checks for overdue requests and for ejections that have ended.
 
         A target that hangs finishes no requests, so without this check no
@@ -455,18 +459,18 @@
         for index, is_shown in enumerate(signals):
             state.update_shares(index, is_shown)
         state.workspace_failures.add(
-            workspace, signals[sequential_test.FaultSignal.FAILED]
+            workspace, signals[sequential_test.OutlierSignal.FAILED]
         )
         evidence = state.evidence
-        for index, hypothesis in enumerate(sequential_test.ALTERNATIVES):
+        for index, hypothesis in enumerate(sequential_test.FAULT_HYPOTHESES):
             signal = hypothesis.signal
-            step = self._baseline.steps[index]
+            step = self._baseline.evidence_steps[index]
             if not signals[signal]:
                 evidence[index] = max(
                     0.0, evidence[index] + step.without_signal
                 )
             elif (
-                signal == sequential_test.FaultSignal.FAILED
+                signal == sequential_test.OutlierSignal.FAILED
                 or overdue_steps < signal
             ):
                 # While a request is pending, its first overdue step adds SLOW
@@ -522,27 +526,29 @@
         return self._baseline.stalled_latency * 2 ** (step - 1)
 
     def _add_overdue_step(self, state: _TargetState, step: int) -> None:
-        if step >= sequential_test.FaultSignal.STALLED:
+        if step >= sequential_test.OutlierSignal.STALLED:
             if (
-                self._baseline.steps[_STALLED_TEST_INDEX]
+                self._baseline.evidence_steps[_STALLED_TEST_INDEX]
                 is not sequential_test.NO_STEP
             ):
                 state.evidence[_STALLED_TEST_INDEX] += (
                     _REPEATED_OVERDUE_STEP.with_signal
                 )
             return
-        signal = sequential_test.FaultSignal(step + 1)
+        signal = sequential_test.OutlierSignal(step + 1)
         state.update_shares(signal, True)
-        for index, hypothesis in enumerate(sequential_test.ALTERNATIVES):
+        for index, hypothesis in enumerate(sequential_test.FAULT_HYPOTHESES):
             if hypothesis.signal is signal:
-                state.evidence[index] += self._baseline.steps[index].with_signal
+                state.evidence[index] += self._baseline.evidence_steps[
+                    index
+                ].with_signal
 
     def _evaluate(
         self, target: str, state: _TargetState, now: datetime.timedelta
     ) -> StatusChange | None:
         if state.ejection.status is not ejection.Status.NORMAL:
             return None
-        for index, hypothesis in enumerate(sequential_test.ALTERNATIVES):
+        for index, hypothesis in enumerate(sequential_test.FAULT_HYPOTHESES):
             if state.evidence[index] < self._threshold:
                 continue
             if self._has_external_cause(state, index, now):
@@ -565,8 +571,8 @@
         self._refresh_baseline(now)
         if self._baseline.is_shared_fault:
             return True
-        hypothesis = sequential_test.ALTERNATIVES[index]
-        if hypothesis.signal is not sequential_test.FaultSignal.FAILED:
+        hypothesis = sequential_test.FAULT_HYPOTHESES[index]
+        if hypothesis.signal is not sequential_test.OutlierSignal.FAILED:
             return False
         return state.workspace_failures.is_single_workspace_fault()
 
--- a/endivewind/decisions/peer_updates.py
+++ b/endivewind/decisions/peer_updates.py
@@ -12,7 +12,7 @@
 import datetime
 
 from endivewind import exchange
-from endivewind.decisions import retries
+from endivewind.decisions import retry_budget
 from endivewind.decisions import suspicion
 
 # Minimum time between two updates of a home node. At most four updates per
@@ -51,7 +51,7 @@
     """
 
     target: str
-    status: exchange.TargetStatus
+    report: exchange.TargetReport
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -64,11 +64,11 @@
     """
 
     service: str
-    counts: retries.RequestCounts
+    counts: retry_budget.RequestCounts
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
-class IngressRoute:
+class EntryRoute:
     """A service and route prefix by which callers' requests enter the fleet."""
 
     service: str
@@ -89,11 +89,11 @@
 
     target_updates: tuple[TargetUpdate, ...] = ()
     retry_usages: tuple[RetryUsage, ...] = ()
-    ingress_routes: tuple[IngressRoute, ...] = ()
+    entry_routes: tuple[EntryRoute, ...] = ()
 
     def __bool__(self) -> bool:
         return bool(
-            self.target_updates or self.retry_usages or self.ingress_routes
+            self.target_updates or self.retry_usages or self.entry_routes
         )
 
 
@@ -137,7 +137,7 @@
         self._sent: dict[str, _SentUpdate] = {}
         self._last_sent: datetime.timedelta | None = None
 
-    def due_updates(
+    def take_due_updates(
         self,
         snapshots: collections.abc.Iterable[TargetSnapshot],
         now: datetime.timedelta,
@@ -163,7 +163,7 @@
         for item in due:
             update = item.update
             self._sent[update.target] = _SentUpdate(
-                item.signal_count, update.status.suspicion, now
+                item.signal_count, update.report.suspicion, now
             )
         if due:
             self._last_sent = now
@@ -173,7 +173,7 @@
     def _is_due(
         self, snapshot: TargetSnapshot, now: datetime.timedelta
     ) -> bool:
-        current = snapshot.update.status.suspicion
+        current = snapshot.update.report.suspicion
         sent = self._sent.get(snapshot.update.target)
         if sent is None:
             return current >= suspicion.SUSPECT_THRESHOLD
--- a/endivewind/decisions/quotas.py
+++ b/endivewind/decisions/quotas.py
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Limit:
+class BucketLimits:
     """Rate and capacity of a token bucket: a zone's share of a quota.
 
     Attributes:
@@ -85,7 +85,7 @@
     @classmethod
     def for_zone(
         cls, rate: float, burst: float, zones: int, tolerance: Tolerance
-    ) -> "Limit":
+    ) -> "BucketLimits":
         """Returns the limits of each zone's bucket for a workspace's quota.
 
         Scenario: many workspaces (such as 84) over a hundred nodes, most of
@@ -108,16 +108,16 @@
         tolerated_rate = rate + RATE_TOLERANCE_SHARE * spare / window
         return cls(tolerated_rate / zones, max(1.0, capacity / zones))
 
-    def for_standby(self) -> "Limit":
+    def for_standby(self) -> "BucketLimits":
         """Returns the limits of a node that stands in for the owner."""
-        return Limit(self.rate * STANDBY_SHARE, self.capacity)
+        return BucketLimits(self.rate * STANDBY_SHARE, self.capacity)
 
 
 class TokenBucket:
     """A token bucket that lends tokens to other zones and borrows theirs."""
 
     def __init__(
-        self, limits: Limit, held: float, now: datetime.timedelta
+        self, limits: BucketLimits, held: float, now: datetime.timedelta
     ) -> None:
         self._limits = limits
         self._tokens = min(held, limits.capacity)
@@ -129,7 +129,7 @@
         """When tokens were last requested from it."""
         return self._last_used
 
-    def configure(self, limits: Limit, now: datetime.timedelta) -> None:
+    def configure(self, limits: BucketLimits, now: datetime.timedelta) -> None:
         """Changes the limits from now on."""
         if limits == self._limits:
             return
--- a/endivewind/decisions/retries.py
+++ b/endivewind/decisions/retry_budget.py
@@ -20,7 +20,7 @@
 # A node whose limit is this many retries or more does not need its neighbours'
 # retries: at this size random variation is about a fifth. Nodes with a lower
 # limit exchange their counts.
-SMALL_SHARE_RETRIES = 25.0
+MIN_INDEPENDENT_RETRIES = 25.0
 # Share of its own limit that a node keeps for itself. The rest is shared.
 KEPT_SHARE = 0.2
 # Time until the other nodes know what a node has used: the interval between
@@ -125,10 +125,10 @@
         self._current_bucket(now)
         return RequestCounts(self._requests, self._retries)
 
-    def is_small_share(self, now: datetime.timedelta) -> bool:
+    def needs_sharing(self, now: datetime.timedelta) -> bool:
         """Whether this node's limit is so low that it needs shared retries."""
         self._current_bucket(now)
-        return 0 < self._own_limit() < SMALL_SHARE_RETRIES
+        return 0 < self._own_limit() < MIN_INDEPENDENT_RETRIES
 
     def take(
         self, now: datetime.timedelta, *, may_borrow: bool = False
@@ -163,7 +163,7 @@
         return used / self._total_limit()
 
     @property
-    def has_any(self) -> bool:
+    def allows_retries(self) -> bool:
         """Whether the limit is at least one retry, even if all are spent."""
         return self._total_limit() >= 1
 
--- a/endivewind/decisions/sequential_test.py
+++ b/endivewind/decisions/sequential_test.py
@@ -19,7 +19,7 @@
 MAX_EXPECTED_SHARE = 0.5
 
 
-class FaultSignal(enum.IntEnum):
+class OutlierSignal(enum.IntEnum):
     """What a single request can show that indicates an outlier.
 
     Input of the sequential tests; `suspicion.SuspicionSignal` is that of the
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Alternative:
+class FaultHypothesis:
     """A kind of fault: the alternative hypothesis of one sequential test.
 
     Attributes:
@@ -45,7 +45,7 @@
     """
 
     name: str
-    signal: FaultSignal
+    signal: OutlierSignal
     unhealthy_share: float
     min_expected_share: float
 
@@ -53,12 +53,12 @@
 # One test is run for each. Errors are tested at three shares, because a test
 # for a share of 0.1 needs a hundred requests to detect what a test for a share
 # of 0.8 detects in three.
-ALTERNATIVES = (
-    Alternative("some requests fail", FaultSignal.FAILED, 0.1, 0.01),
-    Alternative("many requests fail", FaultSignal.FAILED, 0.3, 0.01),
-    Alternative("most requests fail", FaultSignal.FAILED, 0.8, 0.01),
-    Alternative("slow", FaultSignal.SLOW, 0.5, 0.05),
-    Alternative("stalled", FaultSignal.STALLED, 0.8, 0.001),
+FAULT_HYPOTHESES = (
+    FaultHypothesis("some requests fail", OutlierSignal.FAILED, 0.1, 0.01),
+    FaultHypothesis("many requests fail", OutlierSignal.FAILED, 0.3, 0.01),
+    FaultHypothesis("most requests fail", OutlierSignal.FAILED, 0.8, 0.01),
+    FaultHypothesis("slow", OutlierSignal.SLOW, 0.5, 0.05),
+    FaultHypothesis("stalled", OutlierSignal.STALLED, 0.8, 0.001),
 )
 
 
@@ -79,7 +79,7 @@
 
 
 def evidence_step(
-    hypothesis: Alternative, expected_share: float
+    hypothesis: FaultHypothesis, expected_share: float
 ) -> EvidenceStep:
     """Returns the log-likelihood ratios of one request's two outcomes.
 
--- a/endivewind/decisions/suspicion.py
+++ b/endivewind/decisions/suspicion.py
@@ -23,7 +23,7 @@
 MIN_SUSPICION = 0.001
 
 
-class HealthSignal(enum.Enum):
+class SuspicionSignal(enum.Enum):
     """The result of a request, as evidence for or against a suspicion.
 
     The value holds the signal's probabilities at an unhealthy and at a healthy
@@ -106,7 +106,7 @@
         completed = decay(self._probability, now - self._updated_at)
         return _posterior(completed, pending_ratio)
 
-    def observe(self, signal: HealthSignal, now: datetime.timedelta) -> None:
+    def observe(self, signal: SuspicionSignal, now: datetime.timedelta) -> None:
         """Updates the suspicion by the result of a request."""
         unhealthy, healthy = signal.value
         self.apply_likelihood_ratio(unhealthy / healthy, now)
--- a/endivewind/durable/audit.py
+++ b/endivewind/durable/audit.py
@@ -20,11 +20,11 @@
 from endivewind.platform import client
 from endivewind.platform import messages
 
-AUDIT = "audit"
-SHARDS = 32
+AUDIT_KIND = "audit"
+SHARD_COUNT = 32
 # 500 records of about 400 bytes are a fifth of the platform's largest value.
 RECORDS_PER_SHARD = 500
-ATTEMPTS = 8
+MAX_ATTEMPTS = 8
 
 Sleep = collections.abc.Callable[[float], collections.abc.Awaitable[None]]
 
@@ -97,7 +97,7 @@
     """
     name = shard_name(actor)
     last_error = messages.PlatformError(messages.Failure.UNAVAILABLE)
-    for _ in range(ATTEMPTS):
+    for _ in range(MAX_ATTEMPTS):
         result = await _append_once(platform, name, records)
         if result.is_ok():
             return expression.Ok(None)
@@ -111,7 +111,7 @@
     name: str,
     records: collections.abc.Sequence[Record],
 ) -> expression.Result[messages.StoredObject | None, messages.PlatformError]:
-    shard = await platform.get(AUDIT, name)
+    shard = await platform.get(AUDIT_KIND, name)
     stored_records: list[Any] = []
     version = 0
     if shard.is_ok():
@@ -125,7 +125,7 @@
     if not missing:
         return expression.Ok(None)
     value = {"records": [*stored_records, *missing][-RECORDS_PER_SHARD:]}
-    result = await platform.put(AUDIT, name, value, version)
+    result = await platform.put(AUDIT_KIND, name, value, version)
     return result.map(lambda stored: stored)
 
 
@@ -133,19 +133,19 @@
     platform: client.PlatformClient,
 ) -> expression.Result[list[Record], messages.PlatformError]:
     """Reads the whole trail, oldest first, one record for each change."""
-    listing = await platform.list(AUDIT)
+    listing = await platform.list(AUDIT_KIND)
     if listing.is_error():
         return expression.Error(listing.error)
     latest: dict[tuple[str, str], Record] = {}
     records = [
-        item for shard in listing.ok.objects for item in records_of(shard)
+        item for shard in listing.ok.objects for item in decode_records(shard)
     ]
     for item in sorted(records, key=lambda record: record.time):
         latest[item.operation, item.subject] = item
     return expression.Ok(sorted(latest.values(), key=lambda item: item.time))
 
 
-def records_of(stored: messages.StoredObject) -> tuple[Record, ...]:
+def decode_records(stored: messages.StoredObject) -> tuple[Record, ...]:
     """Decodes the records of one shard and skips invalid ones."""
     records = []
     for item in stored.value.get("records", ()):
@@ -159,4 +159,4 @@
 
 def shard_name(actor: str) -> str:
     """Returns the name of the shard that holds an actor's records."""
-    return f"shard-{zlib.crc32(actor.encode()) % SHARDS:02d}"
+    return f"shard-{zlib.crc32(actor.encode()) % SHARD_COUNT:02d}"
--- a/endivewind/durable/auditor.py
+++ b/endivewind/durable/audit_recorder.py
@@ -23,14 +23,14 @@
 log = logging.getLogger(__name__)
 
 # The mean delay of a write, so that records close in time share one.
-BATCH_WAIT = datetime.timedelta(seconds=1)
+BATCH_DELAY = datetime.timedelta(seconds=1)
 # During long outages of the platform the oldest records are dropped first.
-MAX_WAITING = 500
+MAX_PENDING_RECORDS = 500
 
-Causes = collections.abc.Mapping[str, str]
+CauseByTarget = collections.abc.Mapping[str, str]
 
 
-class Auditor:
+class AuditRecorder:
     """Queues records until they are written; does not delay the actions."""
 
     def __init__(
@@ -63,23 +63,23 @@
         self._numbers = itertools.count(1)
         self._last_targets: dict[str, records.TargetRecord] = {}
         self._pending: collections.deque[audit.Record] = collections.deque(
-            maxlen=MAX_WAITING
+            maxlen=MAX_PENDING_RECORDS
         )
         self._has_pending = asyncio.Event()
 
     @property
-    def waiting(self) -> tuple[audit.Record, ...]:
+    def pending(self) -> tuple[audit.Record, ...]:
         """The records that have not been written yet."""
         return tuple(self._pending)
 
-    def membership(self, action: audit.Action) -> None:
+    def record_membership(self, action: audit.Action) -> None:
         """Records that this node joins or leaves the fleet."""
         self._add(action, f"node/{self._node}", "")
 
-    def targets(
+    def record_targets(
         self,
         home_targets: collections.abc.Iterable[records.TargetRecord],
-        causes: Causes,
+        causes: CauseByTarget,
     ) -> None:
         """Records the changes among this node's own targets.
 
@@ -97,7 +97,7 @@
         """Writes records until cancelled; failed writes are retried."""
         while True:
             await self._has_pending.wait()
-            max_delay = 2 * BATCH_WAIT.total_seconds()
+            max_delay = 2 * BATCH_DELAY.total_seconds()
             await asyncio.sleep(self._rng.uniform(0, max_delay))
             await self.flush()
             if not self._pending:
@@ -138,11 +138,11 @@
     before: records.TargetRecord | None, after: records.TargetRecord
 ) -> collections.abc.Iterator[audit.Action]:
     """Yields the actions that lead from one record of a target to the next."""
-    health = before.health if before else records.Health.NORMAL
+    health = before.health if before else records.EjectionStatus.NORMAL
     if after.health is not health:
-        if after.health is records.Health.EJECTED:
+        if after.health is records.EjectionStatus.EJECTED:
             yield audit.Action.EJECT
-        if after.health is records.Health.NORMAL:
+        if after.health is records.EjectionStatus.NORMAL:
             yield audit.Action.RETURN
     state = before.state if before else None
     draining = after.state is records.State.DRAINING
--- a/endivewind/durable/writing.py
+++ b/endivewind/durable/conditional_writes.py
@@ -14,7 +14,7 @@
 from endivewind.platform import client
 from endivewind.platform import messages
 
-ATTEMPTS = 6
+MAX_ATTEMPTS = 6
 
 Sleep = collections.abc.Callable[[float], collections.abc.Awaitable[None]]
 
@@ -22,7 +22,7 @@
 _UNCERTAIN_FAILURES = (messages.Failure.UNAVAILABLE, messages.Failure.INVALID)
 
 
-class Ending(enum.StrEnum):
+class WriteOutcome(enum.StrEnum):
     """The outcome of a write.
 
     WRITTEN: it took effect. CONFLICT: another write came first, and this one
@@ -32,12 +32,12 @@
 
     WRITTEN = "written"
     CONFLICT = "conflict"
-    UNWRITTEN = "unwritten"
+    NOT_WRITTEN = "unwritten"
     UNKNOWN = "unknown"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Write:
+class WriteResult:
     """The result of a write.
 
     Attributes:
@@ -47,10 +47,10 @@
       is_superseded: whether another write has already replaced it.
     """
 
-    ending: Ending
+    outcome: WriteOutcome
     current: messages.StoredObject | None = None
     detail: str = ""
-    followed: bool = False
+    is_superseded: bool = False
 
 
 async def write(
@@ -61,7 +61,7 @@
     expected: int,
     backoff: retries.Backoff,
     sleep: Sleep = asyncio.sleep,
-) -> Write:
+) -> WriteResult:
     """Writes one object exactly once, also if responses are lost.
 
     Failure: the response is lost after the write took effect. Symptom: a
@@ -83,18 +83,20 @@
     """
     may_be_written = False
     detail = ""
-    for _ in range(ATTEMPTS):
+    for _ in range(MAX_ATTEMPTS):
         result = await platform.put(kind, name, value, expected)
         if result.is_ok():
-            return Write(Ending.WRITTEN, result.ok)
+            return WriteResult(WriteOutcome.WRITTEN, result.ok)
         error = result.error
         detail = error.detail
         if error.failure is messages.Failure.CONFLICT:
             return _resolve_conflict(value, error.current, may_be_written)
         may_be_written = may_be_written or error.failure in _UNCERTAIN_FAILURES
         await sleep(backoff.next_seconds(error))
-    return Write(
-        Ending.UNKNOWN if may_be_written else Ending.UNWRITTEN, None, detail
+    return WriteResult(
+        WriteOutcome.UNKNOWN if may_be_written else WriteOutcome.NOT_WRITTEN,
+        None,
+        detail,
     )
 
 
@@ -102,22 +104,24 @@
     value: dict[str, Any],
     current: messages.StoredObject | None,
     may_be_written: bool,
-) -> Write:
+) -> WriteResult:
     """Determines whether an earlier attempt caused a conflict itself."""
     operation = value.get("operation")
     if current is None:
         # The object was removed, or the response did not include it.
-        outcome = Ending.UNKNOWN if may_be_written else Ending.CONFLICT
-        return Write(outcome, None, "the conflict response has no object")
+        outcome = (
+            WriteOutcome.UNKNOWN if may_be_written else WriteOutcome.CONFLICT
+        )
+        return WriteResult(outcome, None, "the conflict response has no object")
     if current.value.get("operation") == operation:
-        return Write(Ending.WRITTEN, current)
+        return WriteResult(WriteOutcome.WRITTEN, current)
     replaced = current.value.get("replaced_operation")
     if may_be_written and replaced == operation:
-        return Write(Ending.WRITTEN, current, followed=True)
+        return WriteResult(WriteOutcome.WRITTEN, current, is_superseded=True)
     if may_be_written and replaced != value.get("replaced_operation"):
         # More than one write has followed, and the object names only the
         # last one that was replaced.
-        return Write(
-            Ending.UNKNOWN, current, "several other writes have followed"
+        return WriteResult(
+            WriteOutcome.UNKNOWN, current, "several other writes have followed"
         )
-    return Write(Ending.CONFLICT, current)
+    return WriteResult(WriteOutcome.CONFLICT, current)
--- a/endivewind/durable/membership.py
+++ b/endivewind/durable/membership.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Registered:
+class NodeRegistration:
     """The registration of an incarnation of a node.
 
     Attributes:
@@ -49,15 +49,15 @@
     """
 
     revision: int
-    found: collections.abc.Mapping[str, Registered]
+    registrations: collections.abc.Mapping[str, NodeRegistration]
 
     @property
     def addresses(self) -> tuple[str, ...]:
         """The addresses at which these nodes accept links."""
-        return tuple(item.node.address for item in self.found.values())
+        return tuple(item.node.address for item in self.registrations.values())
 
 
-Listed = expression.Result[ZoneListing, messages.PlatformError]
+ZoneListingResult = expression.Result[ZoneListing, messages.PlatformError]
 
 
 class Directory:
@@ -100,7 +100,7 @@
         zones = (self._kind(zone) for zone in self._zones)
         return (names.NODE_KIND, *zones)
 
-    async def listed(self, zone: str) -> Listed:
+    async def list_zone(self, zone: str) -> ZoneListingResult:
         """Lists the nodes of a zone; the listing may be some seconds old.
 
         A stale listing costs a fraction of a fresh one. Its revision tells
@@ -113,14 +113,14 @@
         for item in result.ok.objects:
             node = _decode_node(item)
             if node is not None:
-                registrations[node.name] = Registered(node, item.version)
+                registrations[node.name] = NodeRegistration(node, item.version)
         return expression.Ok(ZoneListing(result.ok.revision, registrations))
 
-    async def listed_at_start(self, zone: str) -> ZoneListing | None:
+    async def list_zone_at_start(self, zone: str) -> ZoneListing | None:
         """Lists a starting node's zone; returns None without a response."""
         try:
             async with asyncio.timeout(START_TIMEOUT.total_seconds()):
-                result = await self.listed(zone)
+                result = await self.list_zone(zone)
         except TimeoutError:
             log.warning("earlier incarnation unknown: no response in time")
             return None
@@ -159,7 +159,7 @@
                 )
         return result.map(lambda stored: stored.version)
 
-    async def remove(self, registration: Registered) -> None:
+    async def remove(self, registration: NodeRegistration) -> None:
         """Removes a node's object unless a later incarnation replaced it."""
         result = await self._platform.delete(
             self._kind(registration.node.zone),
@@ -170,7 +170,7 @@
             log.warning("node object not removed: %s", result.error)
 
 
-def earlier_incarnation(listing: ZoneListing | None, name: str) -> int:
+def registered_incarnation(listing: ZoneListing | None, name: str) -> int:
     """Returns the incarnation under which a node is registered.
 
     Failure: a VM's clock goes back and its node is restarted. Symptom: the
@@ -181,7 +181,7 @@
     Returns:
       The incarnation; 0 if there is none, or if the platform did not respond.
     """
-    registration = listing.found.get(name) if listing else None
+    registration = listing.registrations.get(name) if listing else None
     return registration.node.incarnation if registration else 0
 
 
--- a/endivewind/durable/retries.py
+++ b/endivewind/durable/retries.py
@@ -9,9 +9,9 @@
 
 from endivewind.platform import messages
 
-FIRST_BACKOFF = datetime.timedelta(milliseconds=100)
-LAST_BACKOFF = datetime.timedelta(seconds=5)
-SHORTEST_WAIT = datetime.timedelta(milliseconds=50)
+INITIAL_BACKOFF = datetime.timedelta(milliseconds=100)
+MAX_BACKOFF = datetime.timedelta(seconds=5)
+MIN_WAIT = datetime.timedelta(milliseconds=50)
 
 
 class Backoff:
@@ -30,8 +30,8 @@
     ) -> float:
         """Returns the wait before the next call, at least the retry-after."""
         max_wait = min(
-            FIRST_BACKOFF.total_seconds() * 2**self._failures,
-            LAST_BACKOFF.total_seconds(),
+            INITIAL_BACKOFF.total_seconds() * 2**self._failures,
+            MAX_BACKOFF.total_seconds(),
         )
         # The backoff has reached its maximum long before; this bounds the
         # power of two.
@@ -54,11 +54,11 @@
 
     # A tenth of the 2000 reads per second that the platform allows.
     FLEET_CALLS_PER_SECOND = 200.0
-    LEAST_CALLS_PER_SECOND = 0.2
-    MOST_CALLS_PER_SECOND = 20.0
+    MIN_CALLS_PER_SECOND = 0.2
+    MAX_CALLS_PER_SECOND = 20.0
     BURST_CALLS = 20.0
     # Three waiting watches and a few other calls.
-    MAX_AT_ONCE = 8
+    MAX_CONCURRENT_CALLS = 8
 
     def __init__(self) -> None:
         self._node_count = 1
@@ -68,14 +68,14 @@
         self._in_progress = 0
 
     @property
-    def per_second(self) -> float:
+    def calls_per_second(self) -> float:
         """This node's share of the fleet's rate."""
         share = self.FLEET_CALLS_PER_SECOND / self._node_count
         return min(
-            max(share, self.LEAST_CALLS_PER_SECOND), self.MOST_CALLS_PER_SECOND
+            max(share, self.MIN_CALLS_PER_SECOND), self.MAX_CALLS_PER_SECOND
         )
 
-    def set_nodes(self, nodes: int) -> None:
+    def set_node_count(self, nodes: int) -> None:
         """Sets the number of nodes that share the platform."""
         self._node_count = max(1, nodes)
 
@@ -84,19 +84,21 @@
         self._tokens = calls
         self._capacity = max(self._capacity, calls)
 
-    def start(self, now: datetime.timedelta) -> datetime.timedelta:
+    def try_start(self, now: datetime.timedelta) -> datetime.timedelta:
         """Starts a call and returns zero, or returns the wait until a retry."""
         if self._refilled_at is not None:
-            added = (now - self._refilled_at).total_seconds() * self.per_second
+            added = (
+                now - self._refilled_at
+            ).total_seconds() * self.calls_per_second
             self._tokens = min(self._tokens + added, self._capacity)
         self._refilled_at = now
-        if self._in_progress >= self.MAX_AT_ONCE:
-            return SHORTEST_WAIT
+        if self._in_progress >= self.MAX_CONCURRENT_CALLS:
+            return MIN_WAIT
         if self._tokens < 1:
-            seconds = (1 - self._tokens) / self.per_second
+            seconds = (1 - self._tokens) / self.calls_per_second
             # Zero means that the call was started, so a wait too short for a
             # timedelta must not be rounded down to it.
-            return max(datetime.timedelta(seconds=seconds), SHORTEST_WAIT)
+            return max(datetime.timedelta(seconds=seconds), MIN_WAIT)
         self._tokens -= 1
         self._in_progress += 1
         return datetime.timedelta()
--- a/endivewind/durable/watcher.py
+++ b/endivewind/durable/watcher.py
@@ -23,14 +23,14 @@
 # A node that lists because its peers tell it nothing repeats the listing after
 # this interval, which doubles each time. While it has no configuration its
 # callers wait for the next listing.
-FIRST_PAUSE = datetime.timedelta(seconds=1)
-LAST_PAUSE = datetime.timedelta(seconds=30)
+INITIAL_LIST_INTERVAL = datetime.timedelta(seconds=1)
+MAX_LIST_INTERVAL = datetime.timedelta(seconds=30)
 # How often a node checks whether it has to read: it becomes a watcher when
 # other nodes leave, and lists when its peers tell it nothing any more.
-ROLE_PERIOD = datetime.timedelta(milliseconds=100)
+MODE_CHECK_INTERVAL = datetime.timedelta(milliseconds=100)
 
 
-class Role(enum.Enum):
+class ReadMode(enum.Enum):
     """What a node has to read in the platform.
 
     NONE: nothing, as its peers tell it of every change. LIST: a listing, as
@@ -38,13 +38,13 @@
     nodes.
     """
 
-    NOTHING = "nothing"
-    ONCE = "once"
-    ALWAYS = "always"
+    NONE = "nothing"
+    LIST = "once"
+    WATCH = "always"
 
 
 # Lists the objects; the argument tells whether the listing may be stale.
-List = collections.abc.Callable[
+ListObjects = collections.abc.Callable[
     [bool],
     collections.abc.Awaitable[
         expression.Result[messages.Listing, messages.PlatformError]
@@ -56,9 +56,9 @@
     """Ignores listings."""
 
 
-def _always_watch() -> Role:
+def _always_watch() -> ReadMode:
     """Keeps the watcher watching."""
-    return Role.ALWAYS
+    return ReadMode.WATCH
 
 
 class Watcher:
@@ -71,8 +71,8 @@
         on_object: collections.abc.Callable[[messages.StoredObject], object],
         rng: random.Random,
         on_listed: collections.abc.Callable[[str], None] = _ignore_listing,
-        read_mode: collections.abc.Callable[[], Role] = _always_watch,
-        list_objects: List | None = None,
+        read_mode: collections.abc.Callable[[], ReadMode] = _always_watch,
+        list_objects: ListObjects | None = None,
     ) -> None:
         """Builds a watcher; run() starts it.
 
@@ -92,7 +92,7 @@
         self._read_mode = read_mode
         self._list = list_objects or self._list_from_platform
         self._backoff = retries.Backoff(rng)
-        self._list_interval = FIRST_PAUSE
+        self._list_interval = INITIAL_LIST_INTERVAL
         self._accepts_stale = True
         self._revision: int | None = None
         self._listed = asyncio.Event()
@@ -106,15 +106,15 @@
         """Reads until cancelled."""
         while True:
             mode = self._read_mode()
-            if mode is Role.NOTHING:
-                self._list_interval = FIRST_PAUSE
-                await asyncio.sleep(ROLE_PERIOD.total_seconds())
+            if mode is ReadMode.NONE:
+                self._list_interval = INITIAL_LIST_INTERVAL
+                await asyncio.sleep(MODE_CHECK_INTERVAL.total_seconds())
                 continue
             result = await self._read(mode)
             if result.is_ok():
                 self._backoff.reset()
                 self._apply(result.ok)
-                if mode is Role.ONCE:
+                if mode is ReadMode.LIST:
                     await self._wait_for_next_listing()
                 continue
             if result.error.failure is messages.Failure.COMPACTED:
@@ -124,7 +124,7 @@
             await asyncio.sleep(self._backoff.next_seconds(result.error))
 
     async def _read(
-        self, mode: Role
+        self, mode: ReadMode
     ) -> expression.Result[messages.Listing, messages.PlatformError]:
         """Makes one listing or watch.
 
@@ -133,7 +133,7 @@
         does not watch receives these from its peers. If the platform has
         compacted the later changes, only a fresh listing includes them.
         """
-        if self._revision is None or mode is Role.ONCE:
+        if self._revision is None or mode is ReadMode.LIST:
             return await self._list(self._accepts_stale)
         return await self._platform.watch(self._kind, self._revision)
 
@@ -154,9 +154,10 @@
     async def _wait_for_next_listing(self) -> None:
         """Waits for the list interval, as long as the mode stays LIST."""
         remaining = self._list_interval
-        self._list_interval = min(2 * self._list_interval, LAST_PAUSE)
+        self._list_interval = min(2 * self._list_interval, MAX_LIST_INTERVAL)
         while (
-            remaining > datetime.timedelta() and self._read_mode() is Role.ONCE
+            remaining > datetime.timedelta()
+            and self._read_mode() is ReadMode.LIST
         ):
-            await asyncio.sleep(ROLE_PERIOD.total_seconds())
-            remaining -= ROLE_PERIOD
+            await asyncio.sleep(MODE_CHECK_INTERVAL.total_seconds())
+            remaining -= MODE_CHECK_INTERVAL
--- a/endivewind/exchange.py
+++ b/endivewind/exchange.py
@@ -16,7 +16,7 @@
 HeaderList = tuple[tuple[bytes, bytes], ...]
 
 
-class Outcome(enum.StrEnum):
+class ExecutionOutcome(enum.StrEnum):
     """Whether a target executed the request."""
 
     NOT_RUN = "not-run"
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TargetStatus:
+class TargetReport:
     """Load and suspicion of a target, attached to responses by its home node.
 
     Attributes:
@@ -108,7 +108,7 @@
     headers: HeaderList
     service: str
     workspace: str
-    remaining: datetime.timedelta
+    remaining_time: datetime.timedelta
     ticket: str = ""
     attempt: int = 0
     latency_objective: datetime.timedelta = datetime.timedelta()
@@ -119,7 +119,7 @@
     def for_attempt(
         self,
         number: int,
-        remaining: datetime.timedelta,
+        remaining_time: datetime.timedelta,
         max_suspicion: float | None = None,
         *,
         may_be_duplicate: bool | None = None,
@@ -132,7 +132,7 @@
             self.headers,
             self.service,
             self.workspace,
-            remaining,
+            remaining_time,
             self.ticket,
             number,
             self.latency_objective,
@@ -173,17 +173,17 @@
         its home.
     """
 
-    outcome: Outcome
+    outcome: ExecutionOutcome
     reason: Reason
     detail: str = ""
     retry_after: datetime.timedelta | None = None
     moved_to: str = ""
-    target_status: TargetStatus | None = None
+    target_report: TargetReport | None = None
 
     @property
     def was_not_run(self) -> bool:
         """Whether no target has executed the request."""
-        return self.outcome is Outcome.NOT_RUN
+        return self.outcome is ExecutionOutcome.NOT_RUN
 
 
 class ByteStream(Protocol):
@@ -224,47 +224,47 @@
     headers: HeaderList
     body: bytes = b""
     stream: ByteStream | None = None
-    target_status: TargetStatus | None = None
+    target_report: TargetReport | None = None
 
 
 class TruncatedResponseError(Exception):
     """A response body ended before its announced end."""
 
 
-class TruncatedBodyError(Exception):
+class RequestBodyError(Exception):
     """A request body can't be read: it ended early or is too large."""
 
 
-def not_run(
+def not_run_refusal(
     reason: Reason,
     detail: str = "",
     retry_after: datetime.timedelta | None = None,
-    target_status: TargetStatus | None = None,
+    target_report: TargetReport | None = None,
 ) -> Refusal:
     """Returns a refusal of a request that no target has received."""
     return Refusal(
-        Outcome.NOT_RUN,
+        ExecutionOutcome.NOT_RUN,
         reason,
         detail,
         retry_after,
-        target_status=target_status,
+        target_report=target_report,
     )
 
 
-def truncated_body(error: TruncatedBodyError) -> Refusal:
+def body_error_refusal(error: RequestBodyError) -> Refusal:
     """Returns a refusal for a request body that can't be read to its end.
 
     A target may have received part of the body.
     """
-    return outcome_unknown(
+    return unknown_outcome_refusal(
         Reason.BAD_REQUEST, f"request body truncated: {error}"
     )
 
 
-def outcome_unknown(
+def unknown_outcome_refusal(
     reason: Reason,
     detail: str = "",
     retry_after: datetime.timedelta | None = None,
 ) -> Refusal:
     """Returns a refusal of a request that a target may have executed."""
-    return Refusal(Outcome.UNKNOWN, reason, detail, retry_after)
+    return Refusal(ExecutionOutcome.UNKNOWN, reason, detail, retry_after)
--- a/endivewind/logs.py
+++ b/endivewind/logs.py
@@ -19,7 +19,7 @@
 BURST_LINES = 200
 LINES_PER_SECOND = 50
 # Buffer for a slow reader, which holds about a second of lines.
-MAX_WAITING_BYTES = 65_536
+MAX_BUFFERED_BYTES = 65_536
 
 
 class JsonFormatter(logging.Formatter):
@@ -40,7 +40,7 @@
         return json.dumps(line, default=str)
 
 
-class RateLimit(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """Limits the rate of each message by a token bucket; counts the rest.
 
     Failure: a dependency fails for minutes, and every request logs a line
@@ -76,7 +76,7 @@
         return True
 
 
-class PipeHandler(logging.Handler):
+class NonBlockingHandler(logging.Handler):
     """Writes without blocking; lines that do not fit the buffer are lost."""
 
     def __init__(self, descriptor: int) -> None:
@@ -89,7 +89,7 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Buffers one line, then writes as much as the pipe accepts."""
         line = self.format(record).encode() + b"\n"
-        if len(self._buffer) + len(line) > MAX_WAITING_BYTES:
+        if len(self._buffer) + len(line) > MAX_BUFFERED_BYTES:
             self._lost_lines += 1
         else:
             self._buffer += self._take_lost_report() + line
@@ -119,9 +119,9 @@
     """
     handler: logging.Handler = logging.StreamHandler(sys.stdout)
     if never_block:
-        handler = PipeHandler(sys.stdout.fileno())
+        handler = NonBlockingHandler(sys.stdout.fileno())
     handler.setFormatter(JsonFormatter())
-    handler.addFilter(RateLimit())
+    handler.addFilter(RateLimitFilter())
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
--- a/endivewind/metrics.py
+++ b/endivewind/metrics.py
@@ -15,7 +15,7 @@
 from opentelemetry.sdk import metrics as sdk
 import prometheus_client
 
-from endivewind.callers import counts
+from endivewind.callers import request_metrics
 from endivewind.nodes import traffic
 from endivewind.platform import client
 from endivewind.targets import records
@@ -42,7 +42,7 @@
       platform_calls: numbers of calls to the platform.
     """
 
-    requests: counts.RequestCounts
+    requests: request_metrics.RequestMetrics
     health_changes: collections.abc.Mapping[tuple[str, str], int]
     targets: collections.abc.Callable[
         [], collections.abc.Iterable[records.TargetRecord]
@@ -51,10 +51,10 @@
     idle_links: collections.abc.Callable[[], int]
     version: collections.abc.Callable[[], int]
     sent_bytes: traffic.Counts
-    platform_calls: collections.abc.Mapping[client.Call, int]
+    platform_calls: collections.abc.Mapping[client.CallLabels, int]
 
 
-class Kind(enum.Enum):
+class InstrumentKind(enum.Enum):
     """The kind of an instrument."""
 
     COUNTER = "counter"
@@ -74,28 +74,28 @@
     """
 
     name: str
-    kind: Kind
+    kind: InstrumentKind
     unit: str
     description: str
     observe: collections.abc.Callable[[Sources], Observations]
 
     @property
-    def scraped_name(self) -> str:
+    def prometheus_name(self) -> str:
         """The name under which Prometheus scrapes it."""
         suffix = {"s": "_seconds", "By": "_bytes"}.get(self.unit, "")
-        total = "_total" if self.kind is Kind.COUNTER else ""
+        total = "_total" if self.kind is InstrumentKind.COUNTER else ""
         return self.name.replace(".", "_") + suffix + total
 
 
 def _requests(sources: Sources) -> Observations:
-    for outcome, count in sources.requests.endings():
+    for outcome, count in sources.requests.outcomes():
         yield api.Observation(count, dataclasses.asdict(outcome))
 
 
 def _latency_buckets(sources: Sources) -> Observations:
     for service, latencies in sources.requests.latencies.items():
         cumulative = 0
-        bounds = (*map(str, counts.LATENCY_BOUNDS), "+Inf")
+        bounds = (*map(str, request_metrics.LATENCY_BOUNDS_SECONDS), "+Inf")
         for bound, count in zip(bounds, latencies.buckets, strict=True):
             cumulative += count
             yield api.Observation(cumulative, {"service": service, "le": bound})
@@ -103,7 +103,7 @@
 
 def _latency_sums(sources: Sources) -> Observations:
     for service, latencies in sources.requests.latencies.items():
-        yield api.Observation(latencies.seconds, {"service": service})
+        yield api.Observation(latencies.sum_seconds, {"service": service})
 
 
 def _in_flight(sources: Sources) -> Observations:
@@ -111,7 +111,7 @@
 
 
 def _attempts(sources: Sources) -> Observations:
-    for service, count in sources.requests.placings.items():
+    for service, count in sources.requests.attempts.items():
         yield api.Observation(count, {"service": service})
 
 
@@ -162,49 +162,49 @@
 INSTRUMENTS = (
     Instrument(
         "endivewind.requests",
-        Kind.COUNTER,
+        InstrumentKind.COUNTER,
         "{request}",
         "Callers' requests that have ended, by service, outcome and reason.",
         _requests,
     ),
     Instrument(
         "endivewind.request.latency.bucket",
-        Kind.COUNTER,
+        InstrumentKind.COUNTER,
         "{request}",
         "Requests that took at most `le` seconds, by service.",
         _latency_buckets,
     ),
     Instrument(
         "endivewind.request.latency.sum",
-        Kind.COUNTER,
+        InstrumentKind.COUNTER,
         "s",
         "Sum of the latencies of all requests, by service.",
         _latency_sums,
     ),
     Instrument(
         "endivewind.requests.in_flight",
-        Kind.GAUGE,
+        InstrumentKind.GAUGE,
         "{request}",
         "Callers' requests being served now.",
         _in_flight,
     ),
     Instrument(
         "endivewind.placings",
-        Kind.COUNTER,
+        InstrumentKind.COUNTER,
         "{attempt}",
         "Attempts at a target, by service.",
         _attempts,
     ),
     Instrument(
         "endivewind.retries",
-        Kind.COUNTER,
+        InstrumentKind.COUNTER,
         "{attempt}",
         "Attempts at a target after a request's first, by service.",
         _retries,
     ),
     Instrument(
         "endivewind.target.health_changes",
-        Kind.COUNTER,
+        InstrumentKind.COUNTER,
         "{verdict}",
         "Verdicts on this home's targets, by service and health; ejections "
         "have the health `ejected`.",
@@ -212,35 +212,35 @@
     ),
     Instrument(
         "endivewind.targets",
-        Kind.GAUGE,
+        InstrumentKind.GAUGE,
         "{target}",
         "Targets of this home, by service, state and health.",
         _targets,
     ),
     Instrument(
         "endivewind.configuration.version",
-        Kind.GAUGE,
+        InstrumentKind.GAUGE,
         "{version}",
         "The highest version of a configuration object in force here.",
         _version,
     ),
     Instrument(
         "endivewind.nodes",
-        Kind.GAUGE,
+        InstrumentKind.GAUGE,
         "{node}",
         "Nodes that this one knows, itself included.",
         _nodes,
     ),
     Instrument(
         "endivewind.links.idle",
-        Kind.GAUGE,
+        InstrumentKind.GAUGE,
         "{link}",
         "Open links to other nodes that carry no request.",
         _idle_links,
     ),
     Instrument(
         "endivewind.sent",
-        Kind.COUNTER,
+        InstrumentKind.COUNTER,
         "By",
         "Bytes sent to other nodes, by what they are for and how far they "
         "went.",
@@ -248,7 +248,7 @@
     ),
     Instrument(
         "endivewind.platform.calls",
-        Kind.COUNTER,
+        InstrumentKind.COUNTER,
         "{call}",
         "Calls to the platform, by what they do and the kind of objects.",
         _platform_calls,
@@ -287,7 +287,7 @@
 
         create = (
             meter.create_observable_counter
-            if instrument.kind is Kind.COUNTER
+            if instrument.kind is InstrumentKind.COUNTER
             else meter.create_observable_gauge
         )
         create(
