--- a/endivewind/node.py
+++ b/endivewind/node.py
@@ -16,21 +16,21 @@
 from aiohttp import web
 
 from endivewind import clock as clocks
+from endivewind import configuration_reader
 from endivewind import exchange
 from endivewind import headers
 from endivewind import http_servers
 from endivewind import logs
-from endivewind import reading
 from endivewind import reports
 from endivewind import tls
-from endivewind.callers import allowances
 from endivewind.callers import authorization
-from endivewind.callers import calls
+from endivewind.callers import caller_requests
+from endivewind.callers import entry_routes
 from endivewind.callers import gateway
 from endivewind.callers import listener
-from endivewind.callers import origins
 from endivewind.callers import placement
-from endivewind.callers import ticket_book
+from endivewind.callers import quota_client
+from endivewind.callers import ticket_store
 from endivewind.callers import ticketing
 from endivewind.callers import tickets
 from endivewind.config import freshness
@@ -40,26 +40,26 @@
 from endivewind.config import store
 from endivewind.decisions import peer_updates
 from endivewind.durable import audit
-from endivewind.durable import auditor
+from endivewind.durable import audit_recorder
 from endivewind.durable import membership
 from endivewind.nodes import configuration
-from endivewind.nodes import leaving
+from endivewind.nodes import gossip_service
+from endivewind.nodes import graceful_shutdown
 from endivewind.nodes import link_server
 from endivewind.nodes import links
 from endivewind.nodes import proofs
 from endivewind.nodes import quotas
-from endivewind.nodes import service
 from endivewind.nodes import traffic
 from endivewind.nodes import view
 from endivewind.operators import configuration as operators
-from endivewind.operators import http
+from endivewind.operators import operator_api
 from endivewind.platform import client
 from endivewind.platform import heartbeats
 from endivewind.platform import names
 from endivewind.platform import readiness
 from endivewind.targets import api
 from endivewind.targets import dispatch
-from endivewind.targets import judge
+from endivewind.targets import outlier_monitor
 from endivewind.targets import registration
 from endivewind.targets import registry
 
@@ -71,13 +71,13 @@
 # The longest time that an announcement waits for the peers' state of this
 # home. Targets consider an announcement accepted if the response arrives
 # within a second.
-SETTLE_LIMIT = datetime.timedelta(milliseconds=500)
-SETTLE_LOOK = datetime.timedelta(milliseconds=20)
-EXPIRE_PERIOD = datetime.timedelta(milliseconds=200)
-TRAFFIC_PERIOD = datetime.timedelta(seconds=10)
+PEER_STATE_TIMEOUT = datetime.timedelta(milliseconds=500)
+PEER_STATE_POLL_INTERVAL = datetime.timedelta(milliseconds=20)
+LEASE_CHECK_INTERVAL = datetime.timedelta(milliseconds=200)
+TRAFFIC_LOG_INTERVAL = datetime.timedelta(seconds=10)
 # The part of the platform's grace period that is reserved for closing the
 # remaining connections, writing the last records and ending the process.
-END_MARGIN = datetime.timedelta(seconds=1)
+SHUTDOWN_MARGIN = datetime.timedelta(seconds=1)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -90,7 +90,7 @@
     operators: str
 
 
-class Node(link_server.Home):
+class Node(link_server.LinkHandler):
     """A node: the entry for callers and the home of its targets."""
 
     def __init__(
@@ -104,16 +104,18 @@
         self._rng = rng
         self._configuration = store.ConfigurationStore()
         self._fleet = view.FleetView()
-        self._traffic = traffic.Traffic(config.region, config.zone, self._fleet)
+        self._traffic = traffic.TrafficMeter(
+            config.region, config.zone, self._fleet
+        )
         self._pool = links.LinkPool(
-            clock, tls.link_context(config.nodes_tls), self._traffic
+            clock, tls.make_link_context(config.nodes_tls), self._traffic
         )
         self._link_server = link_server.LinkServer(self, self._traffic)
         self._update_publisher = peer_updates.TargetUpdatePublisher()
         self._tasks: list[asyncio.Task[None]] = []
         self._http = http_servers.HttpServers()
         self._services = services.ServiceSettings(self._configuration)
-        self._freshness_tracker = freshness.Freshness(
+        self._freshness_tracker = freshness.FreshnessTracker(
             lambda: self._configuration.document_version,
             config.revocation.bound,
         )
@@ -124,20 +126,20 @@
         self._initial_listing: membership.ZoneListing | None
         self._incarnation: int
         self._targets: registry.TargetRegistry
-        self._outlier_monitor: judge.Judge
+        self._outlier_monitor: outlier_monitor.OutlierMonitor
         self._dispatcher: dispatch.Dispatcher
         self._placement: placement.Placement
         self._gateway: gateway.Gateway
         self._listener: listener.Listener
-        self._ticket_handler: ticketing.Ticketing
+        self._ticket_handler: ticketing.TicketHandler
         self._platform: client.PlatformClient
         self._session: aiohttp.ClientSession
-        self._reader: reading.ConfigurationReader
+        self._reader: configuration_reader.ConfigurationReader
         self._reports: reports.Reports
-        self._audit_recorder: auditor.Auditor
+        self._audit_recorder: audit_recorder.AuditRecorder
         self._configuration_peer: configuration.ConfigurationPeer
         self._self_record: view.NodeRecord
-        self._gossip: service.GossipService
+        self._gossip: gossip_service.GossipService
         self._proof_peer: proofs.ProofPeer
         self._quota_peer: quotas.QuotaPeer
 
@@ -163,7 +165,7 @@
         three seconds later; until then callers are refused as no target is
         known.
         """
-        self._session = client.session()
+        self._session = client.make_session()
         self._platform = client.PlatformClient(
             self._settings.platform, self._session
         )
@@ -177,11 +179,11 @@
         await self._link_server.serve()
         await self._gossip.start(nodes)
         for work in (
-            *(item.run() for item in self._reader.watchers()),
+            *(item.run() for item in self._reader.make_watchers()),
             self._audit_recorder.run(),
             self._configuration_peer.run(),
-            self._proof_peer.run_reading(),
-            self._proof_peer.run_asking(),
+            self._proof_peer.run_platform_reads(),
+            self._proof_peer.run_peer_queries(),
             self._run_lease_checks(),
             self._run_target_checks(),
             self._reports.log_traffic(),
@@ -193,10 +195,10 @@
         """Determines the incarnation and builds the target registry."""
         config = self._settings
         self._directory = membership.Directory(self._platform, config.zones)
-        self._initial_listing = await self._directory.listed_at_start(
+        self._initial_listing = await self._directory.list_zone_at_start(
             config.zone
         )
-        registered = membership.earlier_incarnation(
+        registered = membership.registered_incarnation(
             self._initial_listing, config.name
         )
         now_us = int(self._clock.now().timestamp() * 1_000_000)
@@ -211,7 +213,7 @@
     def _build_requests(self) -> None:
         """Builds the request path, from the listener to the dispatcher."""
         config = self._settings
-        self._outlier_monitor = judge.Judge(
+        self._outlier_monitor = outlier_monitor.OutlierMonitor(
             self._targets,
             self._services.profile,
             self._clock,
@@ -224,12 +226,12 @@
             self._header_names,
         )
         self._placement = placement.Placement(
-            placement.Place(config.name, config.region, config.zone),
+            placement.Locality(config.name, config.region, config.zone),
             self._fleet,
             self._services.floor,
             self._clock,
             self._rng,
-            share_of=self._services.floor_share,
+            floor_share_of=self._services.floor_share,
         )
         self._gateway = gateway.Gateway(
             config.name,
@@ -239,22 +241,22 @@
             self._dispatcher,
             self._pool,
             self._clock,
-            self._outlier_monitor.witnessed,
+            self._outlier_monitor.record_remote,
             self._rng,
-            origins.Origins(
+            entry_routes.EntryRoutes(
                 self._clock, self._dispatcher if config.beside else None
             ),
-            allowances.Allowances(
-                lambda workspace, count: self._quota_peer.grant(
+            quota_client.QuotaClient(
+                lambda workspace, count: self._quota_peer.request_tokens(
                     workspace, count
                 ),
                 self._clock,
             ),
         )
         max_kept_bytes = config.limits.kept_answer_bytes
-        self._ticket_handler = ticketing.Ticketing(
+        self._ticket_handler = ticketing.TicketHandler(
             tickets.Issuer.for_incarnation(config.name, self._incarnation),
-            ticket_book.TicketBook(kept_answer_bytes=max_kept_bytes),
+            ticket_store.TicketStore(kept_answer_bytes=max_kept_bytes),
             self._gateway,
             self._fleet,
             self._pool,
@@ -265,7 +267,7 @@
             self._gateway,
             self._ticket_handler,
             config.limits,
-            authorization.Doubts(
+            authorization.ConfigurationStatus(
                 lambda: self._configuration_peer.missing(),
                 self._is_configuration_fresh,
             ),
@@ -274,25 +276,25 @@
 
     def _is_configuration_fresh(self) -> bool:
         """Returns whether a recent proof shows that the newest is in force."""
-        return self._freshness_tracker.is_proved(self._clock.boot_time())
+        return self._freshness_tracker.is_fresh(self._clock.time_since_boot())
 
     def _build_configuration(self) -> None:
         """Builds the parts for configuration and for the audit trail."""
         config = self._settings
-        self._audit_recorder = auditor.Auditor(
+        self._audit_recorder = audit_recorder.AuditRecorder(
             config.name,
             self._incarnation,
             self._platform,
             self._clock,
             self._rng,
-            to_platform=config.audit is settings.Trail.PLATFORM,
+            to_platform=config.audit is settings.AuditDestination.PLATFORM,
         )
         self._configuration_peer = configuration.ConfigurationPeer(
             view.NodeRecord(
                 config.name, self._incarnation, "", config.region, config.zone
             ),
             self._configuration,
-            reading.kinds_of(config.interface),
+            configuration_reader.configuration_kinds(config.interface),
             self._fleet,
             self._pool,
             self._platform.budget,
@@ -300,11 +302,11 @@
             self._clock,
             self._rng,
         )
-        self._reader = reading.ConfigurationReader(
+        self._reader = configuration_reader.ConfigurationReader(
             lambda: self._settings,
             self._platform,
             self._configuration_peer,
-            lambda: self._gossip.is_settled,
+            lambda: self._gossip.has_complete_view,
             self._freshness_tracker,
             self._clock,
             self._rng,
@@ -322,12 +324,12 @@
             else headers.DEFAULT_NAMES
         )
 
-    def _caller_conventions(self) -> calls.Dialect:
+    def _caller_conventions(self) -> caller_requests.CallerConventions:
         local_target = self._settings.beside
-        return calls.Dialect(
+        return caller_requests.CallerConventions(
             self._header_names,
             local_target.service if local_target else "",
-            self._settings.once is settings.Once.TICKET,
+            self._settings.once is settings.DeduplicationKey.TICKET,
         )
 
     def _build_membership(self, nodes: str) -> None:
@@ -344,12 +346,14 @@
             config.region,
             config.zone,
         )
-        self._gossip = service.GossipService(
+        self._gossip = gossip_service.GossipService(
             config,
             self._self_record,
-            service.State(self._fleet, self._targets, self._handle_peer_update),
+            gossip_service.ReplicatedState(
+                self._fleet, self._targets, self._handle_peer_update
+            ),
             self._pool,
-            service.Entrance(
+            gossip_service.Bootstrap(
                 self._directory, self._initial_listing, self._record_join
             ),
             self._clock,
@@ -370,17 +374,17 @@
             self._freshness_tracker,
             self._fleet,
             self._pool,
-            self._reader.prove,
-            lambda: self._gossip.is_settled,
+            self._reader.read_proof,
+            lambda: self._gossip.has_complete_view,
             self._clock,
             self._rng,
         )
 
-    async def answer(self, query: Any) -> Any:
+    async def handle_query(self, query: Any) -> Any:
         """Handles another node's query; query and response are frames."""
         if query.quota_ask is not None:
-            return await self._quota_peer.answer(query.quota_ask)
-        return self._proof_peer.answer()
+            return await self._quota_peer.handle_query(query.quota_ask)
+        return self._proof_peer.response_frame()
 
     def reload(self, config: settings.NodeSettings) -> None:
         """Applies reloadable settings; logs those that need a restart."""
@@ -390,13 +394,14 @@
             key for key in new_values if new_values[key] != old_values[key]
         }
         applied = {
-            key: getattr(config, key) for key in changed & settings.RELOADED
+            key: getattr(config, key)
+            for key in changed & settings.RELOADABLE_KEYS
         }
         self._settings = self._settings.model_copy(update=applied)
-        self._platform.move(self._settings.platform)
-        self._listener.speak(self._caller_conventions())
-        self._listener.limit(self._settings.limits)
-        self._freshness_tracker.limit(self._settings.revocation.bound)
+        self._platform.set_url(self._settings.platform)
+        self._listener.set_conventions(self._caller_conventions())
+        self._listener.set_limits(self._settings.limits)
+        self._freshness_tracker.set_bound(self._settings.revocation.bound)
         logging.getLogger().setLevel(self._settings.log_level.upper())
         fields = logs.fields(
             taken=sorted(applied),
@@ -410,8 +415,8 @@
         log.info("stopping")
         if self._settings.beside is None:
             # The targets move to other homes, which takes some time.
-            self._targets.stop_taking()
-        shutdown = leaving.Departure(
+            self._targets.refuse_announcements()
+        shutdown = graceful_shutdown.GracefulShutdown(
             self._listener,
             self._dispatcher,
             self._link_server,
@@ -446,7 +451,7 @@
         if not limits.grace_seconds:
             return timeout
         grace = datetime.timedelta(seconds=limits.grace_seconds)
-        return min(timeout, max(grace - END_MARGIN, END_MARGIN))
+        return min(timeout, max(grace - SHUTDOWN_MARGIN, SHUTDOWN_MARGIN))
 
     async def _leave_fleet(self) -> None:
         """Waits until the targets have moved, then leaves the fleet.
@@ -456,14 +461,14 @@
         of their zone.
         """
         if self._settings.beside is None:
-            await self._gossip.targets_moved()
+            await self._gossip.wait_targets_moved()
         await self._gossip.stop()
-        if self._settings.audit is settings.Trail.PLATFORM:
+        if self._settings.audit is settings.AuditDestination.PLATFORM:
             await self._record_leave()
 
     async def _record_leave(self) -> None:
         """Writes the last records; waits at most as long as for one call."""
-        self._audit_recorder.membership(audit.Action.LEAVE)
+        self._audit_recorder.record_membership(audit.Action.LEAVE)
         try:
             async with asyncio.timeout(client.CALL_TIMEOUT.total_seconds()):
                 await self._audit_recorder.flush()
@@ -476,7 +481,7 @@
         home_incarnation: int,
         head: exchange.RequestHead,
         body: exchange.RequestBody,
-    ) -> links.AnswerResult:
+    ) -> links.ResponseResult:
         """Runs a forwarded request if it is for this incarnation."""
         return await self._dispatcher.run_forwarded(
             target, home_incarnation, head, body
@@ -488,32 +493,32 @@
         head: exchange.RequestHead,
         body: exchange.RequestBody,
         priority: str,
-    ) -> links.AnswerResult:
+    ) -> links.ResponseResult:
         """Runs a request that carries a ticket which this node issued."""
         return await self._ticket_handler.execute(
             head, body, objects.Priority(priority), incarnation
         )
 
-    def gossiped(self, frame: Any) -> None:
+    def handle_gossip(self, frame: Any) -> None:
         """Handles a gossip frame of another node."""
-        self._gossip.frame(frame)
+        self._gossip.handle_frame(frame)
 
     async def _bind_links(self) -> str:
         host, port = http_servers.split_host_port(self._settings.nodes)
-        context = tls.server_context(self._settings.nodes_tls)
+        context = tls.make_server_context(self._settings.nodes_tls)
         return await self._link_server.bind(host, port, context)
 
     def _build_reports(self) -> None:
         """Builds the reports for operators."""
         self._reports = reports.Reports(
-            reports.Parts(
+            reports.ReportSources(
                 self._settings.name,
                 self._incarnation,
                 self._configuration,
                 self._fleet,
                 self._targets,
                 self._outlier_monitor,
-                self._gateway.counts,
+                self._gateway.metrics,
                 lambda: self._listener.in_flight,
                 self._pool,
                 self._traffic,
@@ -526,18 +531,19 @@
         config = self._settings
         callers = await self._http.serve(
             web.ServerRunner(
-                self._listener.server(),
-                shutdown_timeout=leaving.CUT_AFTER.total_seconds(),
+                self._listener.make_server(),
+                shutdown_timeout=graceful_shutdown.FORCED_CLOSE_TIMEOUT.total_seconds(),
             ),
             config.callers,
-            tls.server_context(config.callers_tls),
+            tls.make_server_context(config.callers_tls),
         )
         targets = await self._http.serve_application(
             self._target_application(), config.targets
         )
         if config.readiness is not None:
             await self._http.serve_application(
-                readiness.application(self._not_ready_reason), config.readiness
+                readiness.make_application(self._not_ready_reason),
+                config.readiness,
             )
         operators_address = await self._http.serve_application(
             self._operator_application(), config.operators
@@ -558,7 +564,7 @@
             self._heartbeat_ms,
             self._clock,
             self._wait_for_peer_state,
-        ).application()
+        ).make_application()
 
     async def _wait_for_peer_state(self) -> None:
         """Waits for the peers' state of this home, for a limited time.
@@ -566,10 +572,10 @@
         It usually arrives within milliseconds. If all nodes start at once, no
         peer has any state, so the limit keeps the targets' wait short.
         """
-        while self._gossip.not_ready() is not None:
-            if self._clock.monotonic() - self._created_at >= SETTLE_LIMIT:
+        while self._gossip.not_ready_reason() is not None:
+            if self._clock.monotonic() - self._created_at >= PEER_STATE_TIMEOUT:
                 return
-            await asyncio.sleep(SETTLE_LOOK.total_seconds())
+            await asyncio.sleep(PEER_STATE_POLL_INTERVAL.total_seconds())
 
     def _heartbeat_ms(self) -> int:
         local_target = self._settings.beside
@@ -601,52 +607,55 @@
         return ""
 
     def _operator_application(self) -> web.Application:
-        sources = http.Sources(
+        sources = operator_api.Sources(
             self._not_ready_reason,
             self._reports.status,
-            self._reports.metrics_page,
+            self._reports.render_metrics,
             self._gossip.status,
         )
-        application = http.OperatorApi(sources).application()
+        application = operator_api.OperatorApi(sources).make_application()
         operators.add_route(
             application,
-            self._configuration_peer.asking,
-            operators.Members(tuple(self._settings.zones), self._gossip.left),
+            self._configuration_peer.version_queries,
+            operators.FleetMembers(
+                tuple(self._settings.zones), self._gossip.departed_nodes
+            ),
         )
         return application
 
     def _publish_target_changes(self) -> None:
-        self._gossip.targets_changed()
-        self._audit_recorder.targets(
-            self._targets.announced(), self._outlier_monitor.causes
+        self._gossip.publish_target_changes()
+        self._audit_recorder.record_targets(
+            self._targets.target_records(),
+            self._outlier_monitor.ejection_causes,
         )
-        target_ids = [item.id for item in self._targets.announced()]
+        target_ids = [item.id for item in self._targets.target_records()]
         log.info("targets held", extra=logs.fields(targets=target_ids))
 
-    def configuration(self, frame: Any) -> None:
+    def handle_configuration(self, frame: Any) -> None:
         """Handles a peer's frame with configuration or a query for it."""
-        self._configuration_peer.frame(frame)
+        self._configuration_peer.handle_frame(frame)
 
     def _apply_configuration(self, key: store.Key) -> None:
         self._gateway.configure(key.kind, key.name)
 
     def _record_join(self) -> None:
         """Records that this incarnation is registered."""
-        self._audit_recorder.membership(audit.Action.JOIN)
+        self._audit_recorder.record_membership(audit.Action.JOIN)
 
     async def _run_lease_checks(self) -> None:
         while True:
-            await asyncio.sleep(EXPIRE_PERIOD.total_seconds())
-            expired = self._targets.expire()
+            await asyncio.sleep(LEASE_CHECK_INTERVAL.total_seconds())
+            expired = self._targets.remove_expired()
             if expired:
                 log.warning("leases ended", extra=logs.fields(targets=expired))
                 self._publish_target_changes()
 
     async def _run_target_checks(self) -> None:
         while True:
-            await asyncio.sleep(judge.PERIOD.total_seconds())
-            self._outlier_monitor.advance()
-            self._dispatcher.look()
+            await asyncio.sleep(outlier_monitor.CHECK_INTERVAL.total_seconds())
+            self._outlier_monitor.run_periodic_checks()
+            self._dispatcher.check_overdue()
             self._publish_updates()
 
     def _publish_updates(self) -> None:
@@ -656,13 +665,15 @@
         retry budgets and of ingress routes.
         """
         now = self._clock.monotonic()
-        snapshots = [item.state(now) for item in self._targets.held()]
-        target_updates = self._update_publisher.due_updates(snapshots, now)
+        snapshots = [
+            item.snapshot(now) for item in self._targets.home_targets()
+        ]
+        target_updates = self._update_publisher.take_due_updates(snapshots, now)
         for target_update in target_updates:
-            self._placement.hear(target_update)
-        retry_usages = self._gateway.budgets.due()
-        routes = self._gateway.origins.due()
-        self._gossip.tell(
+            self._placement.apply_update(target_update)
+        retry_usages = self._gateway.budgets.due_updates()
+        routes = self._gateway.ingress_routes.due_updates()
+        self._gossip.push_update(
             peer_updates.PeerUpdate(target_updates, retry_usages, routes)
         )
 
@@ -671,13 +682,16 @@
     ) -> None:
         """Applies the update of another node of the zone."""
         for target_update in update.target_updates:
-            self._placement.hear(target_update)
+            self._placement.apply_update(target_update)
         for retry_usage in update.retry_usages:
-            self._gateway.budgets.hear(sender, retry_usage)
-        for route in update.ingress_routes:
-            self._gateway.origins.hear(route)
+            self._gateway.budgets.update_peer(sender, retry_usage)
+        for route in update.entry_routes:
+            self._gateway.ingress_routes.add_route(route)
 
     def _not_ready_reason(self) -> str | None:
         if self._is_stopping:
             return "stopping"
-        return self._configuration_peer.missing() or self._gossip.not_ready()
+        return (
+            self._configuration_peer.missing()
+            or self._gossip.not_ready_reason()
+        )
--- a/endivewind/nodes/chunks.py
+++ b/endivewind/nodes/body_chunks.py
@@ -6,7 +6,7 @@
 from endivewind.nodes import codec
 
 
-async def send(
+async def send_body(
     writer: asyncio.StreamWriter,
     exchange_id: int,
     parts: collections.abc.AsyncIterator[bytes],
--- a/endivewind/nodes/transmission.py
+++ b/endivewind/nodes/change_queue.py
@@ -13,14 +13,14 @@
 EXTRA_TRANSMITS = 3
 MAX_TRANSMITS = 16
 # A change takes about 100 bytes, so a full queue takes 0.4 MB.
-MAX_QUEUED = 4096
+MAX_QUEUED_CHANGES = 4096
 
 # Node name, incarnation, and for a target change its sequence number and 1, for
 # a member record its refutation number and negative state.
-Key = tuple[str, int, int, int]
+ChangeKey = tuple[str, int, int, int]
 
 
-def transmits_of(nodes: int) -> int:
+def transmit_count(nodes: int) -> int:
     """Returns how often each node of a fleet of this size sends a change."""
     count = math.ceil(math.log(nodes + 1)) + EXTRA_TRANSMITS
     return min(count, MAX_TRANSMITS)
@@ -30,7 +30,7 @@
     """Changes to send, ordered by how often they have been sent."""
 
     def __init__(self) -> None:
-        self._levels: list[dict[Key, bytes]] = [
+        self._levels: list[dict[ChangeKey, bytes]] = [
             {} for _ in range(MAX_TRANSMITS)
         ]
         self._length = 0
@@ -38,14 +38,14 @@
     def __len__(self) -> int:
         return self._length
 
-    def put(self, key: Key, payload: bytes) -> None:
+    def put(self, key: ChangeKey, payload: bytes) -> None:
         """Adds a change.
 
         A full queue drops the oldest of the changes that were sent most often:
         other nodes have it already, or get it by anti-entropy. Without the
         limit a mass restart would exhaust memory.
         """
-        if self._length >= MAX_QUEUED:
+        if self._length >= MAX_QUEUED_CHANGES:
             fullest = next(item for item in reversed(self._levels) if item)
             fullest.pop(next(iter(fullest)))
             self._length -= 1
@@ -59,8 +59,8 @@
           remaining_bytes: maximum size of the changes.
           nodes: number of nodes in the fleet.
         """
-        transmits = transmits_of(nodes)
-        selected: list[tuple[int, Key, bytes]] = []
+        transmits = transmit_count(nodes)
+        selected: list[tuple[int, ChangeKey, bytes]] = []
         for level, items in enumerate(self._levels):
             for key, payload in items.items():
                 remaining_bytes -= len(payload) + 4
--- a/endivewind/nodes/changes.py
+++ b/endivewind/nodes/changes.py
@@ -25,17 +25,17 @@
 
 @encode.register
 def _(change: membership.MemberRecord) -> bytes:
-    return write(codec.messages.Change(member=member_out(change)))
+    return write_struct(codec.messages.Change(member=encode_member(change)))
 
 
 @encode.register
 def _(change: records.TargetChange) -> bytes:
-    target = target_out(change.record)
+    target = encode_target(change.record)
     target.home = change.record.home
     target.home_incarnation = change.record.home_incarnation
     if change.is_removal:
         target.gone = True
-    return write(codec.messages.Change(target=target))
+    return write_struct(codec.messages.Change(target=target))
 
 
 # A node receives each change about a dozen times; the cache avoids decoding it
@@ -50,20 +50,20 @@
     Raises:
       codec.FrameError: if the bytes are not a valid change.
     """
-    change = read(payload, codec.messages.Change())
+    change = read_struct(payload, codec.messages.Change())
     try:
         if change.member:
-            return member_in(change.member)
+            return decode_member(change.member)
         if change.target:
             target = change.target
-            record = target_in(target, target.home, target.home_incarnation)
+            record = decode_target(target, target.home, target.home_incarnation)
             return records.TargetChange(record, bool(target.gone))
     except (TypeError, ValueError) as error:
         raise codec.FrameError(str(error)) from error
     return None
 
 
-def member_out(record: membership.MemberRecord) -> Any:
+def encode_member(record: membership.MemberRecord) -> Any:
     """Converts a member record to a thrift struct."""
     node = record.node
     return codec.messages.Member(
@@ -77,7 +77,7 @@
     )
 
 
-def member_in(member: Any) -> membership.MemberRecord:
+def decode_member(member: Any) -> membership.MemberRecord:
     """Converts a thrift struct to a member record."""
     if not (member.name and member.address and member.incarnation):
         raise ValueError("member without name, address or incarnation")
@@ -92,7 +92,7 @@
     return membership.MemberRecord(node, member.refutation or 0, state)
 
 
-def target_out(record: records.TargetRecord) -> Any:
+def encode_target(record: records.TargetRecord) -> Any:
     """Converts a target record to a thrift struct without its home."""
     return codec.messages.TargetChange(
         sequence=record.sequence,
@@ -107,7 +107,9 @@
     )
 
 
-def target_in(target: Any, home: str, incarnation: int) -> records.TargetRecord:
+def decode_target(
+    target: Any, home: str, incarnation: int
+) -> records.TargetRecord:
     """Converts a thrift struct to a target record.
 
     The region and zone stay empty; the view adds those of the home.
@@ -125,13 +127,13 @@
         slots=target.slots,
         weight=target.weight,
         state=records.State(target.state),
-        health=records.Health(target.health),
+        health=records.EjectionStatus(target.health),
         target_incarnation=target.target_incarnation or 0,
         moves=target.moves or 0,
     )
 
 
-def write(struct: Any) -> bytes:
+def write_struct(struct: Any) -> bytes:
     """Encodes a thrift struct in thrift's binary form."""
     buffer = transport.TCyMemoryBuffer()
     protocol.TCyBinaryProtocol(buffer).write_struct(struct)
@@ -139,7 +141,7 @@
     return payload
 
 
-def read(payload: bytes, struct: Any) -> Any:
+def read_struct(payload: bytes, struct: Any) -> Any:
     """Decodes bytes into a thrift struct and returns it.
 
     Raises:
--- a/endivewind/nodes/codec.py
+++ b/endivewind/nodes/codec.py
@@ -66,18 +66,18 @@
     return decode_frame(await reader.readexactly(length))
 
 
-def encode_target_status(report: exchange.TargetStatus | None) -> Any:
+def encode_target_report(report: exchange.TargetReport | None) -> Any:
     """Converts a target report to a thrift struct."""
     if report is None:
         return None
-    return messages.TargetStatus(report.load, round(100 * report.suspicion))
+    return messages.TargetReport(report.load, round(100 * report.suspicion))
 
 
-def decode_target_status(report: Any) -> exchange.TargetStatus | None:
+def decode_target_report(report: Any) -> exchange.TargetReport | None:
     """Converts a thrift struct to a target report."""
     if report is None:
         return None
-    return exchange.TargetStatus(
+    return exchange.TargetReport(
         report.load or 0, (report.suspicion or 0) / 100
     )
 
--- a/endivewind/nodes/configuration.py
+++ b/endivewind/nodes/configuration.py
@@ -16,14 +16,14 @@
 
 from endivewind import clock as clocks
 from endivewind import logs
-from endivewind.config import joining
-from endivewind.config import spreading
+from endivewind.config import readiness
+from endivewind.config import replication
 from endivewind.config import store
 from endivewind.config import watchers
 from endivewind.durable import retries
-from endivewind.nodes import asking
 from endivewind.nodes import codec
 from endivewind.nodes import links
+from endivewind.nodes import version_queries
 from endivewind.nodes import view
 from endivewind.platform import messages
 
@@ -31,19 +31,19 @@
 
 # Bounds the tasks that an unresponsive peer can accumulate. The next digest
 # repairs the effect of a dropped message.
-MAX_SENDING = 64
+MAX_CONCURRENT_SENDS = 64
 # A node that joins running peers has received its configuration by then.
-PEERS_FIRST = datetime.timedelta(milliseconds=500)
+PEER_BOOTSTRAP_TIMEOUT = datetime.timedelta(milliseconds=500)
 # If no peer has responded by then, all nodes are starting at once, and the
 # first ones query the platform. Callers are refused until it responds.
-ALONE_FIRST = datetime.timedelta(milliseconds=150)
+LONE_BOOTSTRAP_TIMEOUT = datetime.timedelta(milliseconds=150)
 # How long the watcher role is cached while the number of nodes is unchanged.
-ROLE_LIFE = datetime.timedelta(seconds=1)
+WATCHER_ROLE_TTL = datetime.timedelta(seconds=1)
 # Each node sends a digest to one peer about every two seconds; one in ten is
 # lost.
-PEERS_SILENT = datetime.timedelta(seconds=30)
+PEER_SILENCE_TIMEOUT = datetime.timedelta(seconds=30)
 
-InForce = collections.abc.Callable[[store.Key], None]
+InForceCallback = collections.abc.Callable[[store.Key], None]
 
 
 class ConfigurationPeer:
@@ -57,7 +57,7 @@
         fleet: view.FleetView,
         pool: links.LinkPool,
         budget: retries.CallBudget,
-        in_force: InForce,
+        in_force: InForceCallback,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
@@ -69,21 +69,21 @@
         self._in_force = in_force
         self._clock = clock
         self._rng = rng
-        self._spreader = spreading.Spreader(
+        self._spreader = replication.Replicator(
             own_record.name, own_record.region, configuration, self._peers, rng
         )
-        self._joining = joining.Joining(self._spreader, kinds)
-        self._version_queries = asking.Asking(
+        self._joining = readiness.Readiness(self._spreader, kinds)
+        self._version_queries = version_queries.VersionQueries(
             own_record.name, configuration, fleet, pool
         )
         self._send_tasks: set[asyncio.Task[None]] = set()
         # Number of nodes and time at the last update of the watcher role.
-        self._role_updated = (0, -ROLE_LIFE)
+        self._role_updated = (0, -WATCHER_ROLE_TTL)
         self._is_watcher = True
         self._started = clock.monotonic()
 
     @property
-    def asking(self) -> asking.Asking:
+    def version_queries(self) -> version_queries.VersionQueries:
         """Queries the fleet for the versions in force."""
         return self._version_queries
 
@@ -98,7 +98,7 @@
         nodes = len(self._fleet.nodes)
         if (
             nodes != self._role_updated[0]
-            or now - self._role_updated[1] >= ROLE_LIFE
+            or now - self._role_updated[1] >= WATCHER_ROLE_TTL
         ):
             self._role_updated = (nodes, now)
             self._is_watcher = watchers.is_watcher(
@@ -107,27 +107,31 @@
         return self._is_watcher
 
     @property
-    def lacks_peers(self) -> bool:
+    def needs_platform(self) -> bool:
         """Whether this node must query the platform because no peer responds.
 
         Peers respond to a starting node within a few hundred milliseconds.
         Afterwards a node finds itself in agreement with some peer every few
         seconds.
         """
-        timeout = PEERS_SILENT
+        timeout = PEER_SILENCE_TIMEOUT
         if self.missing():
             # The oldest node queries the platform early, the others get the
             # configuration from it.
             waits_for_peers = self._peers() and not self.is_watcher
-            timeout = PEERS_FIRST if waits_for_peers else ALONE_FIRST
-        last_agreed = max(self._spreader.agreed_at, self._started)
+            timeout = (
+                PEER_BOOTSTRAP_TIMEOUT
+                if waits_for_peers
+                else LONE_BOOTSTRAP_TIMEOUT
+            )
+        last_agreed = max(self._spreader.last_agreement_at, self._started)
         return self._clock.monotonic() - last_agreed >= timeout
 
     def missing(self) -> str | None:
         """Returns what is missing from the configuration; None if nothing."""
-        return self._joining.missing(len(self._peers()))
+        return self._joining.not_ready_reason(len(self._peers()))
 
-    def seen(self, stored: messages.StoredObject) -> None:
+    def apply_platform_object(self, stored: messages.StoredObject) -> None:
         """Applies an object that was read from the platform."""
         key = store.Key(stored.kind, stored.name)
         before = self._store.stamp(key)
@@ -138,28 +142,28 @@
             case expression.Result(tag="error", error=rejection):
                 log.error("object refused: %s", rejection)
         if self._store.stamp(key) != before:
-            self._spreader.taken(key)
+            self._spreader.add_rumour(key)
             self._send(self._spreader.tick(self._clock.monotonic()))
 
-    def listed(self, kind: str) -> None:
+    def mark_listed(self, kind: str) -> None:
         """Records that all objects of a kind have been read."""
-        self._joining.listed(kind)
+        self._joining.mark_listed(kind)
 
-    def frame(self, frame: Any) -> None:
+    def handle_frame(self, frame: Any) -> None:
         """Processes a frame from a peer."""
         if frame.configuration:
             self._handle_message(frame.configuration)
         elif frame.configuration_ask:
-            answer = self._version_queries.answer(frame.configuration_ask)
+            answer = self._version_queries.handle_query(frame.configuration_ask)
             peer = self._fleet.nodes.get(frame.configuration_ask.sender)
             if peer is not None:
                 self._send_frame(peer.address, answer)
         else:
-            self._version_queries.answered(frame.configuration_state)
+            self._version_queries.handle_response(frame.configuration_state)
 
     def _handle_message(self, message: Any) -> None:
         now = self._clock.monotonic()
-        result = self._spreader.received(message_in(message), now)
+        result = self._spreader.handle_message(decode_message(message), now)
         for key in result.in_force:
             self._notify_in_force(key, message.sender)
         for rejection in result.rejections:
@@ -170,17 +174,23 @@
         """Sends digests periodically until cancelled."""
         is_ready = False
         while True:
-            period = spreading.TICK if is_ready else spreading.JOINING_PERIOD
+            period = (
+                replication.TICK_INTERVAL
+                if is_ready
+                else replication.JOINING_DIGEST_PERIOD
+            )
             await asyncio.sleep(period.total_seconds())
-            self._budget.set_nodes(self._budget_sharer_count())
+            self._budget.set_node_count(self._budget_sharer_count())
             if not is_ready and self.missing() is None:
                 is_ready = True
-                agreed = sorted(self._spreader.agreed)
+                agreed = sorted(self._spreader.agreeing_peers)
                 log.info("ready", extra=logs.fields(agreed=agreed))
             self._send(self._spreader.tick(self._clock.monotonic()))
 
     def _budget_sharer_count(self) -> int:
-        return watchers.sharers(self._own_record, self._fleet.nodes.values())
+        return watchers.budget_sharer_count(
+            self._own_record, self._fleet.nodes.values()
+        )
 
     def _peers(self) -> list[view.NodeRecord]:
         own = self._own_record.name
@@ -191,17 +201,17 @@
         fields = logs.fields(
             kind=key.kind,
             object=key.name,
-            version=self._store.in_force(key),
+            version=self._store.version_in_force(key),
             source=source,
         )
         log.info("in force", extra=fields)
 
-    def _send(self, outgoing: list[spreading.Outgoing]) -> None:
+    def _send(self, outgoing: list[replication.OutgoingMessage]) -> None:
         for item in outgoing:
             peer = self._fleet.nodes.get(item.to)
-            if peer is None or len(self._send_tasks) >= MAX_SENDING:
+            if peer is None or len(self._send_tasks) >= MAX_CONCURRENT_SENDS:
                 continue
-            wire = message_out(item.message)
+            wire = encode_message(item.message)
             frame = codec.messages.Frame(configuration=wire)
             self._send_frame(peer.address, frame)
 
@@ -215,16 +225,22 @@
             log.debug("sending configuration to %s failed", address)
 
 
-def message_out(message: spreading.Message) -> Any:
+def encode_message(message: replication.Message) -> Any:
     """Converts a message to a thrift struct."""
     return codec.messages.Configuration(
         sender=message.sender,
         ready=message.ready,
         digest=list(message.digest),
         same=message.same,
-        have=[asking.stamp_out(item.key, item.stamp) for item in message.have],
+        have=[
+            version_queries.encode_stamp(item.key, item.stamp)
+            for item in message.have
+        ],
         buckets=list(message.buckets),
-        want=[asking.stamp_out(key, store.ABSENT) for key in message.want],
+        want=[
+            version_queries.encode_stamp(key, store.ABSENT_STAMP)
+            for key in message.want
+        ],
         objects=[
             codec.messages.ConfigurationObject(
                 kind=item.key.kind,
@@ -237,15 +253,15 @@
     )
 
 
-def message_in(message: Any) -> spreading.Message:
+def decode_message(message: Any) -> replication.Message:
     """Converts a thrift struct to a message; missing fields become empty."""
-    return spreading.Message(
+    return replication.Message(
         sender=message.sender or "",
         ready=bool(message.ready),
         digest=tuple(message.digest or ()),
         same=bool(message.same),
         have=tuple(
-            spreading.Have(
+            replication.Advertisement(
                 store.Key(item.kind, item.name),
                 store.Stamp(item.version, item.fingerprint),
             )
@@ -256,7 +272,7 @@
             store.Key(item.kind, item.name) for item in message.want or ()
         ),
         objects=tuple(
-            spreading.Packed(
+            replication.PackedObject(
                 store.Key(item.kind, item.name), item.version, item.packed
             )
             for item in message.objects or ()
--- a/endivewind/nodes/datagrams.py
+++ b/endivewind/nodes/datagrams.py
@@ -14,7 +14,7 @@
 
 from endivewind import exchange
 from endivewind.decisions import peer_updates
-from endivewind.decisions import retries
+from endivewind.decisions import retry_budget
 from endivewind.nodes import changes
 from endivewind.nodes import codec
 from endivewind.nodes import digests
@@ -35,7 +35,9 @@
 # datagram that a node sends.
 _MAX_DECOMPRESSED_BYTES = 65_536
 
-Received = collections.abc.Callable[[str, gossip_messages.Datagram], None]
+DatagramHandler = collections.abc.Callable[
+    [str, gossip_messages.Datagram], None
+]
 
 
 def encode(datagram: gossip_messages.Datagram, key: bytes = b"") -> bytes:
@@ -48,23 +50,25 @@
         relay=datagram.relay or None,
         changes=list(datagram.changes) or None,
         buckets=list(datagram.buckets) or None,
-        compared=list(datagram.compared) or None,
+        compared=list(datagram.compared_buckets) or None,
         versions=[_encode_version(item) for item in datagram.versions] or None,
         conditions=[
-            _encode_target_update(item) for item in datagram.news.target_updates
+            _encode_target_update(item)
+            for item in datagram.peer_update.target_updates
         ]
         or None,
         tallies=[
-            _encode_retry_usage(item) for item in datagram.news.retry_usages
+            _encode_retry_usage(item)
+            for item in datagram.peer_update.retry_usages
         ]
         or None,
         ways=[
-            codec.messages.IngressRoute(item.service, item.prefix)
-            for item in datagram.news.ingress_routes
+            codec.messages.EntryRoute(item.service, item.prefix)
+            for item in datagram.peer_update.entry_routes
         ]
         or None,
     )
-    payload = _compress(changes.write(struct))
+    payload = _compress(changes.write_struct(struct))
     return _sign(payload, key) + payload if key else payload
 
 
@@ -83,7 +87,9 @@
         signature, payload = data[:_SIGNATURE_BYTES], data[_SIGNATURE_BYTES:]
         if not hmac.compare_digest(signature, _sign(payload, key)):
             raise codec.FrameError("wrong signature")
-    struct = changes.read(_decompress(payload), codec.messages.Datagram())
+    struct = changes.read_struct(
+        _decompress(payload), codec.messages.Datagram()
+    )
     if not struct.sender:
         raise codec.FrameError("datagram without a sender")
     try:
@@ -95,11 +101,11 @@
             relay=struct.relay or "",
             changes=tuple(_to_bytes(item) for item in struct.changes or ()),
             buckets=tuple(struct.buckets or ()),
-            compared=tuple(struct.compared or ()),
+            compared_buckets=tuple(struct.compared or ()),
             versions=tuple(
                 _decode_version(item) for item in struct.versions or ()
             ),
-            news=peer_updates.PeerUpdate(
+            peer_update=peer_updates.PeerUpdate(
                 tuple(
                     _decode_target_update(item)
                     for item in struct.conditions or ()
@@ -172,8 +178,8 @@
 def _encode_target_update(update: peer_updates.TargetUpdate) -> Any:
     return codec.messages.TargetUpdate(
         target=update.target,
-        load=update.status.load,
-        suspicion=round(_SUSPICION_SCALE * update.status.suspicion),
+        load=update.report.load,
+        suspicion=round(_SUSPICION_SCALE * update.report.suspicion),
     )
 
 
@@ -182,7 +188,7 @@
         raise ValueError("target update without a target")
     suspicion = min(max(0, update.suspicion or 0), _SUSPICION_SCALE)
     load = max(0, update.load or 0)
-    status = exchange.TargetStatus(load, suspicion / _SUSPICION_SCALE)
+    status = exchange.TargetReport(load, suspicion / _SUSPICION_SCALE)
     return peer_updates.TargetUpdate(update.target, status)
 
 
@@ -198,20 +204,20 @@
     if not usage.service_name:
         raise ValueError("retry usage without a service")
     requests = max(0, usage.requests or 0)
-    count = retries.RequestCounts(requests, max(0, usage.retries or 0))
+    count = retry_budget.RequestCounts(requests, max(0, usage.retries or 0))
     return peer_updates.RetryUsage(usage.service_name, count)
 
 
-def _decode_ingress_route(route: Any) -> peer_updates.IngressRoute:
+def _decode_ingress_route(route: Any) -> peer_updates.EntryRoute:
     if not route.service_name:
         raise ValueError("ingress route without a service")
-    return peer_updates.IngressRoute(route.service_name, route.prefix or "")
+    return peer_updates.EntryRoute(route.service_name, route.prefix or "")
 
 
 def _traffic_kind(datagram: gossip_messages.Datagram) -> traffic.Kind:
     """Returns the traffic kind that a datagram's bytes are counted as."""
-    if datagram.news:
-        return traffic.Kind.NEWS
+    if datagram.peer_update:
+        return traffic.Kind.PEER_UPDATES
     return traffic.Kind.CHANGES if datagram.changes else traffic.Kind.PROBES
 
 
@@ -220,13 +226,13 @@
 
     def __init__(
         self,
-        handler: Received,
+        handler: DatagramHandler,
         key: bytes = b"",
         meter: traffic.Meter | None = None,
     ) -> None:
         self._handler = handler
         self._key = key
-        self._meter = meter or traffic.Unmetered()
+        self._meter = meter or traffic.NullMeter()
         self._transport: asyncio.DatagramTransport | None = None
         self._sent_bytes = 0
         self._received_bytes = 0
@@ -260,7 +266,7 @@
         host, _, port = address.rpartition(":")
         data = encode(datagram, self._key)
         self._sent_bytes += len(data)
-        self._meter.sent(_traffic_kind(datagram), address, len(data))
+        self._meter.record_sent(_traffic_kind(datagram), address, len(data))
         self._transport.sendto(data, (host.strip("[]"), int(port)))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/endivewind/nodes/digests.py
+++ b/endivewind/nodes/digests.py
@@ -11,7 +11,7 @@
 from endivewind.nodes import view
 
 # With 760 nodes a bucket holds six, whose versions fit into one datagram.
-BUCKETS = 128
+BUCKET_COUNT = 128
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -29,20 +29,20 @@
     home: view.HomeVersion
 
     @property
-    def text(self) -> str:
+    def canonical_text(self) -> str:
         """The input of the hash; equal on all nodes for equal versions."""
         incarnation, refutation, state = self.member
         member_text = f"{self.name} {incarnation} {refutation} {int(state)}"
         return f"{member_text} {self.home.incarnation} {self.home.sequence}"
 
 
-class Digests:
+class BucketDigests:
     """Digests of all nodes' versions, updated incrementally."""
 
     def __init__(self) -> None:
         self._hashes: dict[str, int] = {}
-        self._buckets = [0] * BUCKETS
-        self._names: list[set[str]] = [set() for _ in range(BUCKETS)]
+        self._buckets = [0] * BUCKET_COUNT
+        self._names: list[set[str]] = [set() for _ in range(BUCKET_COUNT)]
         self._summary = 0
 
     @property
@@ -55,7 +55,7 @@
         """Digests by bucket index."""
         return tuple(self._buckets)
 
-    def names(self, bucket: int) -> collections.abc.Set[str]:
+    def names_in(self, bucket: int) -> collections.abc.Set[str]:
         """Returns the names of the nodes in a bucket."""
         return self._names[bucket]
 
@@ -65,7 +65,7 @@
         old_hash = self._hashes.pop(name, 0)
         new_hash = 0
         if version is not None:
-            new_hash = _hash(version.text)
+            new_hash = _hash(version.canonical_text)
             self._hashes[name] = new_hash
             self._names[bucket].add(name)
         else:
@@ -76,7 +76,7 @@
 
 def bucket_of(name: str) -> int:
     """Returns the bucket index of a node; the same on all nodes."""
-    return _hash(name) % BUCKETS
+    return _hash(name) % BUCKET_COUNT
 
 
 def _hash(text: str) -> int:
--- a/endivewind/nodes/discovery.py
+++ b/endivewind/nodes/discovery.py
@@ -24,14 +24,14 @@
 # Delay between a node's registration and its first listing, which should
 # contain nodes that registered at the same time. Doubles with each listing
 # after which nodes may still be missing.
-FIRST_LOOK = datetime.timedelta(milliseconds=500)
+FIRST_LISTING_DELAY = datetime.timedelta(milliseconds=500)
 # Interval of listings once no node is missing. They find nodes that could not
 # be reached for longer than membership keeps dead members. With 760 nodes this
 # amounts to 1.3 reads per second.
-LOOK_PERIOD = datetime.timedelta(minutes=10)
+LISTING_PERIOD = datetime.timedelta(minutes=10)
 # A registered node that membership has not known for this long is not going to
 # come back.
-GONE_AFTER = datetime.timedelta(minutes=10)
+REMOVAL_DELAY = datetime.timedelta(minutes=10)
 
 
 class Discovery:
@@ -73,7 +73,7 @@
         self._backoff = retries.Backoff(rng)
         self._listings: dict[str, directories.ZoneListing] = {}
         self._registered_version: int | None = None
-        self._listing_delay = FIRST_LOOK
+        self._listing_delay = FIRST_LISTING_DELAY
         self._absent_since: dict[tuple[str, int], datetime.timedelta] = {}
         self._listing_count = itertools.count()
         if initial_listing is not None:
@@ -85,7 +85,7 @@
         return bool(self._listings or self._seeds)
 
     @property
-    def is_settled(self) -> bool:
+    def has_complete_listing(self) -> bool:
         """Whether all nodes that registered earlier in this zone are known."""
         listing = self._listings.get(self._me.zone)
         if self._registered_version is None or listing is None:
@@ -94,7 +94,7 @@
 
     async def run(self) -> None:
         """Registers and lists zones until a later start replaces this one."""
-        while not self._members.superseded:
+        while not self._members.is_superseded:
             delay = await self._register()
             await asyncio.sleep(delay or self._next_delay())
             for zone in self._due_zones():
@@ -112,27 +112,27 @@
             return self._backoff.next_seconds(written.error)
         self._backoff.reset()
         self._registered_version = written.ok
-        self._listing_delay = FIRST_LOOK
+        self._listing_delay = FIRST_LISTING_DELAY
         self._on_registered()
         return 0.0
 
     def _previous_version(self) -> int:
         """Returns the version of an earlier start's registration; 0 if none."""
         listing = self._listings.get(self._me.zone)
-        known = listing.found.get(self._me.name) if listing else None
+        known = listing.registrations.get(self._me.name) if listing else None
         return known.version if known else 0
 
     def _next_delay(self) -> float:
         """Returns the seconds until the next listing."""
-        delay = LOOK_PERIOD
-        if not self.is_settled or self._unreached_zones():
+        delay = LISTING_PERIOD
+        if not self.has_complete_listing or self._unreached_zones():
             delay = self._listing_delay
-            self._listing_delay = min(2 * self._listing_delay, LOOK_PERIOD)
+            self._listing_delay = min(2 * self._listing_delay, LISTING_PERIOD)
         return delay.total_seconds() * self._rng.uniform(0.5, 1.5)
 
     def _due_zones(self) -> list[str]:
         """Returns the zones to list now."""
-        result = [] if self.is_settled else [self._me.zone]
+        result = [] if self.has_complete_listing else [self._me.zone]
         unreached = self._unreached_zones()
         if unreached:
             result.append(self._rng.choice(unreached))
@@ -152,15 +152,15 @@
         return self._rng.choice(other_zones)
 
     async def _list_zone(self, zone: str) -> None:
-        listed = await self._directory.listed(zone)
+        listed = await self._directory.list_zone(zone)
         if listed.is_error():
             log.warning("node listing failed: %s", listed.error)
             await asyncio.sleep(self._backoff.next_seconds(listed.error))
             return
         self._backoff.reset()
         self._store_listing(zone, listed.ok)
-        if zone == self._me.zone and self.is_settled:
-            if self._me.name not in listed.ok.found:
+        if zone == self._me.zone and self.has_complete_listing:
+            if self._me.name not in listed.ok.registrations:
                 log.warning("registration is missing; registering again")
                 self._registered_version = None
             await self._remove_stale(listed.ok)
@@ -184,7 +184,7 @@
         """
         stale = {
             (item.node.name, item.version): item
-            for item in listing.found.values()
+            for item in listing.registrations.values()
             if not self._is_known(item.node)
         }
         now = self._clock.monotonic()
@@ -192,16 +192,18 @@
             key: self._absent_since.get(key, now) for key in stale
         }
         peers = [item.node for item in self._members.peers()]
-        if self._members.doubtful or not watchers.is_oldest(self._me, peers):
+        if self._members.is_probably_isolated or not watchers.is_oldest_in_zone(
+            self._me, peers
+        ):
             return
         for key, since in self._absent_since.items():
-            if now - since >= GONE_AFTER:
+            if now - since >= REMOVAL_DELAY:
                 await self._directory.remove(stale[key])
                 log.info("node removed", extra=logs.fields(node=key[0]))
 
     def _is_known(self, node: view.NodeRecord) -> bool:
         known = self._members.members.get(node.name)
-        return known is not None and known.usable
+        return known is not None and known.is_usable
 
     @property
     def _me(self) -> view.NodeRecord:
--- a/endivewind/nodes/gossip.py
+++ b/endivewind/nodes/gossip.py
@@ -12,12 +12,12 @@
 
 from endivewind import clock as clocks
 from endivewind.decisions import peer_updates
+from endivewind.nodes import change_queue
 from endivewind.nodes import changes
 from endivewind.nodes import codec
 from endivewind.nodes import gossip_messages as messages
 from endivewind.nodes import membership
 from endivewind.nodes import repair
-from endivewind.nodes import transmission
 from endivewind.nodes import view
 from endivewind.targets import records
 
@@ -28,15 +28,15 @@
 # and each region from other regions. Traffic between zones and regions is
 # billed, traffic within a zone is free. With six copies, one change in 400
 # reaches a zone only by repair, some seconds later.
-INBOUND = 6
+INBOUND_COPIES = 6
 # Maximum share of pushes that leave the zone or the region, which matters for
 # zones of only one or two nodes.
-MOST_CROSSING = 1 / 2
+MAX_CROSS_ZONE_SHARE = 1 / 2
 # Time after which a node counts as joined without having received a state.
 # When a whole fleet restarts, no node has a state to send. Without a timeout
 # the nodes would send pulls to each other forever, and callers would wait for
 # a fleet in which each node waits for the others.
-JOIN_LIMIT = datetime.timedelta(seconds=1)
+JOIN_TIMEOUT = datetime.timedelta(seconds=1)
 
 
 class Gossip:
@@ -53,7 +53,7 @@
         self._view = fleet
         self._clock = clock
         self._rng = rng
-        self._queue = transmission.ChangeQueue()
+        self._queue = change_queue.ChangeQueue()
         self._repair = repair.Repair(members, fleet, clock, rng)
         self._received_records: list[records.TargetRecord] = []
         self._member_changes: list[membership.MemberRecord] = []
@@ -65,11 +65,11 @@
             self._update_view(record)
 
     @property
-    def joined(self) -> bool:
+    def has_joined(self) -> bool:
         """Whether a peer's full state has arrived or none is available."""
         if self._has_joined or not self._members.has_contacts():
             return True
-        return self._clock.monotonic() - self._join_started > JOIN_LIMIT
+        return self._clock.monotonic() - self._join_started > JOIN_TIMEOUT
 
     @property
     def has_state(self) -> bool:
@@ -82,16 +82,16 @@
         return self._repair.summary
 
     @property
-    def queued(self) -> int:
+    def queued_changes(self) -> int:
         """Number of changes that are queued for dissemination."""
         return len(self._queue)
 
-    def take_heard(self) -> list[records.TargetRecord]:
+    def take_received_records(self) -> list[records.TargetRecord]:
         """Returns other homes' target records received since the last call."""
         received, self._received_records = self._received_records, []
         return received
 
-    def take_left(self) -> list[tuple[str, int]]:
+    def take_departed_targets(self) -> list[tuple[str, int]]:
         """Returns targets that departed from an earlier start of this node.
 
         Returns:
@@ -100,7 +100,7 @@
         departed, self._departed_targets = self._departed_targets, []
         return departed
 
-    def take_turns(self) -> list[membership.MemberRecord]:
+    def take_member_changes(self) -> list[membership.MemberRecord]:
         """Returns the member records that have changed since the last call."""
         changed, self._member_changes = self._member_changes, []
         return changed
@@ -118,9 +118,9 @@
         """Announces this start and begins to ask a peer for its full state."""
         self._join_started = self._clock.monotonic()
         self._has_joined = False
-        self.introduce()
+        self.announce_self()
 
-    def introduce(self) -> None:
+    def announce_self(self) -> None:
         """Queues this node's own member record for dissemination."""
         self._enqueue(self._members.me)
 
@@ -129,7 +129,9 @@
         self._handle_outputs(self._members.leave(), None)
         return self.push()
 
-    def tell(self, update: peer_updates.PeerUpdate) -> list[messages.Send]:
+    def push_update(
+        self, update: peer_updates.PeerUpdate
+    ) -> list[messages.Send]:
         """Sends an update to nodes of this zone, and partly to the region.
 
         Retry usages go to other zones of the region as well if the region is
@@ -141,15 +143,13 @@
         region = [item for item in peers if item.node.region == me.region]
         zone = [item for item in region if item.node.zone == me.zone]
         sends = []
-        if update.ingress_routes:
-            routes = peer_updates.PeerUpdate(
-                ingress_routes=update.ingress_routes
-            )
+        if update.entry_routes:
+            routes = peer_updates.PeerUpdate(entry_routes=update.entry_routes)
             sends = [
                 self._make_update(item, routes)
                 for item in self._sample(zone, 1)
             ]
-            update = dataclasses.replace(update, ingress_routes=())
+            update = dataclasses.replace(update, entry_routes=())
         if update:
             sends.extend(
                 self._make_update(item, update)
@@ -172,7 +172,7 @@
         me = self._members.me.node.name
         return messages.Send(
             receiver.node.address,
-            messages.Datagram(me, self.summary, news=update),
+            messages.Datagram(me, self.summary, peer_update=update),
         )
 
     def tick(self) -> list[messages.Send]:
@@ -194,7 +194,7 @@
         for payload in message.changes:
             self._handle_change(payload)
         known = self._members.members.get(message.sender)
-        is_unknown = known is None or not known.usable
+        is_unknown = known is None or not known.is_usable
         has_refuted = self._members.me is not before
         extra_changes: tuple[bytes, ...] = ()
         is_suspected = bool(message.ping) and self._carries_suspicion(
@@ -205,12 +205,14 @@
         outputs: list[membership.Output] = []
         if message.ping and message.relay:
             outputs.extend(
-                self._members.relayed(address, message.ping, message.relay)
+                self._members.handle_ping_request(
+                    address, message.ping, message.relay
+                )
             )
         elif message.ping:
-            outputs.extend(self._members.pinged(address, message.ping))
+            outputs.extend(self._members.handle_ping(address, message.ping))
         if message.ack:
-            outputs.extend(self._members.acked(message.ack))
+            outputs.extend(self._members.handle_ack(message.ack))
         sends = self._handle_outputs(outputs, extra_changes)
         if has_refuted and not message.ping:
             sends.append(
@@ -222,7 +224,7 @@
             self._repair.compare(
                 self._link_address(address, message),
                 message,
-                joined=self.joined,
+                has_joined=self.has_joined,
             )
         )
         return sends
@@ -256,16 +258,16 @@
             self._merge_member(member, is_forwarded=False)
         for home in state.homes:
             self._handle_home_state(home)
-        self._departed_targets.extend(state.left)
-        self._has_joined = self._has_joined or state.last
-        self._has_state = self._has_state or state.last
+        self._departed_targets.extend(state.departed_targets)
+        self._has_joined = self._has_joined or state.is_last
+        self._has_state = self._has_state or state.is_last
         return []
 
-    def answer(
+    def answer_pull(
         self, pull: messages.Pull
     ) -> collections.abc.Iterator[messages.FleetState]:
         """Yields the state that a pull asks for, in parts of bounded size."""
-        return self._repair.answer(pull, joined=self.joined)
+        return self._repair.answer_pull(pull, has_joined=self.has_joined)
 
     def _handle_change(self, payload: bytes) -> None:
         try:
@@ -311,7 +313,7 @@
         self, record: membership.MemberRecord, *, is_forwarded: bool
     ) -> None:
         for output in self._members.merge(record):
-            if isinstance(output, membership.Spread):
+            if isinstance(output, membership.Disseminate):
                 is_own = output.record.node.name == self._members.me.node.name
                 self._update_view(output.record)
                 if is_forwarded or is_own:
@@ -324,7 +326,7 @@
     def _update_view(self, record: membership.MemberRecord) -> None:
         self._member_changes.append(record)
         is_own = record.node.name == self._members.me.node.name
-        if record.usable or is_own:
+        if record.is_usable or is_own:
             # A leaving node keeps its own targets until it has stopped.
             self._view.put_node(record.node)
         else:
@@ -360,14 +362,14 @@
         sends: list[messages.Send] = []
         for item in outputs:
             match item:
-                case membership.Spread(record):
+                case membership.Disseminate(record):
                     self._disseminate(record)
-                case membership.Forgotten(name):
-                    self._view.remove_home(name)
-                    self._repair.forget(name)
+                case membership.MemberRemoved(name):
+                    self._view.remove_home_targets(name)
+                    self._repair.remove_node(name)
                 case membership.Ping():
                     sends.append(self._make_ping(item))
-                case membership.Relay(address, number, member):
+                case membership.PingRequest(address, number, member):
                     datagram = self._make_datagram(ping=number, relay=member)
                     sends.append(messages.Send(address, datagram))
                 case membership.Ack(address, number):
@@ -379,9 +381,9 @@
 
     def _make_ping(self, ping: membership.Ping) -> messages.Send:
         extra_changes: tuple[bytes, ...] = ()
-        if ping.about is not None:
-            extra_changes = (changes.encode(ping.about),)
-        if ping.contact:
+        if ping.known_record is not None:
+            extra_changes = (changes.encode(ping.known_record),)
+        if ping.is_introduction:
             extra_changes = (*extra_changes, changes.encode(self._members.me))
         datagram = self._make_datagram(
             ping=ping.number, extra_changes=extra_changes
@@ -396,7 +398,9 @@
         relay: str = "",
         extra_changes: tuple[bytes, ...] = (),
     ) -> messages.Datagram:
-        max_bytes = repair.ROOM - sum(len(item) + 4 for item in extra_changes)
+        max_bytes = repair.MAX_PAYLOAD_BYTES - sum(
+            len(item) + 4 for item in extra_changes
+        )
         return messages.Datagram(
             self._members.me.node.name,
             self.summary,
@@ -430,20 +434,23 @@
                 other_zones.append(item)
             else:
                 other_regions.append(item)
-        transmits = transmission.transmits_of(
+        transmits = change_queue.transmit_count(
             len(zone) + len(other_zones) + len(other_regions) + 1
         )
         zone_count = len({item.node.zone for item in other_zones}) + 1
         region_pushes = (len(zone) + len(other_zones) + 1) * transmits
-        cross_region_share = INBOUND / region_pushes if other_regions else 0
+        cross_region_share = (
+            INBOUND_COPIES / region_pushes if other_regions else 0
+        )
         cross_zone_share = (
-            INBOUND * zone_count / region_pushes if other_zones else 0
+            INBOUND_COPIES * zone_count / region_pushes if other_zones else 0
         )
         cross_region_count = self._count_hits(
-            FAN_OUT, min(cross_region_share, MOST_CROSSING)
+            FAN_OUT, min(cross_region_share, MAX_CROSS_ZONE_SHARE)
         )
         cross_zone_count = self._count_hits(
-            FAN_OUT - cross_region_count, min(cross_zone_share, MOST_CROSSING)
+            FAN_OUT - cross_region_count,
+            min(cross_zone_share, MAX_CROSS_ZONE_SHARE),
         )
         if not zone:
             cross_zone_count = min(
@@ -467,5 +474,5 @@
         return self._rng.sample(members, min(len(members), count))
 
 
-def _change_key(record: records.TargetRecord) -> transmission.Key:
+def _change_key(record: records.TargetRecord) -> change_queue.ChangeKey:
     return (record.home, record.home_incarnation, record.sequence, 1)
--- a/endivewind/nodes/states.py
+++ b/endivewind/nodes/gossip_frames.py
@@ -10,27 +10,30 @@
 
 
 @functools.singledispatch
-def frame_out(
+def encode_message(
     message: gossip_messages.FleetState | gossip_messages.Pull,
 ) -> Any:
     """Converts a gossip message to a link frame."""
     raise TypeError(f"no frame for {type(message).__name__}")
 
 
-@frame_out.register
+@encode_message.register
 def _(message: gossip_messages.FleetState) -> Any:
     state = codec.messages.FleetState(
         sender=message.sender,
-        members=[changes.member_out(item) for item in message.members],
+        members=[changes.encode_member(item) for item in message.members],
         homes=[_encode_home(item) for item in message.homes],
-        last=message.last,
-        left=[codec.messages.DepartedTarget(*item) for item in message.left]
+        last=message.is_last,
+        left=[
+            codec.messages.DepartedTarget(*item)
+            for item in message.departed_targets
+        ]
         or None,
     )
     return codec.messages.Frame(fleet_state=state)
 
 
-@frame_out.register
+@encode_message.register
 def _(message: gossip_messages.Pull) -> Any:
     pull = codec.messages.Pull(
         sender=message.sender,
@@ -40,7 +43,9 @@
     return codec.messages.Frame(pull=pull)
 
 
-def frame_in(frame: Any) -> gossip_messages.FleetState | gossip_messages.Pull:
+def decode_message(
+    frame: Any,
+) -> gossip_messages.FleetState | gossip_messages.Pull:
     """Converts a link frame to a gossip message.
 
     Raises:
@@ -62,7 +67,7 @@
 def _decode_state(state: Any) -> gossip_messages.FleetState:
     return gossip_messages.FleetState(
         state.sender or "",
-        tuple(changes.member_in(item) for item in state.members or ()),
+        tuple(changes.decode_member(item) for item in state.members or ()),
         tuple(_decode_home(item) for item in state.homes or ()),
         bool(state.last),
         tuple((item.target, item.incarnation) for item in state.left or ()),
@@ -74,13 +79,13 @@
         home=home.home,
         incarnation=home.version.incarnation,
         sequence=home.version.sequence,
-        targets=[changes.target_out(item) for item in home.targets],
+        targets=[changes.encode_target(item) for item in home.targets],
     )
 
 
 def _decode_home(home: Any) -> view.HomeState:
     targets = tuple(
-        changes.target_in(item, home.home, home.incarnation)
+        changes.decode_target(item, home.home, home.incarnation)
         for item in home.targets or ()
     )
     version = view.HomeVersion(home.incarnation, home.sequence)
--- a/endivewind/nodes/gossip_messages.py
+++ b/endivewind/nodes/gossip_messages.py
@@ -32,9 +32,9 @@
     relay: str = ""
     changes: tuple[bytes, ...] = ()
     buckets: tuple[int, ...] = ()
-    compared: tuple[int, ...] = ()
+    compared_buckets: tuple[int, ...] = ()
     versions: tuple[digests.Version, ...] = ()
-    news: peer_updates.PeerUpdate = peer_updates.EMPTY_UPDATE
+    peer_update: peer_updates.PeerUpdate = peer_updates.EMPTY_UPDATE
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -54,8 +54,8 @@
     sender: str
     members: tuple[membership.MemberRecord, ...]
     homes: tuple[view.HomeState, ...]
-    last: bool = False
-    left: tuple[tuple[str, int], ...] = ()
+    is_last: bool = False
+    departed_targets: tuple[tuple[str, int], ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/endivewind/nodes/service.py
+++ b/endivewind/nodes/gossip_service.py
@@ -21,30 +21,32 @@
 from endivewind.nodes import datagrams
 from endivewind.nodes import discovery
 from endivewind.nodes import gossip
+from endivewind.nodes import gossip_frames
 from endivewind.nodes import gossip_messages
 from endivewind.nodes import links
 from endivewind.nodes import membership
-from endivewind.nodes import states
 from endivewind.nodes import traffic
 from endivewind.nodes import view
 from endivewind.targets import registry
 
 log = logging.getLogger(__name__)
 
-TICK = datetime.timedelta(milliseconds=100)
+TICK_INTERVAL = datetime.timedelta(milliseconds=100)
 # The response to a pull of the whole state is about 1.4 MB at full size.
-MAX_ANSWERS = 2
+MAX_CONCURRENT_PULLS = 2
 # Targets renew their lease within a third of its duration. Those that have not
 # moved after this time would be lost even if the node waited longer.
-LEAVE_WAIT = datetime.timedelta(seconds=3)
+TARGET_MOVE_TIMEOUT = datetime.timedelta(seconds=3)
 
 
 # Receives the name of a node and the update that it sent.
-Hear = collections.abc.Callable[[str, peer_updates.PeerUpdate], None]
+PeerUpdateHandler = collections.abc.Callable[
+    [str, peer_updates.PeerUpdate], None
+]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class State:
+class ReplicatedState:
     """The state that gossip keeps up to date.
 
     Attributes:
@@ -55,11 +57,11 @@
 
     fleet: view.FleetView
     targets: registry.TargetRegistry
-    hear: Hear
+    on_peer_update: PeerUpdateHandler
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Entrance:
+class Bootstrap:
     """How this node finds the fleet at its start.
 
     Attributes:
@@ -69,8 +71,8 @@
     """
 
     directory: directories.Directory
-    at_start: directories.ZoneListing | None
-    registered: collections.abc.Callable[[], None]
+    initial_listing: directories.ZoneListing | None
+    on_registered: collections.abc.Callable[[], None]
 
 
 class GossipService:
@@ -80,9 +82,9 @@
         self,
         config: settings.NodeSettings,
         me: view.NodeRecord,
-        state: State,
+        state: ReplicatedState,
         pool: links.LinkPool,
-        bootstrap: Entrance,
+        bootstrap: Bootstrap,
         clock: clocks.Clock,
         rng: random.Random,
         meter: traffic.Meter | None = None,
@@ -94,10 +96,10 @@
             bootstrap.directory,
             self._members,
             config.seeds,
-            bootstrap.at_start,
+            bootstrap.initial_listing,
             clock,
             rng,
-            bootstrap.registered,
+            bootstrap.on_registered,
         )
         self._core = gossip.Gossip(self._members, state.fleet, clock, rng)
         self._socket = datagrams.DatagramSocket(
@@ -120,12 +122,12 @@
         """Announces to the fleet that this node leaves; gossip continues."""
         self._dispatch(self._core.leave())
 
-    async def targets_moved(self) -> None:
+    async def wait_targets_moved(self) -> None:
         """Waits TARGET_MOVE_TIMEOUT at most until all targets have moved."""
-        for _ in range(int(LEAVE_WAIT / TICK)):
-            if not self._state.targets.announced():
+        for _ in range(int(TARGET_MOVE_TIMEOUT / TICK_INTERVAL)):
+            if not self._state.targets.target_records():
                 return
-            await asyncio.sleep(TICK.total_seconds())
+            await asyncio.sleep(TICK_INTERVAL.total_seconds())
 
     async def stop(self) -> None:
         """Stops gossip and announces that this node leaves."""
@@ -137,10 +139,10 @@
         self._dispatch(self._core.leave())
         self._socket.stop()
 
-    def frame(self, frame: Any) -> None:
+    def handle_frame(self, frame: Any) -> None:
         """Processes a gossip frame that was received over a link."""
         try:
-            message = states.frame_in(frame)
+            message = gossip_frames.decode_message(frame)
         except codec.FrameError as error:
             log.warning("gossip frame dropped: %s", error)
             return
@@ -148,11 +150,11 @@
             self._answer_pull(message)
             return
         self._dispatch(self._core.receive_state(message))
-        for target, incarnation in self._core.take_left():
-            self._state.targets.remember_left(target, incarnation)
+        for target, incarnation in self._core.take_departed_targets():
+            self._state.targets.record_departure(target, incarnation)
         self._process_received_records()
 
-    def targets_changed(self) -> None:
+    def publish_target_changes(self) -> None:
         """Publishes changes of this node's own targets immediately.
 
         The departure of a target, once acknowledged, must not be lost even if
@@ -164,27 +166,30 @@
         if changes:
             self._dispatch(self._core.push())
 
-    def tell(self, update: peer_updates.PeerUpdate) -> None:
+    def push_update(self, update: peer_updates.PeerUpdate) -> None:
         """Sends an update to the nodes of this zone."""
         if update:
-            self._dispatch(self._core.tell(update))
+            self._dispatch(self._core.push_update(update))
 
-    def not_ready(self) -> str | None:
+    def not_ready_reason(self) -> str | None:
         """Returns why this node can't route requests yet; None if it can."""
-        if self._members.superseded:
+        if self._members.is_superseded:
             return "a later incarnation of this node exists"
         if self._core.has_state:
             return None
         if not self._discovery.has_listed:
             return "no node listing yet"
-        return None if self._core.joined else "no fleet state yet"
+        return None if self._core.has_joined else "no fleet state yet"
 
     @property
-    def is_settled(self) -> bool:
+    def has_complete_view(self) -> bool:
         """Whether this node knows all nodes that started before it."""
-        return self._discovery.is_settled and self.not_ready() is None
+        return (
+            self._discovery.has_complete_listing
+            and self.not_ready_reason() is None
+        )
 
-    def left(self) -> tuple[str, ...]:
+    def departed_nodes(self) -> tuple[str, ...]:
         """Returns the nodes that left as planned and have not returned."""
         return tuple(
             name
@@ -201,7 +206,7 @@
             state.name.lower(): count for state, count in counts.items()
         }
         status["targets"] = self._state.fleet.target_count
-        status["self_doubt"] = self._members.doubtful
+        status["self_doubt"] = self._members.is_probably_isolated
         status["digest"] = self._core.summary
         status["datagram_bytes_sent"] = self._socket.sent_bytes
         status["datagram_bytes_received"] = self._socket.received_bytes
@@ -209,14 +214,14 @@
 
     async def _run(self) -> None:
         while True:
-            self.targets_changed()
+            self.publish_target_changes()
             self._dispatch(self._core.tick())
             self._stop_taking_if_superseded()
             self._log_member_changes()
-            await asyncio.sleep(TICK.total_seconds())
+            await asyncio.sleep(TICK_INTERVAL.total_seconds())
 
     def _log_member_changes(self) -> None:
-        for record in self._core.take_turns():
+        for record in self._core.take_member_changes():
             is_alive = record.state is membership.State.ALIVE
             log.log(
                 logging.DEBUG if is_alive else logging.WARNING,
@@ -228,9 +233,9 @@
 
     def _stop_taking_if_superseded(self) -> None:
         """Accepts no more targets once a later incarnation is known."""
-        if self._members.superseded and not self._has_warned:
+        if self._members.is_superseded and not self._has_warned:
             self._has_warned = True
-            self._state.targets.stop_taking()
+            self._state.targets.refuse_announcements()
             log.error(
                 "a later incarnation of this node exists; taking no targets"
             )
@@ -238,19 +243,19 @@
     def _handle_datagram(
         self, address: str, datagram: gossip_messages.Datagram
     ) -> None:
-        self._state.hear(datagram.sender, datagram.news)
+        self._state.on_peer_update(datagram.sender, datagram.peer_update)
         self._dispatch(self._core.receive(address, datagram))
         self._process_received_records()
 
     def _process_received_records(self) -> None:
-        received = self._core.take_heard()
+        received = self._core.take_received_records()
         for record in received:
-            if self._state.targets.give_up(record):
+            if self._state.targets.release_if_moved(record):
                 log.warning(
                     "target has moved",
                     extra=logs.fields(target=record.id, home=record.home),
                 )
-                self.targets_changed()
+                self.publish_target_changes()
         if log.isEnabledFor(logging.DEBUG):
             for home in {record.home for record in received}:
                 self._log_home_state(home)
@@ -272,10 +277,10 @@
         address: str,
         message: gossip_messages.FleetState | gossip_messages.Pull,
     ) -> None:
-        await self._pool.send(address, states.frame_out(message))
+        await self._pool.send(address, gossip_frames.encode_message(message))
 
     def _answer_pull(self, pull: gossip_messages.Pull) -> None:
-        if self._running_pulls >= MAX_ANSWERS:
+        if self._running_pulls >= MAX_CONCURRENT_PULLS:
             # The sender repeats its pull a second later, to another node.
             return
         self._running_pulls += 1
@@ -283,8 +288,8 @@
 
     async def _send_state(self, pull: gossip_messages.Pull) -> None:
         try:
-            for part in self._core.answer(pull):
-                frame = states.frame_out(part)
+            for part in self._core.answer_pull(pull):
+                frame = gossip_frames.encode_message(part)
                 if not await self._pool.send(pull.address, frame):
                     return
         finally:
--- a/endivewind/nodes/leaving.py
+++ b/endivewind/nodes/graceful_shutdown.py
@@ -15,10 +15,10 @@
 
 # Connections still open at the stop limit are closed after this. Without this
 # timeout the HTTP server waits another minute, and the VM can't be replaced.
-CUT_AFTER = datetime.timedelta(milliseconds=500)
+FORCED_CLOSE_TIMEOUT = datetime.timedelta(milliseconds=500)
 # Responses to requests that are aborted at the limit are short and written
 # immediately; a caller that does not read them must not delay the shutdown.
-LAST_ANSWERS = datetime.timedelta(milliseconds=100)
+FINAL_RESPONSES_TIMEOUT = datetime.timedelta(milliseconds=100)
 
 
 # When other nodes are told to send no more requests to this home, as a share of
@@ -26,47 +26,47 @@
 # node has received its announcement: with the notice sent at once, a rolling
 # stop of half the nodes took a quarter of all targets out of use. Requests that
 # arrive last still have most of the limit.
-TURN_AWAY_SHARE = 0.3
+DRAIN_NOTICE_SHARE = 0.3
 
 
-class Door(Protocol):
+class WorkIntake(Protocol):
     """A component that accepts requests."""
 
     def refuse_new(self) -> None:
         """Refuses new requests from now on."""
 
 
-class Entry(Door, Protocol):
+class CallerListener(WorkIntake, Protocol):
     """The listener for callers."""
 
-    async def drained(self) -> None:
+    async def wait_drained(self) -> None:
         """Waits until nothing is being served."""
 
-    def end(self) -> None:
+    def abort_all(self) -> None:
         """Aborts running requests, each with a response on its outcome."""
 
 
-class Links(Protocol):
+class PeerListener(Protocol):
     """The listener for other nodes."""
 
-    async def drained(self) -> None:
+    async def wait_drained(self) -> None:
         """Waits until nothing is being served."""
 
 
-class Tickets(Protocol):
+class TicketedRequests(Protocol):
     """Handles non-idempotent requests, which carry tickets."""
 
     def close(self) -> None:
         """Refuses to start new requests."""
 
-    async def drained(self) -> None:
+    async def wait_drained(self) -> None:
         """Waits until no request is running."""
 
-    def kept_for(self) -> datetime.timedelta:
+    def remaining_retention(self) -> datetime.timedelta:
         """Returns how long stored responses may still be requested."""
 
 
-class Departure:
+class GracefulShutdown:
     """Shuts a node down in stages so that no running request is aborted.
 
     At first all requests are still accepted: callers' load balancers notice
@@ -78,10 +78,10 @@
 
     def __init__(
         self,
-        entry: Entry,
-        home: Door,
-        links: Links,
-        tickets: Tickets,
+        entry: CallerListener,
+        home: WorkIntake,
+        links: PeerListener,
+        tickets: TicketedRequests,
         notice: datetime.timedelta,
         announce_drain: collections.abc.Callable[[], None],
     ) -> None:
@@ -106,24 +106,26 @@
         """Returns when the process may exit, after the limit at the latest."""
         try:
             async with asyncio.timeout(timeout.total_seconds()):
-                delay = min(self._notice, TURN_AWAY_SHARE * timeout)
+                delay = min(self._notice, DRAIN_NOTICE_SHARE * timeout)
                 await asyncio.sleep(delay.total_seconds())
                 self._announce_drain()
                 await asyncio.sleep((self._notice - delay).total_seconds())
                 self._entry.refuse_new()
                 self._tickets.close()
-                await self._entry.drained()
+                await self._entry.wait_drained()
                 self._home.refuse_new()
-                await self._tickets.drained()
-                await self._links.drained()
+                await self._tickets.wait_drained()
+                await self._links.wait_drained()
                 log.info("drained")
-                await asyncio.sleep(self._tickets.kept_for().total_seconds())
+                await asyncio.sleep(
+                    self._tickets.remaining_retention().total_seconds()
+                )
         except TimeoutError:
             log.info("stop limit reached")
             await self._abort()
 
     async def _abort(self) -> None:
-        self._entry.end()
+        self._entry.abort_all()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LAST_ANSWERS.total_seconds()):
-                await self._entry.drained()
+            async with asyncio.timeout(FINAL_RESPONSES_TIMEOUT.total_seconds()):
+                await self._entry.wait_drained()
--- a/endivewind/nodes/link_server.py
+++ b/endivewind/nodes/link_server.py
@@ -15,7 +15,7 @@
 import expression
 
 from endivewind import exchange
-from endivewind.nodes import chunks
+from endivewind.nodes import body_chunks
 from endivewind.nodes import codec
 from endivewind.nodes import links
 from endivewind.nodes import traffic
@@ -23,12 +23,12 @@
 log = logging.getLogger(__name__)
 
 # A quarter of the time after which the client gives up a link.
-HEARTBEAT_PERIOD = links.SILENCE_LIMIT / 4
+HEARTBEAT_INTERVAL = links.HEARTBEAT_TIMEOUT / 4
 # Clients close idle links earlier; the client of an older one is gone.
-IDLE_LIMIT = datetime.timedelta(seconds=60)
+IDLE_TIMEOUT = datetime.timedelta(seconds=60)
 
 
-class Home:
+class LinkHandler:
     """Processes what other nodes send over their links."""
 
     async def run(
@@ -37,7 +37,7 @@
         home_incarnation: int,
         head: exchange.RequestHead,
         body: exchange.RequestBody,
-    ) -> links.AnswerResult:
+    ) -> links.ResponseResult:
         """Sends a forwarded request to one of this node's targets."""
         raise NotImplementedError
 
@@ -47,19 +47,19 @@
         head: exchange.RequestHead,
         body: exchange.RequestBody,
         priority: str,
-    ) -> links.AnswerResult:
+    ) -> links.ResponseResult:
         """Executes a request whose ticket this node has issued."""
         raise NotImplementedError
 
-    def gossiped(self, frame: Any) -> None:
+    def handle_gossip(self, frame: Any) -> None:
         """Processes a gossip frame of another node."""
         raise NotImplementedError
 
-    async def answer(self, question: Any) -> Any:
+    async def handle_query(self, question: Any) -> Any:
         """Returns the response frame to a query frame."""
         raise NotImplementedError
 
-    def configuration(self, frame: Any) -> None:
+    def handle_configuration(self, frame: Any) -> None:
         """Processes a frame about configuration: data, query or response."""
         raise NotImplementedError
 
@@ -91,10 +91,10 @@
     """Accepts links from other nodes."""
 
     def __init__(
-        self, handler: Home, meter: traffic.Meter | None = None
+        self, handler: LinkHandler, meter: traffic.Meter | None = None
     ) -> None:
         self._handler = handler
-        self._meter = meter or traffic.Unmetered()
+        self._meter = meter or traffic.NullMeter()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._in_flight = 0
@@ -106,7 +106,7 @@
         """Number of exchanges that are being served."""
         return self._in_flight
 
-    async def drained(self) -> None:
+    async def wait_drained(self) -> None:
         """Waits until no exchange is being served."""
         await self._drained.wait()
 
@@ -167,16 +167,16 @@
     ) -> None:
         try:
             while True:
-                async with asyncio.timeout(IDLE_LIMIT.total_seconds()):
+                async with asyncio.timeout(IDLE_TIMEOUT.total_seconds()):
                     frame = await codec.read_frame(reader)
                 if frame.fleet_state or frame.pull:
-                    self._handler.gossiped(frame)
+                    self._handler.handle_gossip(frame)
                 elif (
                     frame.configuration
                     or frame.configuration_ask
                     or frame.configuration_state
                 ):
-                    self._handler.configuration(frame)
+                    self._handler.handle_configuration(frame)
                 elif frame.forward:
                     await self._serve_exchange(frame.forward, reader, writer)
                 elif frame.freshness_ask or frame.quota_ask:
@@ -198,11 +198,11 @@
         self, query: Any, writer: asyncio.StreamWriter
     ) -> None:
         """Responds to a query on the same link."""
-        data = codec.encode_frame(await self._handler.answer(query))
+        data = codec.encode_frame(await self._handler.handle_query(query))
         client = writer.get_extra_info("peername")
         if client is not None:
-            kind = traffic.Kind.QUESTIONS
-            self._meter.sent(kind, client[0], len(data))
+            kind = traffic.Kind.QUERIES
+            self._meter.record_sent(kind, client[0], len(data))
         writer.write(data)
 
     async def _serve_exchange(
@@ -239,7 +239,7 @@
         await writer.drain()
         client = writer.get_extra_info("peername")
         if client is not None:
-            self._meter.sent(traffic.Kind.ANSWERS, client[0], size)
+            self._meter.record_sent(traffic.Kind.RESPONSES, client[0], size)
         if body.stream is not None:
             # Unread chunks would be taken for frames of the next exchange.
             async with contextlib.aclosing(body.stream):  # type: ignore[type-var]
@@ -248,7 +248,7 @@
 
     async def _run(
         self, forward: Any, body: exchange.RequestBody
-    ) -> links.AnswerResult:
+    ) -> links.ResponseResult:
         head = _decode_head(forward)
         if forward.to_issuer:
             return await self._handler.run_as_issuer(
@@ -281,7 +281,7 @@
         headers=codec.decode_headers(forward.headers),
         service=forward.service_name,
         workspace=forward.workspace,
-        remaining=datetime.timedelta(milliseconds=forward.remaining_ms),
+        remaining_time=datetime.timedelta(milliseconds=forward.remaining_ms),
         ticket=forward.ticket or "",
         attempt=forward.attempt or 0,
         latency_objective=datetime.timedelta(milliseconds=forward.aim_ms or 0),
@@ -301,14 +301,16 @@
         headers=codec.encode_headers(response.headers),
         body=response.body,
         body_complete=response.stream is None,
-        glance=codec.encode_target_status(response.target_status),
+        glance=codec.encode_target_report(response.target_report),
     )
     data = codec.encode_frame(codec.messages.Frame(answer=head))
     writer.write(data)
     if response.stream is None:
         return len(data)
     async with contextlib.aclosing(response.stream):
-        return len(data) + await chunks.send(writer, number, response.stream)
+        return len(data) + await body_chunks.send_body(
+            writer, number, response.stream
+        )
 
 
 def _send_refusal(
@@ -323,7 +325,7 @@
         detail=refusal.detail,
         retry_after_ms=-1 if wait is None else int(wait.total_seconds() * 1000),
         moved_to=refusal.moved_to or None,
-        glance=codec.encode_target_status(refusal.target_status),
+        glance=codec.encode_target_report(refusal.target_report),
     )
     data = codec.encode_frame(codec.messages.Frame(refusal=message))
     writer.write(data)
@@ -348,7 +350,7 @@
             self._timer.cancel()
 
     def _schedule(self) -> None:
-        delay = HEARTBEAT_PERIOD.total_seconds()
+        delay = HEARTBEAT_INTERVAL.total_seconds()
         self._timer = self._loop.call_later(delay, self._send_heartbeat)
 
     def _send_heartbeat(self) -> None:
--- a/endivewind/nodes/links.py
+++ b/endivewind/nodes/links.py
@@ -19,7 +19,7 @@
 
 from endivewind import clock as clocks
 from endivewind import exchange
-from endivewind.nodes import chunks
+from endivewind.nodes import body_chunks
 from endivewind.nodes import codec
 from endivewind.nodes import traffic
 from endivewind.nodes import view
@@ -31,21 +31,21 @@
 CONNECT_TIMEOUT = datetime.timedelta(milliseconds=250)
 # Middleboxes drop the state of idle connections without closing them; these
 # limits keep the pool from reusing such a connection.
-IDLE_LIMIT = datetime.timedelta(seconds=15)
-AGE_LIMIT = datetime.timedelta(minutes=5)
+MAX_IDLE_TIME = datetime.timedelta(seconds=15)
+MAX_LINK_AGE = datetime.timedelta(minutes=5)
 MAX_IDLE_PER_PEER = 32
 # Four missed heartbeats; jitter on links with 30 ms latency does not explain
 # them.
-SILENCE_LIMIT = datetime.timedelta(seconds=1)
+HEARTBEAT_TIMEOUT = datetime.timedelta(seconds=1)
 # Four round trips between regions. A process that is paused for longer is not
 # sent requests that would be lost with it.
-ANSWER_LIMIT = datetime.timedelta(milliseconds=250)
+RESPONSE_TIMEOUT = datetime.timedelta(milliseconds=250)
 # The home itself responds when the deadline expires; this is the time that the
 # response may take to arrive.
 DEADLINE_GRACE = datetime.timedelta(milliseconds=500)
-ISSUER_LOST_RETRY = datetime.timedelta(seconds=1)
+ISSUER_LOST_RETRY_AFTER = datetime.timedelta(seconds=1)
 
-AnswerResult = expression.Result[exchange.Response, exchange.Refusal]
+ResponseResult = expression.Result[exchange.Response, exchange.Refusal]
 
 
 @dataclasses.dataclass(slots=True)
@@ -70,12 +70,12 @@
     ) -> None:
         self._clock = clock
         self._tls = tls
-        self._meter = meter or traffic.Unmetered()
+        self._meter = meter or traffic.NullMeter()
         self._idle: dict[str, list[_Link]] = {}
         self._numbers = itertools.count(1)
 
     @property
-    def idle(self) -> int:
+    def idle_count(self) -> int:
         """Number of open links that carry no exchange."""
         return sum(len(links) for links in self._idle.values())
 
@@ -85,7 +85,7 @@
         target: str,
         head: exchange.RequestHead,
         body: exchange.RequestBody,
-    ) -> AnswerResult:
+    ) -> ResponseResult:
         """Sends a request to the home of a target and returns the response.
 
         Returns:
@@ -104,7 +104,7 @@
         head: exchange.RequestHead,
         body: exchange.RequestBody,
         priority: str,
-    ) -> AnswerResult:
+    ) -> ResponseResult:
         """Sends a request to the issuer of its ticket.
 
         Returns:
@@ -123,8 +123,8 @@
         forward: Any,
         head: exchange.RequestHead,
         body: exchange.RequestBody,
-        failures: "Failures",
-    ) -> AnswerResult:
+        failures: "FailureRefusals",
+    ) -> ResponseResult:
         number = next(self._numbers)
         try:
             link = await self._acquire(
@@ -132,22 +132,24 @@
             )
         except (EOFError, OSError, codec.FrameError) as error:
             detail = f"{peer.name}: {error or 'no response'}"
-            return expression.Error(failures.unreachable(detail))
+            return expression.Error(failures.connect_failed(detail))
         forward.exchange = number
-        timeout = head.remaining + DEADLINE_GRACE
+        timeout = head.remaining_time + DEADLINE_GRACE
         try:
             async with asyncio.timeout(timeout.total_seconds()):
                 size = await _send_request(link, forward, body)
-                self._meter.sent(traffic.Kind.REQUESTS, peer.address, size)
+                self._meter.record_sent(
+                    traffic.Kind.REQUESTS, peer.address, size
+                )
                 return await self._read_response(peer.address, link, number)
         except (OSError, EOFError, codec.FrameError) as error:
             link.close()
             self._close_idle(peer.address)
             detail = f"link to {peer.name}: {error or 'timed out'}"
-            return expression.Error(failures.lost(detail))
-        except exchange.TruncatedBodyError as error:
+            return expression.Error(failures.link_lost(detail))
+        except exchange.RequestBodyError as error:
             link.close()
-            return expression.Error(exchange.truncated_body(error))
+            return expression.Error(exchange.body_error_refusal(error))
         except BaseException:
             link.close()
             raise
@@ -187,9 +189,9 @@
             if link is None:
                 link = await self._connect(address)
             data = codec.encode_frame(frame)
-            self._meter.sent(_traffic_kind(frame), address, len(data))
+            self._meter.record_sent(_traffic_kind(frame), address, len(data))
             link.writer.write(data)
-            async with asyncio.timeout(SILENCE_LIMIT.total_seconds()):
+            async with asyncio.timeout(HEARTBEAT_TIMEOUT.total_seconds()):
                 await link.writer.drain()
         except (TimeoutError, OSError):
             if link is not None:
@@ -198,7 +200,7 @@
         self._release(address, link)
         return True
 
-    async def ask(
+    async def query(
         self, address: str, query: Any, timeout: datetime.timedelta
     ) -> Any | None:
         """Sends a query frame and returns the response frame.
@@ -213,7 +215,9 @@
                 if link is None:
                     link = await self._connect(address)
                 data = codec.encode_frame(query)
-                self._meter.sent(traffic.Kind.QUESTIONS, address, len(data))
+                self._meter.record_sent(
+                    traffic.Kind.QUERIES, address, len(data)
+                )
                 link.writer.write(data)
                 response = await _read_frame(link)
         except (EOFError, OSError, codec.FrameError) as error:
@@ -250,8 +254,8 @@
         now = self._clock.monotonic()
         while links:
             link = links.pop()
-            is_fresh = now - link.last_used < IDLE_LIMIT and (
-                now - link.opened_at < AGE_LIMIT
+            is_fresh = now - link.last_used < MAX_IDLE_TIME and (
+                now - link.opened_at < MAX_LINK_AGE
             )
             is_closed = link.reader.at_eof() or link.writer.is_closing()
             if is_fresh and not is_closed:
@@ -278,7 +282,7 @@
 
     async def _read_response(
         self, address: str, link: _Link, number: int
-    ) -> AnswerResult:
+    ) -> ResponseResult:
         frame = await _read_frame(link)
         if frame.refusal and frame.refusal.exchange == number:
             self._release(address, link)
@@ -287,7 +291,7 @@
         if response is None or response.exchange != number:
             raise codec.FrameError("response to another exchange")
         headers = codec.decode_headers(response.headers)
-        target_status = codec.decode_target_status(response.glance)
+        target_status = codec.decode_target_report(response.glance)
         if response.body_complete:
             self._release(address, link)
             return expression.Ok(
@@ -348,7 +352,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Failures:
+class FailureRefusals:
     """Builds the refusals that the failures of a link lead to.
 
     Attributes:
@@ -356,21 +360,25 @@
       link_lost: the link broke after the request was sent.
     """
 
-    unreachable: collections.abc.Callable[[str], exchange.Refusal]
-    lost: collections.abc.Callable[[str], exchange.Refusal]
+    connect_failed: collections.abc.Callable[[str], exchange.Refusal]
+    link_lost: collections.abc.Callable[[str], exchange.Refusal]
 
 
 def _issuer_lost_refusal(detail: str) -> exchange.Refusal:
-    return exchange.outcome_unknown(
-        exchange.Reason.ISSUER_LOST, detail, ISSUER_LOST_RETRY
+    return exchange.unknown_outcome_refusal(
+        exchange.Reason.ISSUER_LOST, detail, ISSUER_LOST_RETRY_AFTER
     )
 
 
-HOME_FAILURES = Failures(
-    lambda detail: exchange.not_run(exchange.Reason.HOME_UNREACHABLE, detail),
-    lambda detail: exchange.outcome_unknown(exchange.Reason.HOME_LOST, detail),
+HOME_FAILURES = FailureRefusals(
+    lambda detail: exchange.not_run_refusal(
+        exchange.Reason.HOME_UNREACHABLE, detail
+    ),
+    lambda detail: exchange.unknown_outcome_refusal(
+        exchange.Reason.HOME_LOST, detail
+    ),
 )
-ISSUER_FAILURES = Failures(_issuer_lost_refusal, _issuer_lost_refusal)
+ISSUER_FAILURES = FailureRefusals(_issuer_lost_refusal, _issuer_lost_refusal)
 
 
 async def _echoes_heartbeat(link: _Link, number: int) -> bool:
@@ -380,7 +388,7 @@
         codec.encode_frame(codec.messages.Frame(heartbeat=heartbeat))
     )
     try:
-        async with asyncio.timeout(ANSWER_LIMIT.total_seconds()):
+        async with asyncio.timeout(RESPONSE_TIMEOUT.total_seconds()):
             while True:
                 frame = await codec.read_frame(link.reader)
                 if frame.heartbeat is None:
@@ -406,7 +414,7 @@
     """
     while True:
         try:
-            async with asyncio.timeout(SILENCE_LIMIT.total_seconds()):
+            async with asyncio.timeout(HEARTBEAT_TIMEOUT.total_seconds()):
                 frame = await codec.read_frame(link.reader)
         except TimeoutError as error:
             raise TimeoutError("timed out") from error
@@ -425,7 +433,7 @@
         headers=codec.encode_headers(head.headers),
         service_name=head.service,
         target="",
-        remaining_ms=int(head.remaining.total_seconds() * 1000),
+        remaining_ms=int(head.remaining_time.total_seconds() * 1000),
         workspace=head.workspace,
         body=body.buffered,
         body_complete=body.is_replayable,
@@ -447,7 +455,7 @@
     data = codec.encode_frame(codec.messages.Frame(forward=forward))
     link.writer.write(data)
     if body.stream is not None:
-        await chunks.send(link.writer, forward.exchange, body.stream)
+        await body_chunks.send_body(link.writer, forward.exchange, body.stream)
     await link.writer.drain()
     return len(data)
 
@@ -462,10 +470,10 @@
 def _decode_refusal(refusal: Any) -> exchange.Refusal:
     wait = refusal.retry_after_ms
     return exchange.Refusal(
-        exchange.Outcome(refusal.outcome),
+        exchange.ExecutionOutcome(refusal.outcome),
         exchange.Reason(refusal.reason),
         refusal.detail,
         None if wait < 0 else datetime.timedelta(milliseconds=wait),
         refusal.moved_to or "",
-        codec.decode_target_status(refusal.glance),
+        codec.decode_target_report(refusal.glance),
     )
--- a/endivewind/nodes/membership.py
+++ b/endivewind/nodes/membership.py
@@ -20,43 +20,43 @@
 PROBE_PERIOD = datetime.timedelta(seconds=1)
 # Time without an acknowledgement after which indirect probes are requested.
 # Ten times the round trip between regions.
-DIRECT_TIMEOUT = datetime.timedelta(milliseconds=300)
+DIRECT_PROBE_TIMEOUT = datetime.timedelta(milliseconds=300)
 PROBE_TIMEOUT = datetime.timedelta(milliseconds=900)
 # Probes within the own zone for each probe of another zone.
-NEAR_PROBES = 3
+LOCAL_PROBES_PER_REMOTE = 3
 # Number of nodes asked to ping a node that does not answer. If a third of the
 # paths lose datagrams in one direction, one of three still gets through in 26
 # of 27 cases.
-RELAYS = 3
+INDIRECT_PROBES = 3
 # A suspicion reaches all nodes in less than a second, and so does the
 # refutation. The rest is a margin for a process that is busy or briefly paused.
 SUSPICION_TIMEOUT = datetime.timedelta(seconds=4)
 # After this time most nodes have received the refutation of a healthy suspect.
 # The others ping the suspect themselves, once per SUSPECT_PING_PERIOD until
 # the suspicion ends.
-ASK_AFTER = datetime.timedelta(seconds=2)
-ASK_PERIOD = datetime.timedelta(milliseconds=500)
+SUSPECT_PING_DELAY = datetime.timedelta(seconds=2)
+SUSPECT_PING_PERIOD = datetime.timedelta(milliseconds=500)
 # Limits the burst of pings when a failed zone leaves a hundred suspects.
-ASKS_PER_TICK = 4
+MAX_SUSPECT_PINGS_PER_TICK = 4
 # Interval at which a node pings one random dead member or contact address. By
 # these pings the two sides of a partition find each other again when it ends.
 # The interval can be long because hundreds of nodes send them.
 CONTACT_PERIOD = datetime.timedelta(seconds=10)
 # Number of addresses that a node without any peer pings at once.
-JOIN_TRIES = 3
+JOIN_CONTACTS = 3
 # Pending pings on behalf of other nodes; far more than INDIRECT_PROBES causes.
-MAX_ERRANDS = 256
+MAX_RELAYED_PINGS = 256
 # Dead members are kept for longer than a partition between regions lasts, which
 # may be an hour, so that both sides know which addresses to ping.
 DEAD_RETENTION = datetime.timedelta(hours=4)
 # tick() is called every 100 ms; a longer gap means that the process was paused.
-PAUSE_LIMIT = datetime.timedelta(seconds=1)
+MAX_TICK_GAP = datetime.timedelta(seconds=1)
 # A node takes itself for isolated if its latest probes of three different nodes
 # all failed, or nine of its last twelve probes, of three nodes or more. A fleet
 # of three has too few other nodes, so its nodes never do so.
-DOUBT_WINDOW = 12
-DOUBT_FAILURES = 9
-DOUBT_MEMBERS = 3
+ISOLATION_WINDOW_PROBES = 12
+MIN_ISOLATION_FAILURES = 9
+MIN_ISOLATION_MEMBERS = 3
 
 
 class State(enum.IntEnum):
@@ -88,12 +88,12 @@
     state: State
 
     @property
-    def order(self) -> tuple[int, int, int]:
+    def precedence(self) -> tuple[int, int, int]:
         """Sort key; of two records of a node, the higher one wins."""
         return self.node.incarnation, self.refutation, self.state
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether requests may be sent to the node's targets."""
         return self.state <= State.SUSPECT
 
@@ -112,12 +112,12 @@
 
     address: str
     number: int
-    about: MemberRecord | None = None
-    contact: bool = False
+    known_record: MemberRecord | None = None
+    is_introduction: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Relay:
+class PingRequest:
     """Asks a node to ping another one and to forward the acknowledgement.
 
     Attributes:
@@ -140,20 +140,20 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Spread:
+class Disseminate:
     """Disseminates a record that has changed on this node."""
 
     record: MemberRecord
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Forgotten:
+class MemberRemoved:
     """A member that was removed; other records of the node may go as well."""
 
     name: str
 
 
-Output = Ping | Relay | Ack | Spread | Forgotten
+Output = Ping | PingRequest | Ack | Disseminate | MemberRemoved
 
 
 @dataclasses.dataclass(slots=True)
@@ -212,7 +212,7 @@
         self._next_probe = clock.monotonic()
         self._next_contact = clock.monotonic()
         self._probe_results: collections.deque[_ProbeResult] = (
-            collections.deque(maxlen=DOUBT_WINDOW)
+            collections.deque(maxlen=ISOLATION_WINDOW_PROBES)
         )
         self._superseded = False
 
@@ -227,12 +227,12 @@
         return self._members
 
     @property
-    def superseded(self) -> bool:
+    def is_superseded(self) -> bool:
         """Whether a later start of a node with this name is known."""
         return self._superseded
 
     @property
-    def doubtful(self) -> bool:
+    def is_probably_isolated(self) -> bool:
         """Whether so many probes failed that this node itself is at fault.
 
         Without this check a node behind a broken switch would make the whole
@@ -245,20 +245,20 @@
                 lambda item: not item.answered, reversed(self._probe_results)
             )
         }
-        if len(latest_failed) >= DOUBT_MEMBERS:
+        if len(latest_failed) >= MIN_ISOLATION_MEMBERS:
             return True
         failed = [
             item.member for item in self._probe_results if not item.answered
         ]
-        enough_members = len(set(failed)) >= DOUBT_MEMBERS
-        return enough_members and len(failed) >= DOUBT_FAILURES
+        enough_members = len(set(failed)) >= MIN_ISOLATION_MEMBERS
+        return enough_members and len(failed) >= MIN_ISOLATION_FAILURES
 
     def peers(self) -> list[MemberRecord]:
         """Returns the other members that are alive or suspect."""
         return [
             item
             for item in self._members.values()
-            if item.usable and item is not self._me
+            if item.is_usable and item is not self._me
         ]
 
     def set_contacts(self, addresses: collections.abc.Iterable[str]) -> None:
@@ -276,7 +276,7 @@
         """Marks this node as leaving."""
         self._me = dataclasses.replace(self._me, state=State.LEFT)
         self._members[self._me.node.name] = self._me
-        return [Spread(self._me)]
+        return [Disseminate(self._me)]
 
     def merge(self, record: MemberRecord) -> list[Output]:
         """Stores a record unless one of at least its precedence is known."""
@@ -284,28 +284,30 @@
         if name == self._me.node.name:
             return self._refute(record)
         known = self._members.get(name)
-        if known is not None and known.order >= record.order:
+        if known is not None and known.precedence >= record.precedence:
             return []
-        if known is None and not record.usable:
+        if known is None and not record.is_usable:
             return []
         self._store(record)
-        return [Spread(record)]
+        return [Disseminate(record)]
 
-    def pinged(self, address: str, number: int) -> list[Output]:
+    def handle_ping(self, address: str, number: int) -> list[Output]:
         """Handles a ping."""
         return [Ack(address, number)]
 
-    def relayed(self, address: str, number: int, member: str) -> list[Output]:
+    def handle_ping_request(
+        self, address: str, number: int, member: str
+    ) -> list[Output]:
         """Handles a request to ping a member on behalf of another node."""
         target = self._members.get(member)
-        if target is None or len(self._relayed_pings) >= MAX_ERRANDS:
+        if target is None or len(self._relayed_pings) >= MAX_RELAYED_PINGS:
             return []
         relay_number = self._next_number()
         now = self._clock.monotonic()
         self._relayed_pings[relay_number] = _RelayedPing(address, number, now)
         return [Ping(target.node.address, relay_number)]
 
-    def acked(self, number: int) -> list[Output]:
+    def handle_ack(self, number: int) -> list[Output]:
         """Handles an acknowledgement."""
         relayed_ping = self._relayed_pings.pop(number, None)
         if relayed_ping is not None:
@@ -323,7 +325,7 @@
         now = self._clock.monotonic()
         gap = now - self._last_tick
         self._last_tick = now
-        if gap > PAUSE_LIMIT:
+        if gap > MAX_TICK_GAP:
             self._resume(gap)
         output = self._check_probe(now)
         output.extend(self._expire_states(now))
@@ -367,7 +369,7 @@
                 _ProbeResult(probe.member, answered=False)
             )
             return self._suspect(probe.member)
-        if waited >= DIRECT_TIMEOUT and not probe.relayed:
+        if waited >= DIRECT_PROBE_TIMEOUT and not probe.relayed:
             probe.relayed = True
             return self._request_pings(probe)
         return []
@@ -378,19 +380,23 @@
             for item in self.peers()
             if item.node.name != probe.member and item.state is State.ALIVE
         ]
-        chosen = self._rng.sample(others, min(RELAYS, len(others)))
+        chosen = self._rng.sample(others, min(INDIRECT_PROBES, len(others)))
         return [
-            Relay(item.node.address, probe.number, probe.member)
+            PingRequest(item.node.address, probe.number, probe.member)
             for item in chosen
         ]
 
     def _suspect(self, name: str) -> list[Output]:
         known = self._members.get(name)
-        if self.doubtful or known is None or known.state is not State.ALIVE:
+        if (
+            self.is_probably_isolated
+            or known is None
+            or known.state is not State.ALIVE
+        ):
             return []
         suspect = dataclasses.replace(known, state=State.SUSPECT)
         self._store(suspect)
-        return [Spread(suspect)]
+        return [Disseminate(suspect)]
 
     def _expire_states(self, now: datetime.timedelta) -> list[Output]:
         """Declares unrefuted suspects dead, and removes old dead members."""
@@ -398,15 +404,15 @@
         for name, since in list(self._changed_at.items()):
             known = self._members[name]
             if known.state is State.SUSPECT:
-                if now - since < SUSPICION_TIMEOUT or self.doubtful:
+                if now - since < SUSPICION_TIMEOUT or self.is_probably_isolated:
                     continue
                 dead = dataclasses.replace(known, state=State.DEAD)
                 self._store(dead)
-                output.append(Spread(dead))
+                output.append(Disseminate(dead))
             elif now - since > DEAD_RETENTION:
                 del self._members[name]
                 del self._changed_at[name]
-                output.append(Forgotten(name))
+                output.append(MemberRemoved(name))
         return output
 
     def _ping_suspects(self, now: datetime.timedelta) -> list[Output]:
@@ -421,11 +427,12 @@
             name
             for name, since in self._changed_at.items()
             if self._members[name].state is State.SUSPECT
-            and now - since >= ASK_AFTER
-            and now - self._suspect_pinged_at.get(name, since) >= ASK_PERIOD
+            and now - since >= SUSPECT_PING_DELAY
+            and now - self._suspect_pinged_at.get(name, since)
+            >= SUSPECT_PING_PERIOD
         ]
         output: list[Output] = []
-        for name in due[:ASKS_PER_TICK]:
+        for name in due[:MAX_SUSPECT_PINGS_PER_TICK]:
             self._suspect_pinged_at[name] = now
             known = self._members[name]
             number = self._next_number()
@@ -440,7 +447,7 @@
             if not self._probe_round:
                 return []
             known = self._members.get(self._probe_round.pop())
-            if known is not None and known.usable:
+            if known is not None and known.is_usable:
                 break
         number = self._next_number()
         self._probe = _Probe(known.node.name, number, now)
@@ -460,7 +467,9 @@
         local = [node.name for node in peers if node.zone == zone]
         remote = [node.name for node in peers if node.zone != zone]
         remote_count = (
-            max(1, len(local) // NEAR_PROBES) if local else len(remote)
+            max(1, len(local) // LOCAL_PROBES_PER_REMOTE)
+            if local
+            else len(remote)
         )
         chosen = local + self._rng.sample(
             remote, min(len(remote), remote_count)
@@ -481,10 +490,15 @@
         if not peers:
             # A node without peers tries more often, to find the fleet.
             self._next_contact = self._clock.monotonic() + PROBE_PERIOD
-            count = JOIN_TRIES
+            count = JOIN_CONTACTS
         chosen = self._rng.sample(list(absent), min(len(absent), count))
         return [
-            Ping(address, self._next_number(), absent[address], contact=True)
+            Ping(
+                address,
+                self._next_number(),
+                absent[address],
+                is_introduction=True,
+            )
             for address in chosen
         ]
 
@@ -493,13 +507,13 @@
         if record.node.incarnation > own.node.incarnation:
             self._superseded = True
             return []
-        if record.order <= own.order or own.state is State.LEFT:
+        if record.precedence <= own.precedence or own.state is State.LEFT:
             return []
         self._me = dataclasses.replace(
             own, refutation=record.refutation + 1, state=State.ALIVE
         )
         self._members[self._me.node.name] = self._me
-        return [Spread(self._me)]
+        return [Disseminate(self._me)]
 
     def _store(self, record: MemberRecord) -> None:
         name = record.node.name
--- a/endivewind/nodes/messages.thrift
+++ b/endivewind/nodes/messages.thrift
@@ -37,7 +37,7 @@
 
 // Load and suspicion of a target, attached by its home node to each response.
 // suspicion: probability that the target is unhealthy, in percent.
-struct TargetStatus {
+struct TargetReport {
   1: i32 load
   2: i32 suspicion
 }
@@ -56,7 +56,7 @@
   3: list<Header> headers
   4: binary body
   5: bool body_complete
-  6: optional TargetStatus glance
+  6: optional TargetReport glance
 }
 
 // An error that a node returns in place of a response.
@@ -67,7 +67,7 @@
   4: string detail
   5: i32 retry_after_ms
   6: optional string moved_to
-  7: optional TargetStatus glance
+  7: optional TargetReport glance
 }
 
 // The state of a node as known to another one. The highest (incarnation,
@@ -134,7 +134,7 @@
 
 // A route by which the sender gets requests of callers outside the fleet, and
 // not only calls that targets make.
-struct IngressRoute {
+struct EntryRoute {
   1: string service_name
   2: string prefix
 }
@@ -152,7 +152,7 @@
   9: list<i32> compared
   10: list<TargetUpdate> conditions
   11: list<RetryUsage> tallies
-  12: list<IngressRoute> ways
+  12: list<EntryRoute> ways
 }
 
 // The whole state of one home: targets that are not listed no longer exist.
@@ -204,7 +204,7 @@
   4: binary packed
 }
 
-// A message of configuration replication; see config/spreading.py.
+// A message of configuration replication; see config/replication.py.
 struct Configuration {
   1: string sender
   2: bool ready
--- a/endivewind/nodes/proofs.py
+++ b/endivewind/nodes/proofs.py
@@ -2,7 +2,7 @@
 
 A strict revocation of keys depends on them: the node refuses requests that need
 a key while its proof is too old. `config/freshness.py` defines a proof;
-`config/proving.py` decides which nodes read the platform and which peer each
+`config/proof_tree.py` decides which nodes read the platform and which peer each
 node queries.
 """
 
@@ -15,7 +15,7 @@
 
 from endivewind import clock as clocks
 from endivewind.config import freshness
-from endivewind.config import proving
+from endivewind.config import proof_tree
 from endivewind.nodes import codec
 from endivewind.nodes import links
 from endivewind.nodes import view
@@ -27,7 +27,7 @@
 _IDLE_INTERVAL = datetime.timedelta(seconds=1)
 
 # Reads the platform within a timeout; returns whether that gave a proof.
-Read = collections.abc.Callable[
+PlatformRead = collections.abc.Callable[
     [datetime.timedelta], collections.abc.Awaitable[bool]
 ]
 
@@ -38,10 +38,10 @@
     def __init__(
         self,
         me: view.NodeRecord,
-        proof: freshness.Freshness,
+        proof: freshness.FreshnessTracker,
         fleet: view.FleetView,
         pool: links.LinkPool,
-        read: Read,
+        read: PlatformRead,
         has_complete_view: collections.abc.Callable[[], bool],
         clock: clocks.Clock,
         rng: random.Random,
@@ -66,13 +66,13 @@
         self._has_complete_view = has_complete_view
         self._clock = clock
         self._rng = rng
-        self._started = clock.boot_time()
+        self._started = clock.time_since_boot()
         self._stand_in_started: datetime.timedelta | None = None
         self._is_parent_useful = True
 
-    def answer(self) -> Any:
+    def response_frame(self) -> Any:
         """Returns the response frame to another node's query."""
-        proof = self._proof.answer(self._clock.boot_time())
+        proof = self._proof.make_response(self._clock.time_since_boot())
         state = codec.messages.FreshnessState()
         if proof is not None:
             state.version = proof.version
@@ -80,7 +80,7 @@
             state.age_ms = -(-proof.age // _MILLISECOND) + 1
         return codec.messages.Frame(freshness_state=state)
 
-    async def run_reading(self) -> None:
+    async def run_platform_reads(self) -> None:
         """Reads the platform whenever it is this node's turn; never returns."""
         failures = 0
         while True:
@@ -88,17 +88,18 @@
             if bound is None or not self._is_turn_to_read(bound):
                 await asyncio.sleep(self._query_interval().total_seconds())
                 continue
-            if await self._read(proving.READ_AGE * bound):
+            if await self._read(proof_tree.READER_PROOF_AGE_SHARE * bound):
                 failures = 0
                 continue
             failures += 1
-            max_backoff = proving.STAND_IN_AGE * bound
+            max_backoff = proof_tree.STANDBY_PROOF_AGE_SHARE * bound
             backoff = min(
-                2 ** (1 + failures) * proving.FIRST_PERIOD, max_backoff
+                2 ** (1 + failures) * proof_tree.INITIAL_QUERY_PERIOD,
+                max_backoff,
             )
             await asyncio.sleep(backoff.total_seconds())
 
-    async def run_asking(self) -> None:
+    async def run_peer_queries(self) -> None:
         """Queries other nodes periodically; never returns."""
         while True:
             await asyncio.sleep(self._query_interval().total_seconds())
@@ -107,24 +108,25 @@
             if bound is None or peer is None:
                 continue
             await self._query(peer)
-            is_stale = self._is_older(proving.STALE_AGE * bound)
+            is_stale = self._is_older(proof_tree.STALE_PROOF_AGE_SHARE * bound)
             self._is_parent_useful = not is_stale or not self._is_parent_useful
 
     def _is_turn_to_read(self, bound: datetime.timedelta) -> bool:
         if not self._has_complete_view():
             return False
-        now = self._clock.boot_time()
-        number = self._rank().number
+        now = self._clock.time_since_boot()
+        number = self._rank().start_rank
         age = self._proof.age(now)
         if age is None and number == 0:
             return True
         age_or_uptime = now - self._started if age is None else age
         stands_in = (
             self._stand_in_started is not None
-            and now - self._stand_in_started < proving.STAND_IN_TIME * bound
+            and now - self._stand_in_started
+            < proof_tree.STANDBY_DURATION_BOUNDS * bound
         )
-        should_read = proving.reads(
-            number, age_or_uptime, bound, self._rng, stands_in=stands_in
+        should_read = proof_tree.should_read(
+            number, age_or_uptime, bound, self._rng, is_standby=stands_in
         )
         if should_read and number and not stands_in:
             self._stand_in_started = now
@@ -135,12 +137,14 @@
         bound = self._proof.bound
         if bound is None:
             return _IDLE_INTERVAL
-        if self._proof.answer(self._clock.boot_time()) is None:
-            return proving.FIRST_PERIOD
-        return proving.ASK_PERIOD * bound * self._rng.uniform(0.8, 1.0)
+        if self._proof.make_response(self._clock.time_since_boot()) is None:
+            return proof_tree.INITIAL_QUERY_PERIOD
+        return (
+            proof_tree.QUERY_PERIOD_SHARE * bound * self._rng.uniform(0.8, 1.0)
+        )
 
-    def _rank(self) -> proving.Rank[view.NodeRecord]:
-        return proving.rank(self._me, self._fleet.nodes.values())
+    def _rank(self) -> proof_tree.TreePosition[view.NodeRecord]:
+        return proof_tree.tree_position(self._me, self._fleet.nodes.values())
 
     def _choose_peer(self, bound: datetime.timedelta) -> view.NodeRecord | None:
         """Returns the node to query next, if any.
@@ -152,30 +156,34 @@
         rank = self._rank()
         if rank.parent is not None and self._is_parent_useful:
             return rank.parent
-        if not rank.others:
+        if not rank.fallbacks:
             return rank.parent
         is_first_reader = rank.parent is None
-        if is_first_reader and not self._is_older(2 * proving.READ_AGE * bound):
+        if is_first_reader and not self._is_older(
+            2 * proof_tree.READER_PROOF_AGE_SHARE * bound
+        ):
             return None
-        return self._rng.choice(rank.others)
+        return self._rng.choice(rank.fallbacks)
 
     def _is_older(self, limit: datetime.timedelta) -> bool:
         """Returns whether the proof is missing or older than the limit."""
-        age = self._proof.age(self._clock.boot_time())
+        age = self._proof.age(self._clock.time_since_boot())
         return age is None or age > limit
 
     async def _query(self, peer: view.NodeRecord) -> None:
-        sent_at = self._clock.boot_time()
+        sent_at = self._clock.time_since_boot()
         query = codec.messages.Frame(
             freshness_ask=codec.messages.FreshnessAsk()
         )
-        response = await self._pool.ask(peer.address, query, links.ANSWER_LIMIT)
+        response = await self._pool.query(
+            peer.address, query, links.RESPONSE_TIMEOUT
+        )
         state = response.freshness_state if response is not None else None
         if state is None or state.version is None or state.age_ms is None:
             return
-        peer_proof = freshness.Answer(
+        peer_proof = freshness.ProofResponse(
             state.version, state.age_ms * _MILLISECOND
         )
-        if self._proof.answered(peer_proof, sent_at):
+        if self._proof.handle_response(peer_proof, sent_at):
             # Another node reads often enough, so this one stops doing so.
             self._stand_in_started = None
--- a/endivewind/nodes/quotas.py
+++ b/endivewind/nodes/quotas.py
@@ -23,25 +23,25 @@
 
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 # An owner may borrow from another region before it responds.
-ANSWER_LIMIT = 2 * links.ANSWER_LIMIT
+OWNER_RESPONSE_TIMEOUT = 2 * links.RESPONSE_TIMEOUT
 # Delay after a round in which no zone had tokens to lend: all zones are under
 # load then.
-LEND_PAUSE = datetime.timedelta(milliseconds=500)
+BORROW_BACKOFF = datetime.timedelta(milliseconds=500)
 # How long the list of the zones' nodes is cached.
-MEMBERS_LIFE = datetime.timedelta(milliseconds=500)
+NODE_LIST_TTL = datetime.timedelta(milliseconds=500)
 # How long departed nodes are remembered as former owners.
-GONE_LIFE = datetime.timedelta(seconds=10)
+DEPARTED_NODE_TTL = datetime.timedelta(seconds=10)
 # The owner and one standby are queried before a node uses its own bucket.
-ASKED = 2
+MAX_OWNER_CANDIDATES = 2
 # Buckets of standbys are reset after this long without use.
-IDLE_LIFE = datetime.timedelta(seconds=5)
+STANDBY_BUCKET_TTL = datetime.timedelta(seconds=5)
 # The count is a 32-bit integer on the wire, so it needs a bound.
-MOST_ASKED = 10_000
+MAX_TOKENS_PER_QUERY = 10_000
 
-QuotaOf = collections.abc.Callable[[str], quotas.Quota | None]
+QuotaLookup = collections.abc.Callable[[str], quotas.Quota | None]
 
 
-class Keepers:
+class OwnerDirectory:
     """Determines which node of each zone owns a workspace's token bucket."""
 
     def __init__(self, fleet: view.FleetView, clock: clocks.Clock) -> None:
@@ -58,7 +58,7 @@
         self._refresh()
         return list(self._zones)
 
-    def ordered(self, workspace: str, zone: str) -> list[view.NodeRecord]:
+    def nodes_by_rank(self, workspace: str, zone: str) -> list[view.NodeRecord]:
         """Returns a zone's nodes by rank; the first is the owner."""
         self._refresh()
         return sorted(
@@ -66,7 +66,7 @@
             key=lambda item: _rank_hash(workspace, item),
         )
 
-    def since(
+    def owner_since(
         self, workspace: str, me: view.NodeRecord
     ) -> datetime.timedelta | None:
         """Returns when this node became the owner.
@@ -88,7 +88,7 @@
         now = self._clock.monotonic()
         if (
             self._refreshed_at is not None
-            and now - self._refreshed_at < MEMBERS_LIFE
+            and now - self._refreshed_at < NODE_LIST_TTL
         ):
             return
         self._refreshed_at = now
@@ -104,7 +104,7 @@
         self._departed = {
             name: (item, at)
             for name, (item, at) in self._departed.items()
-            if now - at < GONE_LIFE
+            if now - at < DEPARTED_NODE_TTL
         }
 
 
@@ -115,7 +115,7 @@
         self,
         me: view.NodeRecord,
         zones: int,
-        quota_of: QuotaOf,
+        quota_of: QuotaLookup,
         fleet: view.FleetView,
         pool: links.LinkPool,
         clock: clocks.Clock,
@@ -139,20 +139,20 @@
         self._pool = pool
         self._clock = clock
         self._tolerance = tolerance
-        self._owners = Keepers(fleet, clock)
+        self._owners = OwnerDirectory(fleet, clock)
         self._started = clock.monotonic()
         self._buckets: dict[str, quotas.TokenBucket] = {}
         self._borrowing: dict[str, asyncio.Task[None]] = {}
         self._backoff_until: dict[str, datetime.timedelta] = {}
 
-    async def grant(self, workspace: str, count: int) -> quotas.Grant:
+    async def request_tokens(self, workspace: str, count: int) -> quotas.Grant:
         """Requests tokens of a workspace for this entry node.
 
         Queries the owner in this zone and, if it does not respond, a standby.
         If neither responds, the node uses a small bucket of its own.
         """
-        candidates = self._owners.ordered(workspace, self._me.zone)
-        for owner in candidates[:ASKED]:
+        candidates = self._owners.nodes_by_rank(workspace, self._me.zone)
+        for owner in candidates[:MAX_OWNER_CANDIDATES]:
             if owner.name == self._me.name:
                 break
             grant = await self._query(owner, workspace, count, is_loan=False)
@@ -160,9 +160,9 @@
                 return grant
         return await self._take(workspace, count)
 
-    async def answer(self, query: Any) -> Any:
+    async def handle_query(self, query: Any) -> Any:
         """Returns the response frame to another node's query for tokens."""
-        count = max(0, min(query.count or 0, MOST_ASKED))
+        count = max(0, min(query.count or 0, MAX_TOKENS_PER_QUERY))
         workspace = query.workspace or ""
         if query.between:
             found = self._lend(workspace, count)
@@ -200,21 +200,23 @@
             self._buckets.pop(workspace, None)
             return None
         now = self._clock.monotonic()
-        ordered = self._owners.ordered(workspace, self._me.zone)
+        ordered = self._owners.nodes_by_rank(workspace, self._me.zone)
         is_owner = not ordered or ordered[0].name == self._me.name
-        limit = quotas.Limit.for_zone(
+        limit = quotas.BucketLimits.for_zone(
             quota.rate, quota.burst, self._zones(), self._tolerance
         )
         limit = limit if is_owner else limit.for_standby()
         bucket = self._buckets.get(workspace)
         if bucket is not None and (
-            is_owner or now - bucket.last_used < IDLE_LIFE
+            is_owner or now - bucket.last_used < STANDBY_BUCKET_TTL
         ):
             bucket.configure(limit, now)
             return bucket
         tokens = quotas.START_SHARE * limit.capacity
         if is_owner:
-            since = self._owners.since(workspace, self._me) or self._started
+            since = (
+                self._owners.owner_since(workspace, self._me) or self._started
+            )
             tokens += limit.rate * (now - since).total_seconds()
         bucket = self._buckets[workspace] = quotas.TokenBucket(
             limit, tokens, now
@@ -256,13 +258,13 @@
                 bucket.borrow(lent.count, self._clock.monotonic())
         if not borrowed:
             self._backoff_until[workspace] = (
-                self._clock.monotonic() + LEND_PAUSE
+                self._clock.monotonic() + BORROW_BACKOFF
             )
 
     def _lenders(self, workspace: str) -> list[view.NodeRecord]:
         """Returns the owners in other zones, those of this region first."""
         found = [
-            self._owners.ordered(workspace, zone)[0]
+            self._owners.nodes_by_rank(workspace, zone)[0]
             for zone in self._owners.zones()
             if zone != self._me.zone
         ]
@@ -285,10 +287,10 @@
         query = codec.messages.QuotaAsk(
             workspace=workspace, count=count, between=is_loan
         )
-        response = await self._pool.ask(
+        response = await self._pool.query(
             owner.address,
             codec.messages.Frame(quota_ask=query),
-            links.ANSWER_LIMIT if is_loan else ANSWER_LIMIT,
+            links.RESPONSE_TIMEOUT if is_loan else OWNER_RESPONSE_TIMEOUT,
         )
         grant = response.quota_grant if response is not None else None
         if grant is None:
--- a/endivewind/nodes/repair.py
+++ b/endivewind/nodes/repair.py
@@ -17,9 +17,9 @@
 from endivewind.nodes import view
 
 # Fits the MTU of every path, including headers and signature.
-MAX_DATAGRAM = 1200
+MAX_DATAGRAM_BYTES = 1200
 _OVERHEAD = 160
-ROOM = MAX_DATAGRAM - _OVERHEAD
+MAX_PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - _OVERHEAD
 # Minimum time between two comparisons that a node starts. For REPAIR_PERIOD
 # after its last change BUSY_REPAIR_PERIOD applies instead, since others may
 # simply not have received the change yet. Without this each change would make
@@ -30,11 +30,11 @@
 # Number of differing buckets from which on a node pulls the full state. A
 # joining node differs in most buckets, and one pull is cheaper than many
 # comparisons.
-WHOLE_BUCKETS = 100
+MIN_FULL_PULL_BUCKETS = 100
 # Minimum time between two pulls of the full state, which takes about 1.4 MB and
 # a second or two at 760 nodes. Asking again while it arrives would double the
 # work of a fleet that restarts.
-PULL_PERIOD = datetime.timedelta(seconds=3)
+MIN_FULL_PULL_INTERVAL = datetime.timedelta(seconds=3)
 HOMES_PER_FRAME = 16
 
 
@@ -52,10 +52,10 @@
         self._view = fleet
         self._clock = clock
         self._rng = rng
-        self._digests = digests.Digests()
+        self._digests = digests.BucketDigests()
         self._changed_at = clock.monotonic()
         self._last_repair = clock.monotonic() - REPAIR_PERIOD
-        self._last_pull = clock.monotonic() - PULL_PERIOD
+        self._last_pull = clock.monotonic() - MIN_FULL_PULL_INTERVAL
 
     @property
     def summary(self) -> int:
@@ -69,12 +69,12 @@
         if self._digests.summary != before:
             self._changed_at = self._clock.monotonic()
 
-    def forget(self, name: str) -> None:
+    def remove_node(self, name: str) -> None:
         """Removes a node from the digests."""
         self._digests.put(name, None)
 
-    def answer(
-        self, pull: messages.Pull, *, joined: bool
+    def answer_pull(
+        self, pull: messages.Pull, *, has_joined: bool
     ) -> collections.abc.Iterator[messages.FleetState]:
         """Yields the state that a pull asks for, in parts of bounded size.
 
@@ -86,12 +86,16 @@
         for start in range(0, len(names), HOMES_PER_FRAME):
             part = names[start : start + HOMES_PER_FRAME]
             last = start + HOMES_PER_FRAME >= len(names)
-            state = self._make_state(part, last=last and joined)
+            state = self._make_state(part, last=last and has_joined)
             left = tuple(self._view.departed_targets(pull.sender).items())
-            yield dataclasses.replace(state, left=left) if last else state
+            yield (
+                dataclasses.replace(state, departed_targets=left)
+                if last
+                else state
+            )
 
     def compare(
-        self, address: str, message: messages.Datagram, *, joined: bool
+        self, address: str, message: messages.Datagram, *, has_joined: bool
     ) -> list[messages.Send]:
         """Compares a datagram's digests; returns the messages to send.
 
@@ -102,12 +106,12 @@
         """
         if message.buckets:
             return self._compare_buckets(address, message.buckets)
-        if message.compared:
+        if message.compared_buckets:
             return self._compare_versions(address, message)
         if message.summary == self.summary:
             return []
         now = self._clock.monotonic()
-        if not joined and now - self._last_pull >= PULL_PERIOD:
+        if not has_joined and now - self._last_pull >= MIN_FULL_PULL_INTERVAL:
             self._last_pull = now
             return [messages.Send(address, self._make_pull(()))]
         is_quiet = now - self._changed_at >= REPAIR_PERIOD
@@ -135,13 +139,13 @@
             return []
         differing = [
             index
-            for index in range(digests.BUCKETS)
+            for index in range(digests.BUCKET_COUNT)
             if mine[index] != theirs[index]
         ]
         sends: list[messages.Send] = []
         now = self._clock.monotonic()
-        needs_full_pull = len(differing) >= WHOLE_BUCKETS
-        if needs_full_pull and now - self._last_pull >= PULL_PERIOD:
+        needs_full_pull = len(differing) >= MIN_FULL_PULL_BUCKETS
+        if needs_full_pull and now - self._last_pull >= MIN_FULL_PULL_INTERVAL:
             self._last_pull = now
             sends.append(messages.Send(address, self._make_pull(())))
         self._rng.shuffle(differing)
@@ -157,16 +161,16 @@
         result: list[messages.Datagram] = []
         compared: list[int] = []
         versions: list[digests.Version] = []
-        remaining_bytes = ROOM
+        remaining_bytes = MAX_PAYLOAD_BYTES
         for index in differing:
-            names = self._digests.names(index)
+            names = self._digests.names_in(index)
             bucket_versions = [
                 item for name in names if (item := self._current_version(name))
             ]
             size = 8 + sum(_version_size(item) for item in bucket_versions)
             if size > remaining_bytes and compared:
                 result.append(self._make_version_datagram(compared, versions))
-                compared, versions, remaining_bytes = [], [], ROOM
+                compared, versions, remaining_bytes = [], [], MAX_PAYLOAD_BYTES
                 if len(result) == MAX_VERSION_DATAGRAMS:
                     return result
             if size > remaining_bytes:
@@ -186,7 +190,7 @@
         return messages.Datagram(
             self._members.me.node.name,
             self.summary,
-            compared=tuple(compared),
+            compared_buckets=tuple(compared),
             versions=tuple(versions),
         )
 
@@ -195,9 +199,9 @@
     ) -> list[messages.Send]:
         theirs = {item.name: item for item in message.versions}
         names = set(theirs)
-        for index in message.compared:
-            if 0 <= index < digests.BUCKETS:
-                names |= self._digests.names(index)
+        for index in message.compared_buckets:
+            if 0 <= index < digests.BUCKET_COUNT:
+                names |= self._digests.names_in(index)
         names_behind: list[str] = []
         names_ahead: list[str] = []
         for name in sorted(names):
@@ -230,8 +234,12 @@
         own_home = self._view.home_version(name)
         own_version = (own_home.incarnation, own_home.sequence)
         their_version = (theirs.home.incarnation, theirs.home.sequence)
-        is_behind = theirs.member > member.order or their_version > own_version
-        is_ahead = member.order > theirs.member or own_version > their_version
+        is_behind = (
+            theirs.member > member.precedence or their_version > own_version
+        )
+        is_ahead = (
+            member.precedence > theirs.member or own_version > their_version
+        )
         return is_behind, is_ahead
 
     def _make_state(
@@ -245,17 +253,17 @@
                 continue
             members.append(member)
             home = self._view.home_state(name)
-            if home is not None and member.usable:
+            if home is not None and member.is_usable:
                 homes.append(home)
         me = self._members.me.node.name
         return messages.FleetState(me, tuple(members), tuple(homes), last)
 
     def _current_version(self, name: str) -> digests.Version | None:
         member = self._members.members.get(name)
-        if member is None or not member.usable:
+        if member is None or not member.is_usable:
             return None
         return digests.Version(
-            name, member.order, self._view.home_version(name)
+            name, member.precedence, self._view.home_version(name)
         )
 
 
--- a/endivewind/nodes/traffic.py
+++ b/endivewind/nodes/traffic.py
@@ -19,13 +19,13 @@
     """
 
     REQUESTS = "requests"
-    ANSWERS = "answers"
+    RESPONSES = "answers"
     STATE = "state"
     CONFIGURATION = "configuration"
     CHANGES = "changes"
-    NEWS = "news"
+    PEER_UPDATES = "news"
     PROBES = "probes"
-    QUESTIONS = "questions"
+    QUERIES = "questions"
 
 
 class Distance(enum.StrEnum):
@@ -38,7 +38,7 @@
 
     ZONE = "zone"
     REGION = "region"
-    FAR = "far"
+    OTHER_REGION = "far"
     UNKNOWN = "unknown"
 
 
@@ -48,18 +48,18 @@
 class Meter(Protocol):
     """Counts sent bytes."""
 
-    def sent(self, kind: Kind, address: str, size: int) -> None:
+    def record_sent(self, kind: Kind, address: str, size: int) -> None:
         """Counts bytes sent to an address: a host, optionally with a port."""
 
 
-class Unmetered:
+class NullMeter:
     """A meter that ignores everything."""
 
-    def sent(self, kind: Kind, address: str, size: int) -> None:
+    def record_sent(self, kind: Kind, address: str, size: int) -> None:
         """Does nothing."""
 
 
-class Traffic:
+class TrafficMeter:
     """Counts a node's sent bytes; finds the receiving node by its host."""
 
     def __init__(self, region: str, zone: str, fleet: view.FleetView) -> None:
@@ -76,7 +76,7 @@
         """Bytes sent since the start."""
         return self._counts
 
-    def sent(self, kind: Kind, address: str, size: int) -> None:
+    def record_sent(self, kind: Kind, address: str, size: int) -> None:
         """Counts bytes sent to an address."""
         self._counts[kind, self._distance(_host(address))] += size
 
@@ -100,7 +100,7 @@
 
     def _distance_of(self, node: view.NodeRecord) -> Distance:
         if node.region != self._region:
-            return Distance.FAR
+            return Distance.OTHER_REGION
         return Distance.ZONE if node.zone == self._zone else Distance.REGION
 
 
--- a/endivewind/nodes/asking.py
+++ b/endivewind/nodes/version_queries.py
@@ -17,13 +17,13 @@
 from endivewind.nodes import view
 
 # Queries are rare, but with 760 nodes one must not open all links at once.
-MAX_AT_ONCE = 32
-MAX_KEYS = 100
-WAIT = datetime.timedelta(seconds=2)
+MAX_CONCURRENT_SENDS = 32
+MAX_KEYS_PER_QUERY = 100
+QUERY_TIMEOUT = datetime.timedelta(seconds=2)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class State:
+class ObjectVersions:
     """The versions of one object at one node.
 
     Attributes:
@@ -35,11 +35,11 @@
     in_force: int
 
 
-States = dict[store.Key, State]
+VersionsByKey = dict[store.Key, ObjectVersions]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FleetStates:
+class FleetVersions:
     """The versions of configuration objects across the fleet.
 
     Attributes:
@@ -47,11 +47,11 @@
       unresponsive: names of known nodes that did not respond in time.
     """
 
-    nodes: dict[str, States]
-    silent: tuple[str, ...]
+    nodes: dict[str, VersionsByKey]
+    unresponsive: tuple[str, ...]
 
 
-class Asking:
+class VersionQueries:
     """Sends queries to other nodes, collects responses and answers queries."""
 
     def __init__(
@@ -66,12 +66,12 @@
         self._fleet = fleet
         self._pool = pool
         self._numbers = itertools.count(1)
-        self._pending: dict[int, dict[str, States]] = {}
+        self._pending: dict[int, dict[str, VersionsByKey]] = {}
         self._response_arrived = asyncio.Event()
 
-    async def ask(
+    async def query_fleet(
         self, keys: collections.abc.Sequence[store.Key]
-    ) -> FleetStates:
+    ) -> FleetVersions:
         """Queries all known nodes; waits for QUERY_TIMEOUT at most."""
         number = next(self._numbers)
         versions = {self._name: self._own_versions(keys)}
@@ -85,11 +85,11 @@
             configuration_ask=codec.messages.ConfigurationAsk(
                 sender=self._name,
                 number=number,
-                keys=[stamp_out(key, store.ABSENT) for key in keys],
+                keys=[encode_stamp(key, store.ABSENT_STAMP) for key in keys],
             )
         )
         try:
-            async with asyncio.timeout(WAIT.total_seconds()):
+            async with asyncio.timeout(QUERY_TIMEOUT.total_seconds()):
                 await self._send_all(others, frame)
                 while others.keys() - versions.keys():
                     self._response_arrived.clear()
@@ -99,27 +99,27 @@
         finally:
             del self._pending[number]
         unresponsive = tuple(sorted(others.keys() - versions.keys()))
-        return FleetStates(versions, unresponsive)
+        return FleetVersions(versions, unresponsive)
 
-    def answer(self, query: Any) -> Any:
+    def handle_query(self, query: Any) -> Any:
         """Returns the response frame to another node's query."""
         keys = [store.Key(item.kind, item.name) for item in query.keys or ()]
-        own = self._own_versions(keys[:MAX_KEYS])
+        own = self._own_versions(keys[:MAX_KEYS_PER_QUERY])
         state = codec.messages.ConfigurationState(
             sender=self._name,
             number=query.number,
             known=[
-                stamp_out(key, store.Stamp(item.known, 0))
+                encode_stamp(key, store.Stamp(item.known, 0))
                 for key, item in own.items()
             ],
             in_force=[
-                stamp_out(key, store.Stamp(item.in_force, 0))
+                encode_stamp(key, store.Stamp(item.in_force, 0))
                 for key, item in own.items()
             ],
         )
         return codec.messages.Frame(configuration_state=state)
 
-    def answered(self, state: Any) -> None:
+    def handle_response(self, state: Any) -> None:
         """Records a response; one that arrives too late is ignored."""
         versions = self._pending.get(state.number)
         if versions is None:
@@ -129,7 +129,7 @@
             for item in state.known or ()
         }
         versions[state.sender] = {
-            key: State(known.get(key, 0), item.version)
+            key: ObjectVersions(known.get(key, 0), item.version)
             for item in state.in_force or ()
             for key in (store.Key(item.kind, item.name),)
         }
@@ -137,10 +137,11 @@
 
     def _own_versions(
         self, keys: collections.abc.Iterable[store.Key]
-    ) -> States:
+    ) -> VersionsByKey:
         return {
-            key: State(
-                self._store.stamp(key).version, self._store.in_force(key)
+            key: ObjectVersions(
+                self._store.stamp(key).version,
+                self._store.version_in_force(key),
             )
             for key in keys
         }
@@ -148,7 +149,7 @@
     async def _send_all(
         self, others: dict[str, view.NodeRecord], frame: Any
     ) -> None:
-        semaphore = asyncio.Semaphore(MAX_AT_ONCE)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_SENDS)
 
         async def send(address: str) -> None:
             async with semaphore:
@@ -157,7 +158,7 @@
         await asyncio.gather(*(send(peer.address) for peer in others.values()))
 
 
-def stamp_out(key: store.Key, stamp: store.Stamp) -> Any:
+def encode_stamp(key: store.Key, stamp: store.Stamp) -> Any:
     """Converts a key and its stamp to a thrift struct."""
     return codec.messages.ConfigurationStamp(
         kind=key.kind,
--- a/endivewind/nodes/view.py
+++ b/endivewind/nodes/view.py
@@ -204,7 +204,7 @@
             for item in home.records.values():
                 if item.state is records.State.DRAINING:
                     self._remember_departure(item)
-            self.remove_home(record.name)
+            self.remove_home_targets(record.name)
             return True
         for item in home.records.values():
             self._index_record(item)
@@ -222,7 +222,7 @@
         if home is not None:
             self._withdraw_home(home)
 
-    def remove_home(self, name: str) -> None:
+    def remove_home_targets(self, name: str) -> None:
         """Deletes all records of a home's targets, but not the node itself."""
         home = self._homes.pop(name, None)
         if home is not None:
@@ -285,7 +285,7 @@
         record = change.record
         home = self._homes.get(record.home)
         if home is None or home.incarnation < record.home_incarnation:
-            self.remove_home(record.home)
+            self.remove_home_targets(record.home)
             home = _HomeTargets(record.home_incarnation)
             self._homes[sys.intern(record.home)] = home
         if home.incarnation > record.home_incarnation:
--- a/endivewind/operators/__init__.py
+++ b/endivewind/operators/__init__.py
@@ -12,6 +12,6 @@
 Firm = builder.Firm
 Profile = objects.Profile
 Priority = objects.Priority
-Repeat = objects.Repeat
+Repeat = objects.RepeatPolicy
 
 __all__ = ["Firm", "Priority", "Profile", "Repeat"]
--- a/endivewind/operators/builder.py
+++ b/endivewind/operators/builder.py
@@ -87,7 +87,7 @@
         host: str,
         prefix: str = "/",
         workspace: str = "",
-        repeat: objects.Repeat = objects.Repeat.SAFE_METHODS,
+        repeat: objects.RepeatPolicy = objects.RepeatPolicy.SAFE_METHODS,
         priority: objects.Priority = objects.Priority.NORMAL,
     ) -> None:
         """Adds a route from a host and path prefix to a service."""
@@ -196,5 +196,5 @@
     try:
         return model.model_validate(values)
     except pydantic.ValidationError as error:
-        findings = base.findings_of(error, f"{_SOURCE} {place}", model)
+        findings = base.to_findings(error, f"{_SOURCE} {place}", model)
         raise exceptions.InvalidFileError(findings) from error
--- a/endivewind/operators/configuration.py
+++ b/endivewind/operators/configuration.py
@@ -10,13 +10,13 @@
 from aiohttp import web
 
 from endivewind.config import store
-from endivewind.nodes import asking
+from endivewind.nodes import version_queries
 
 PATH = "/v1/configuration"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Members:
+class FleetMembers:
     """What the response tells of the fleet's nodes.
 
     Attributes:
@@ -26,31 +26,37 @@
     """
 
     zones: tuple[str, ...]
-    left: collections.abc.Callable[[], tuple[str, ...]]
+    departed_nodes: collections.abc.Callable[[], tuple[str, ...]]
 
 
 def add_route(
-    application: web.Application, fleet: asking.Asking, members: Members
+    application: web.Application,
+    fleet: version_queries.VersionQueries,
+    members: FleetMembers,
 ) -> None:
     """Adds the path; each `?object=KIND/NAME` names an object to query."""
 
     async def handle(request: web.Request) -> web.Response:
         keys = [_parse_key(item) for item in request.query.getall("object", [])]
-        if not keys or None in keys or len(keys) > asking.MAX_KEYS:
+        if (
+            not keys
+            or None in keys
+            or len(keys) > version_queries.MAX_KEYS_PER_QUERY
+        ):
             return web.json_response(
                 {
                     "title": "bad query",
                     "detail": "object=KIND/NAME, once to "
-                    f"{asking.MAX_KEYS} times",
+                    f"{version_queries.MAX_KEYS_PER_QUERY} times",
                 },
                 status=400,
             )
-        versions = await fleet.ask([key for key in keys if key])
+        versions = await fleet.query_fleet([key for key in keys if key])
         return web.json_response(
             {
-                "silent": versions.silent,
+                "silent": versions.unresponsive,
                 "zones": members.zones,
-                "left": members.left(),
+                "left": members.departed_nodes(),
                 "nodes": {
                     name: {
                         str(key): dataclasses.asdict(state)
--- a/endivewind/operators/http.py
+++ b/endivewind/operators/operator_api.py
@@ -25,7 +25,7 @@
       members: returns the numbers of known nodes by state.
     """
 
-    ready: collections.abc.Callable[[], str | None]
+    not_ready_reason: collections.abc.Callable[[], str | None]
     status: collections.abc.Callable[[], dict[str, object]]
     metrics: collections.abc.Callable[[], Page]
     members: collections.abc.Callable[[], dict[str, object]] = dict
@@ -37,7 +37,7 @@
     def __init__(self, sources: Sources) -> None:
         self._sources = sources
 
-    def application(self) -> web.Application:
+    def make_application(self) -> web.Application:
         """Makes the web application with the routes of the API."""
         app = web.Application()
         app.router.add_get("/healthz", self._health)
@@ -51,7 +51,7 @@
         return web.Response(text="ok\n")
 
     async def _ready(self, request: web.Request) -> web.Response:
-        reason = self._sources.ready()
+        reason = self._sources.not_ready_reason()
         if reason:
             return web.Response(status=503, text=reason + "\n")
         return web.Response(text="ready\n")
--- a/endivewind/operators/explaining.py
+++ b/endivewind/operators/request_trace.py
@@ -15,17 +15,17 @@
 
 # How long before a request's end lines on the status of its targets and nodes
 # are included: ejections last for seconds to a minute.
-LOOK_BACK = datetime.timedelta(minutes=1)
+STATUS_LOOKBACK = datetime.timedelta(minutes=1)
 # How long before and after a request other requests to its targets are
 # included.
-AROUND = datetime.timedelta(seconds=10)
+OTHER_REQUESTS_WINDOW = datetime.timedelta(seconds=10)
 # Separates a request's id from the number of a call that it made.
-CALL_MARK = "."
+CALL_ID_SEPARATOR = "."
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Line:
+class LogLine:
     """One log line.
 
     Attributes:
@@ -68,7 +68,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Request:
+class LoggedRequest:
     """A request as its entry node logged it.
 
     Attributes:
@@ -78,7 +78,7 @@
         the original request's entry node.
     """
 
-    line: Line
+    line: LogLine
     attempts: tuple[Attempt, ...]
     clock_offset: datetime.timedelta = datetime.timedelta()
 
@@ -94,7 +94,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Story:
+class RequestTrace:
     """Everything that the log lines tell of one request.
 
     Attributes:
@@ -107,16 +107,16 @@
         same time, by target.
     """
 
-    request: Request
-    calls: tuple[Request, ...]
-    refusals: tuple[Line, ...]
-    beliefs: tuple[Line, ...]
-    others: dict[str, tuple[Attempt, ...]]
+    request: LoggedRequest
+    calls: tuple[LoggedRequest, ...]
+    refusals: tuple[LogLine, ...]
+    status_lines: tuple[LogLine, ...]
+    other_attempts: dict[str, tuple[Attempt, ...]]
 
 
-def parse(
+def parse_lines(
     text: collections.abc.Iterable[str], node: str
-) -> collections.abc.Iterator[Line]:
+) -> collections.abc.Iterator[LogLine]:
     """Parses the log lines in a text and skips everything else.
 
     Args:
@@ -136,12 +136,12 @@
         except (ValueError, KeyError, TypeError):
             continue
         words = prefix.split()
-        yield Line(words[-1] if words else node, time, message, fields)
+        yield LogLine(words[-1] if words else node, time, message, fields)
 
 
-def explain(
-    lines: collections.abc.Iterable[Line], request_id: str
-) -> Story | None:
+def build_trace(
+    lines: collections.abc.Iterable[LogLine], request_id: str
+) -> RequestTrace | None:
     """Builds the trace of a request; returns None if no line mentions it.
 
     A request that succeeded at its first attempt is not logged.
@@ -161,9 +161,9 @@
     calls = [
         _adjust_clock(item, request)
         for item in requests
-        if _request_id(item.line).startswith(request_id + CALL_MARK)
+        if _request_id(item.line).startswith(request_id + CALL_ID_SEPARATOR)
     ]
-    return Story(
+    return RequestTrace(
         request,
         tuple(sorted(calls, key=lambda item: item.start)),
         tuple(
@@ -176,15 +176,15 @@
     )
 
 
-def _request_id(line: Line) -> str:
+def _request_id(line: LogLine) -> str:
     return str(line.fields.get("request_id", ""))
 
 
-def _is_complete(line: Line) -> bool:
+def _is_complete(line: LogLine) -> bool:
     return {"request_id", "milliseconds", "tries"} <= line.fields.keys()
 
 
-def _decode_request(line: Line) -> Request:
+def _decode_request(line: LogLine) -> LoggedRequest:
     attempts = tuple(
         Attempt(
             str(item["target"]),
@@ -196,7 +196,7 @@
         )
         for item in sorted(line.fields["tries"], key=_start_ms)
     )
-    return Request(line, attempts)
+    return LoggedRequest(line, attempts)
 
 
 def _start_ms(item: dict[str, Any]) -> int:
@@ -204,7 +204,7 @@
     return int(item["after_ms"])
 
 
-def _adjust_clock(call: Request, request: Request) -> Request:
+def _adjust_clock(call: LoggedRequest, request: LoggedRequest) -> LoggedRequest:
     """Corrects a call's clock so that it lies within the request causing it.
 
     The offset is the smallest that moves the call into the attempt at the
@@ -224,17 +224,17 @@
 
 
 def _status_lines(
-    lines: list[Line], request: Request
-) -> collections.abc.Iterator[Line]:
+    lines: list[LogLine], request: LoggedRequest
+) -> collections.abc.Iterator[LogLine]:
     """Yields the latest line of each kind on each target and home node."""
     targets = {item.target for item in request.attempts}
     homes = {item.home for item in request.attempts}
-    latest: dict[tuple[str, str], Line] = {}
+    latest: dict[tuple[str, str], LogLine] = {}
     for line in lines:
         subject = str(line.fields.get("target", line.fields.get("node", "")))
         if subject not in targets | homes:
             continue
-        if request.end - LOOK_BACK <= line.time <= request.end:
+        if request.end - STATUS_LOOKBACK <= line.time <= request.end:
             key = (line.message, subject)
             if key not in latest or latest[key].time <= line.time:
                 latest[key] = line
@@ -250,13 +250,16 @@
 
 
 def _other_attempts(
-    requests: list[Request], request: Request
+    requests: list[LoggedRequest], request: LoggedRequest
 ) -> dict[str, tuple[Attempt, ...]]:
     attempts_by_target: dict[str, list[Attempt]] = {
         item.target: [] for item in request.attempts
     }
     for other in requests:
-        if other is request or abs(other.end - request.end) > AROUND:
+        if (
+            other is request
+            or abs(other.end - request.end) > OTHER_REQUESTS_WINDOW
+        ):
             continue
         for attempt in other.attempts:
             if attempt.target in attempts_by_target:
--- a/endivewind/platform/client.py
+++ b/endivewind/platform/client.py
@@ -32,9 +32,9 @@
 # 60 ms.
 CALL_TIMEOUT = datetime.timedelta(seconds=3)
 # The store holds a watch open for at most 30 s.
-WATCH_WAIT = datetime.timedelta(seconds=30)
+WATCH_TIMEOUT = datetime.timedelta(seconds=30)
 # Genuine responses of the store are at most about 1 MB long.
-MAX_ANSWER_BYTES = 8 * 1024 * 1024
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 
 # TCP keepalive detects dead connections. A watch waits for half a minute and
 # would otherwise miss every change during that time.
@@ -56,7 +56,7 @@
 }
 
 
-def session() -> aiohttp.ClientSession:
+def make_session() -> aiohttp.ClientSession:
     """Makes an HTTP session that detects dead connections by keepalive."""
     connector = aiohttp.TCPConnector(socket_factory=_make_keepalive_socket)
     return aiohttp.ClientSession(connector=connector)
@@ -76,7 +76,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Call:
+class CallLabels:
     """Labels under which calls are counted.
 
     Attributes:
@@ -105,10 +105,10 @@
         self._session = session
         self._clock = clock or clocks.SystemClock()
         self._budget = retries.CallBudget()
-        self._calls: collections.Counter[Call] = collections.Counter()
+        self._calls: collections.Counter[CallLabels] = collections.Counter()
 
     @property
-    def calls(self) -> collections.abc.Mapping[Call, int]:
+    def call_counts(self) -> collections.abc.Mapping[CallLabels, int]:
         """Numbers of calls since the start; the platform bills each call."""
         return self._calls
 
@@ -117,7 +117,7 @@
         """The limit on the calls of this process."""
         return self._budget
 
-    def move(self, url: str) -> None:
+    def set_url(self, url: str) -> None:
         """Sets the store's address for all further calls."""
         self._url = url.rstrip("/")
 
@@ -128,7 +128,7 @@
         result = await self._call(
             "GET",
             _object_path(kind, name),
-            lambda body: wire.object_in(kind, body),
+            lambda body: wire.decode_object(kind, body),
         )
         return _check_name(result, kind, name)
 
@@ -151,7 +151,7 @@
         path = _kind_path(kind, **query)
         while True:
             result = await self._call(
-                "GET", path, lambda body: wire.page_in(kind, body)
+                "GET", path, lambda body: wire.decode_page(kind, body)
             )
             if result.is_error():
                 return expression.Error(result.error)
@@ -164,7 +164,7 @@
         listing = messages.Listing(revision=revision, objects=tuple(objects))
         return expression.Ok(listing)
 
-    async def revision(
+    async def get_revision(
         self, kind: str
     ) -> expression.Result[int, messages.PlatformError]:
         """Reads the store's current revision.
@@ -176,7 +176,7 @@
         result = await self._call(
             "GET",
             _kind_path(kind, after=_LAST_NAME),
-            lambda body: wire.page_in(kind, body),
+            lambda body: wire.decode_page(kind, body),
         )
         return result.map(lambda page: page.revision)
 
@@ -201,8 +201,8 @@
         result = await self._call(
             method,
             path,
-            lambda body: wire.object_in(kind, body),
-            wire.object_out(name, value, expected or None),
+            lambda body: wire.decode_object(kind, body),
+            wire.encode_object(name, value, expected or None),
         )
         result = _check_name(result, kind, name)
         if result.is_ok() and result.ok.value != value:
@@ -223,7 +223,7 @@
         self,
         kind: str,
         revision: int,
-        wait: datetime.timedelta = WATCH_WAIT,
+        wait: datetime.timedelta = WATCH_TIMEOUT,
     ) -> expression.Result[messages.Listing, messages.PlatformError]:
         """Waits for changes to objects of a kind after a revision.
 
@@ -235,7 +235,7 @@
         return await self._call(
             "GET",
             _kind_path(kind, watch=revision, wait_ms=wait_ms),
-            lambda body: wire.events_in(kind, body),
+            lambda body: wire.decode_events(kind, body),
             timeout=wait + CALL_TIMEOUT,
         )
 
@@ -254,7 +254,7 @@
             async with self._session.request(
                 method,
                 self._url + path,
-                data=None if value is None else wire.bytes_out(value),
+                data=None if value is None else wire.encode_json(value),
                 headers={"Content-Type": "application/json"},
                 timeout=aiohttp.ClientTimeout(total=timeout.total_seconds()),
             ) as response:
@@ -274,13 +274,15 @@
         try:
             return expression.Ok(decode(body))
         except pydantic.ValidationError as error:
-            return _error(messages.Failure.INVALID, wire.problem_line(error))
+            return _error(
+                messages.Failure.INVALID, wire.format_first_problem(error)
+            )
 
     async def _wait_for_budget(self) -> bool:
         """Waits until the budget allows a call, at most the call timeout."""
         waited = datetime.timedelta()
         while waited <= CALL_TIMEOUT:
-            wait = self._budget.start(self._clock.monotonic())
+            wait = self._budget.try_start(self._clock.monotonic())
             if not wait:
                 return True
             waited += wait
@@ -289,13 +291,13 @@
         return False
 
 
-def _call_labels(method: str, path: str) -> Call:
+def _call_labels(method: str, path: str) -> CallLabels:
     path_only, _, query = path.partition("?")
     _, _, kind, *name = path_only.split("/")
     word = method.lower()
     if method == "GET" and not name:
         word = "watch" if "watch=" in query else "list"
-    return Call(word, kind)
+    return CallLabels(word, kind)
 
 
 def _kind_path(kind: str, **query: Any) -> str:
@@ -317,7 +319,7 @@
     total = 0
     async for chunk in response.content.iter_any():
         total += len(chunk)
-        if total > MAX_ANSWER_BYTES:
+        if total > MAX_RESPONSE_BYTES:
             response.close()
             return None
         chunks.append(chunk)
@@ -366,11 +368,11 @@
     if failure is messages.Failure.CONFLICT:
         try:
             object_kind = urllib.parse.unquote(path.split("/")[2])
-            current = wire.object_in(object_kind, body)
+            current = wire.decode_object(object_kind, body)
         except pydantic.ValidationError as error:
             log.debug(
                 "conflict response without a valid object: %s",
-                wire.problem_line(error),
+                wire.format_first_problem(error),
             )
     return _error(failure, detail, current, _retry_after(response))
 
--- a/endivewind/platform/configuration.py
+++ b/endivewind/platform/configuration.py
@@ -22,8 +22,8 @@
 # Route types whose requests are idempotent; a download is a read with a large
 # response.
 _REPEAT_POLICIES = {
-    "safe": objects.Repeat.ALWAYS,
-    "download": objects.Repeat.ALWAYS,
+    "safe": objects.RepeatPolicy.ALWAYS,
+    "download": objects.RepeatPolicy.ALWAYS,
 }
 
 
@@ -151,7 +151,7 @@
             return expression.Error(keys.error)
         document = document.model_copy(update={"keys": keys.ok})
     except pydantic.ValidationError as error:
-        return expression.Error(wire.problem_line(error))
+        return expression.Error(wire.format_first_problem(error))
     envelope = store.Envelope(
         spec=document.model_dump(mode="json", exclude_defaults=True),
         operation=decoded.version,
@@ -247,7 +247,7 @@
 
 def _decode_route(spec: _RouteSpec) -> objects.Route:
     split = tuple(
-        objects.Share(service=item.service, weight=item.weight)
+        objects.SplitEntry(service=item.service, weight=item.weight)
         for item in spec.traffic_split
     )
     return objects.Route(
@@ -255,7 +255,9 @@
         prefix=spec.path_prefix,
         service="" if split else spec.service,
         split=split,
-        repeat=_REPEAT_POLICIES.get(spec.route_type, objects.Repeat.NEVER),
+        repeat=_REPEAT_POLICIES.get(
+            spec.route_type, objects.RepeatPolicy.NEVER
+        ),
         rank=spec.priority,
         timeout_ms=_to_milliseconds(spec.timeout_s),
         aim_ms=_to_milliseconds(spec.target_latency_s),
--- a/endivewind/platform/heartbeats.py
+++ b/endivewind/platform/heartbeats.py
@@ -22,7 +22,7 @@
 
 # A lease of four heartbeat intervals survives one late heartbeat and two lost
 # ones.
-LEASE_BEATS = 4
+HEARTBEATS_PER_LEASE = 4
 MAX_LEASE_MS = 60_000
 _STATES = {
     "ready": records.State.READY,
@@ -62,10 +62,10 @@
     born: pydantic.StrictInt = pydantic.Field(default=0, ge=0)
 
 
-Settled = collections.abc.Callable[[], collections.abc.Awaitable[None]]
+WaitForPeers = collections.abc.Callable[[], collections.abc.Awaitable[None]]
 
 
-async def at_once() -> None:
+async def no_wait() -> None:
     """Returns at once, for a home that need not wait for its peers."""
 
 
@@ -77,7 +77,7 @@
         targets: registration.Registration,
         heartbeat_ms: collections.abc.Callable[[], int],
         clock: clocks.Clock,
-        wait_for_peers: Settled = at_once,
+        wait_for_peers: WaitForPeers = no_wait,
     ) -> None:
         """Builds the API.
 
@@ -94,7 +94,7 @@
         self._targets = targets
         self._heartbeat_ms = heartbeat_ms
 
-    def application(self) -> web.Application:
+    def make_application(self) -> web.Application:
         """Makes the web application with the routes of the API."""
         app = web.Application()
         app.router.add_post(names.HEARTBEAT_PATH, self._heartbeat)
@@ -122,13 +122,17 @@
         except pydantic.ValidationError as error:
             return _bad_request(target, error)
         now_ms = round(self._clock.now().timestamp() * 1000)
-        self._targets.withdraw(target, deregistration.born, latest=now_ms)
+        self._targets.withdraw(
+            target, deregistration.born, max_incarnation=now_ms
+        )
         return web.json_response({})
 
     def _make_announcement(
         self, heartbeat: _Heartbeat
     ) -> registry.Announcement:
-        lease_ms = min(LEASE_BEATS * self._heartbeat_ms(), MAX_LEASE_MS)
+        lease_ms = min(
+            HEARTBEATS_PER_LEASE * self._heartbeat_ms(), MAX_LEASE_MS
+        )
         state = _STATES.get(heartbeat.status.state)
         cold_ms = round(heartbeat.status.cold_remaining_s * 1000)
         if state is records.State.READY and cold_ms:
--- a/endivewind/platform/readiness.py
+++ b/endivewind/platform/readiness.py
@@ -6,10 +6,10 @@
 
 from endivewind.platform import names
 
-NotReady = collections.abc.Callable[[], str | None]
+NotReadyReason = collections.abc.Callable[[], str | None]
 
 
-def application(not_ready: NotReady) -> web.Application:
+def make_application(not_ready: NotReadyReason) -> web.Application:
     """Makes an application that responds 200 if ready, or 503 and why not."""
 
     async def ready(request: web.Request) -> web.Response:
--- a/endivewind/platform/wire.py
+++ b/endivewind/platform/wire.py
@@ -41,7 +41,7 @@
     at_rev: int = pydantic.Field(ge=0)
 
 
-def object_in(kind: str, body: bytes) -> messages.StoredObject:
+def decode_object(kind: str, body: bytes) -> messages.StoredObject:
     """Decodes one object.
 
     Raises:
@@ -50,7 +50,7 @@
     return _to_stored(kind, _WireObject.model_validate_json(body))
 
 
-def page_in(kind: str, body: bytes) -> messages.Page:
+def decode_page(kind: str, body: bytes) -> messages.Page:
     """Decodes one page of a listing.
 
     Raises:
@@ -61,7 +61,7 @@
     return messages.Page(page.at_rev, objects, page.has_more)
 
 
-def events_in(kind: str, body: bytes) -> messages.Listing:
+def decode_events(kind: str, body: bytes) -> messages.Listing:
     """Decodes the events of a watch; a removed object has an empty value.
 
     Raises:
@@ -75,7 +75,7 @@
     return messages.Listing(revision=decoded.at_rev, objects=objects)
 
 
-def object_out(
+def encode_object(
     name: str, value: dict[str, Any], revision: int | None = None
 ) -> dict[str, Any]:
     """Encodes an object as requests and responses of the store hold it."""
@@ -91,12 +91,12 @@
     return ".".join(str(part) for part in first["loc"]), first["msg"]
 
 
-def problem_line(error: pydantic.ValidationError) -> str:
+def format_first_problem(error: pydantic.ValidationError) -> str:
     """Formats the first validation error and its place in one line."""
     return ": ".join(first_problem(error))
 
 
-def bytes_out(value: dict[str, Any]) -> bytes:
+def encode_json(value: dict[str, Any]) -> bytes:
     """Encodes JSON without spaces, as traffic between regions is billed."""
     return json.dumps(value, separators=(",", ":")).encode()
 
--- a/endivewind/reports.py
+++ b/endivewind/reports.py
@@ -10,14 +10,14 @@
 from typing import Any
 
 from endivewind import logs
-from endivewind.callers import counts
+from endivewind.callers import request_metrics
 from endivewind.config import store
 from endivewind.nodes import links
 from endivewind.nodes import traffic
 from endivewind.nodes import view
-from endivewind.operators import http
+from endivewind.operators import operator_api
 from endivewind.platform import client
-from endivewind.targets import judge
+from endivewind.targets import outlier_monitor
 from endivewind.targets import registry
 
 if TYPE_CHECKING:
@@ -25,11 +25,11 @@
 
 log = logging.getLogger(__name__)
 
-TRAFFIC_PERIOD = datetime.timedelta(seconds=10)
+TRAFFIC_LOG_INTERVAL = datetime.timedelta(seconds=10)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Parts:
+class ReportSources:
     """The parts of a node that its reports read.
 
     Attributes:
@@ -52,11 +52,11 @@
     configuration: store.ConfigurationStore
     fleet: view.FleetView
     targets: registry.TargetRegistry
-    judge: judge.Judge
-    requests: counts.RequestCounts
+    outlier_monitor: outlier_monitor.OutlierMonitor
+    requests: request_metrics.RequestMetrics
     in_flight: collections.abc.Callable[[], int]
     pool: links.LinkPool
-    traffic: traffic.Traffic
+    traffic: traffic.TrafficMeter
     platform: client.PlatformClient
     members: collections.abc.Callable[[], dict[str, object]]
 
@@ -64,7 +64,7 @@
 class Reports:
     """Renders status and metrics on demand, and logs traffic periodically."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: ReportSources) -> None:
         self._parts = parts
         self._metrics: metrics.NodeMetrics | None = None
 
@@ -80,14 +80,16 @@
             "targets": [
                 {
                     **dataclasses.asdict(item),
-                    "reason": parts.judge.causes.get(item.id, ""),
+                    "reason": parts.outlier_monitor.ejection_causes.get(
+                        item.id, ""
+                    ),
                 }
                 for item in parts.fleet.all_targets()
             ],
             "in_flight": parts.in_flight(),
         }
 
-    def metrics_page(self) -> http.Page:
+    def render_metrics(self) -> operator_api.Page:
         """Renders the metrics and loads their SDK at the first call.
 
         The SDK takes a fifteenth of a node's memory and of the processor time
@@ -96,17 +98,17 @@
         module = importlib.import_module("endivewind.metrics")
         if self._metrics is None:
             self._metrics = module.NodeMetrics(self._sources(module))
-        return http.Page(self._metrics.render(), module.CONTENT_TYPE)
+        return operator_api.Page(self._metrics.render(), module.CONTENT_TYPE)
 
     async def log_traffic(self) -> None:
         """Logs bytes sent and calls made by kind, until cancelled."""
         while True:
-            await asyncio.sleep(TRAFFIC_PERIOD.total_seconds())
+            await asyncio.sleep(TRAFFIC_LOG_INTERVAL.total_seconds())
             sent = self._parts.traffic.by_kind()
             log.info("bytes sent", extra=logs.fields(**sent))
             calls = {
                 f"{call.word} {call.kind}": count
-                for call, count in self._parts.platform.calls.items()
+                for call, count in self._parts.platform.call_counts.items()
             }
             log.info("platform calls", extra=logs.fields(**calls))
 
@@ -114,12 +116,12 @@
         parts = self._parts
         sources: metrics.Sources = module.Sources(
             requests=parts.requests,
-            health_changes=parts.judge.changes,
-            targets=parts.targets.announced,
+            health_changes=parts.outlier_monitor.status_change_counts,
+            targets=parts.targets.target_records,
             nodes=lambda: len(parts.fleet.nodes),
-            idle_links=lambda: parts.pool.idle,
+            idle_links=lambda: parts.pool.idle_count,
             version=lambda: parts.configuration.version,
             sent_bytes=parts.traffic.counts,
-            platform_calls=parts.platform.calls,
+            platform_calls=parts.platform.call_counts,
         )
         return sources
--- a/endivewind/soak/callers.py
+++ b/endivewind/soak/callers.py
@@ -18,29 +18,29 @@
 from endivewind.standins import target
 
 # The timeout of a route plus some seconds for a paused node.
-LONGEST_WAIT = datetime.timedelta(seconds=10)
-ONCE_WAIT = datetime.timedelta(seconds=12)
-PAUSE_SECONDS = 0.05
+LOOKUP_TIMEOUT = datetime.timedelta(seconds=10)
+NON_IDEMPOTENT_TIMEOUT = datetime.timedelta(seconds=12)
+REQUEST_INTERVAL_SECONDS = 0.05
 # Share of the requests that take half a second at the target, so that faults
 # hit requests that are running.
-SLOW_SHARE = 0.3
+DELAYED_SHARE = 0.3
 # Share of the look-ups whose responses are streamed over two seconds, so that
 # stops and broken links hit responses in transit.
 STREAMED_SHARE = 0.2
 
 
-class CutError(Exception):
+class ConnectionCutError(Exception):
     """The connection broke after the request was sent."""
 
 
-async def never_resend(request: Any, handler: Any) -> Any:
+async def prevent_resend(request: Any, handler: Any) -> Any:
     """Raises on a broken connection, on which aiohttp would resend a GET."""
     try:
         return await handler(request)
     except aiohttp.ClientConnectorError:
         raise
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
-        raise CutError from error
+        raise ConnectionCutError from error
 
 
 class Caller:
@@ -60,7 +60,7 @@
         self._nodes = nodes
         self._rng = rng
         self._stopped = False
-        self.told: list[checks.Told] = []
+        self.records: list[checks.RequestRecord] = []
 
     def stop(self) -> None:
         """Stops the caller after the current request."""
@@ -69,7 +69,9 @@
     async def run(self, run_start: float) -> None:
         """Sends until stopped, over keep-alive connections."""
         async with aiohttp.ClientSession(
-            timeout=aiohttp.ClientTimeout(total=ONCE_WAIT.total_seconds())
+            timeout=aiohttp.ClientTimeout(
+                total=NON_IDEMPOTENT_TIMEOUT.total_seconds()
+            )
         ) as session:
             number = 0
             while not self._stopped:
@@ -79,27 +81,33 @@
                     if number % 2
                     else self._send_non_idempotent
                 )
-                self.told.append(await send(session, work_id, run_start))
+                self.records.append(await send(session, work_id, run_start))
                 number += 1
-                await asyncio.sleep(PAUSE_SECONDS)
+                await asyncio.sleep(REQUEST_INTERVAL_SECONDS)
 
     def _request_headers(self, work_id: str) -> dict[str, str]:
         request_headers = {"Work-Id": work_id}
-        if self._rng.random() < SLOW_SHARE:
-            request_headers[target.FAULT_HEADER] = target.Fault.DELAY.value
+        if self._rng.random() < DELAYED_SHARE:
+            request_headers[target.FAULT_HEADER] = (
+                target.RequestFault.DELAY.value
+            )
         return request_headers
 
     async def _send_non_idempotent(
         self, session: aiohttp.ClientSession, work_id: str, run_start: float
-    ) -> checks.Told:
+    ) -> checks.RequestRecord:
         nodes = list(self._nodes.values())
         self._rng.shuffle(nodes)
         caller = client.Caller(session, nodes)
         started_at = _seconds_since(run_start)
         reply = await caller.run_once(
-            "POST", "/once", b"{}", ONCE_WAIT, self._request_headers(work_id)
+            "POST",
+            "/once",
+            b"{}",
+            NON_IDEMPOTENT_TIMEOUT,
+            self._request_headers(work_id),
         )
-        return checks.Told(
+        return checks.RequestRecord(
             work_id,
             True,
             "",
@@ -112,23 +120,23 @@
 
     async def _send_lookup(
         self, session: aiohttp.ClientSession, work_id: str, run_start: float
-    ) -> checks.Told:
+    ) -> checks.RequestRecord:
         node = self._rng.choice(list(self._nodes))
         started_at = _seconds_since(run_start)
         request_headers = self._request_headers(work_id)
         is_streamed = self._rng.random() < STREAMED_SHARE
         if is_streamed:
             request_headers[target.FAULT_HEADER] = (
-                target.Fault.SLOW_STREAM.value
+                target.RequestFault.SLOW_STREAM.value
             )
         status, outcome, body, was_cut = 0, "", b"", False
         try:
             async with (
-                asyncio.timeout(LONGEST_WAIT.total_seconds()),
+                asyncio.timeout(LOOKUP_TIMEOUT.total_seconds()),
                 session.get(
                     self._nodes[node] + "/look",
                     headers=request_headers,
-                    middlewares=(never_resend,),
+                    middlewares=(prevent_resend,),
                 ) as response,
             ):
                 body = await response.read()
@@ -137,9 +145,9 @@
         except (TimeoutError, aiohttp.ClientConnectorError):
             # Not a broken connection: a timeout, or no process listens.
             pass
-        except (CutError, aiohttp.ClientError):
+        except (ConnectionCutError, aiohttp.ClientError):
             was_cut = True
-        return checks.Told(
+        return checks.RequestRecord(
             work_id,
             False,
             node,
@@ -161,7 +169,7 @@
 
 def _streamed_work_id(body: bytes, work_id: str) -> str:
     """Returns the work id if the stream is complete; it contains no id."""
-    expected_bytes = target.PART_BYTES * target.STREAM_PARTS
+    expected_bytes = target.CHUNK_BYTES * target.STREAM_CHUNKS
     return work_id if len(body) == expected_bytes else ""
 
 
--- a/endivewind/soak/checks.py
+++ b/endivewind/soak/checks.py
@@ -9,19 +9,19 @@
 import enum
 
 
-class Promise(enum.StrEnum):
+class Guarantee(enum.StrEnum):
     """A guarantee; its value describes the violation."""
 
-    ONCE = "work that must not repeat ran twice"
-    ANSWERED = "an answer of work that never ran"
-    NOT_RUN = "told as not run, but it ran"
-    OWN = "an answer of another request, or a part of one"
-    STOPS = "a planned stop cut a request"
-    REVERTED = "an older configuration came into force"
-    AGREED = "nodes disagree on the configuration after the faults"
-    RECOVERED = "requests fail after the faults have ended"
-    EXIT = "a process ended by itself"
-    RETRIES = "more retries than the budget allows"
+    AT_MOST_ONCE = "work that must not repeat ran twice"
+    RESPONSE_IMPLIES_RUN = "an answer of work that never ran"
+    NOT_RUN_IS_TRUE = "told as not run, but it ran"
+    MATCHING_RESPONSE = "an answer of another request, or a part of one"
+    GRACEFUL_STOP = "a planned stop cut a request"
+    NO_ROLLBACK = "an older configuration came into force"
+    CONVERGENCE = "nodes disagree on the configuration after the faults"
+    RECOVERY = "requests fail after the faults have ended"
+    NO_UNEXPECTED_EXIT = "a process ended by itself"
+    RETRY_BUDGET = "more retries than the budget allows"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -33,12 +33,12 @@
       detail: what was observed.
     """
 
-    promise: Promise
+    guarantee: Guarantee
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Told:
+class RequestRecord:
     """One request of a caller and its result.
 
     Attributes:
@@ -68,7 +68,7 @@
 
 
 # Value of Outage.node: the outage affects the callers of all nodes.
-ANY = ""
+ANY_NODE = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -84,17 +84,17 @@
     """
 
     node: str
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
 
 
 # A request that is sent while the process closes its keep-alive connections
 # may be lost; the caller then knows that it was not run.
-CLOSING_SECONDS = 0.2
+KEEPALIVE_CLOSE_SECONDS = 0.2
 
 
-def of_requests(
-    told: collections.abc.Iterable[Told],
+def check_requests(
+    told: collections.abc.Iterable[RequestRecord],
     runs: collections.Counter[str],
     outages: collections.abc.Sequence[Outage],
 ) -> list[Finding]:
@@ -114,54 +114,63 @@
 
 
 def _check_request(
-    item: Told, run_count: int, outages: collections.abc.Sequence[Outage]
+    item: RequestRecord,
+    run_count: int,
+    outages: collections.abc.Sequence[Outage],
 ) -> collections.abc.Iterator[Finding]:
     has_response = item.status == 200 and not item.outcome
     if item.once and run_count > 1:
-        yield Finding(Promise.ONCE, f"{item.work} ran {run_count} times")
+        yield Finding(
+            Guarantee.AT_MOST_ONCE, f"{item.work} ran {run_count} times"
+        )
     if item.outcome == "not-run" and run_count:
-        yield Finding(Promise.NOT_RUN, f"{item.work} ran {run_count} times")
+        yield Finding(
+            Guarantee.NOT_RUN_IS_TRUE, f"{item.work} ran {run_count} times"
+        )
     if has_response and not run_count:
-        yield Finding(Promise.ANSWERED, item.work)
+        yield Finding(Guarantee.RESPONSE_IMPLIES_RUN, item.work)
     if has_response and item.named != item.work:
         yield Finding(
-            Promise.OWN,
+            Guarantee.MATCHING_RESPONSE,
             f"{item.work} got {item.named or 'a truncated response'}",
         )
     if item.cut and not _is_excused(item, outages):
         yield Finding(
-            Promise.STOPS,
+            Guarantee.GRACEFUL_STOP,
             f"{item.work} at {item.node}, {item.began:.2f} to {item.ended:.2f}",
         )
 
 
-def _is_excused(item: Told, outages: collections.abc.Sequence[Outage]) -> bool:
-    if item.ended - item.began < CLOSING_SECONDS:
+def _is_excused(
+    item: RequestRecord, outages: collections.abc.Sequence[Outage]
+) -> bool:
+    if item.ended - item.began < KEEPALIVE_CLOSE_SECONDS:
         return True
     return any(
-        outage.node in ((item.node, ANY) if item.streamed else (item.node,))
-        and outage.began <= item.ended
-        and item.began <= outage.ended
+        outage.node
+        in ((item.node, ANY_NODE) if item.streamed else (item.node,))
+        and outage.started_at <= item.ended
+        and item.began <= outage.ended_at
         for outage in outages
     )
 
 
-def of_versions(
+def check_versions(
     versions_by_node: collections.abc.Mapping[
         str, collections.abc.Sequence[int]
     ],
 ) -> list[Finding]:
     """Checks that no incarnation of a node reverts to an older version."""
     return [
-        Finding(Promise.REVERTED, f"{node}: {before} then {after}")
+        Finding(Guarantee.NO_ROLLBACK, f"{node}: {before} then {after}")
         for node, versions in versions_by_node.items()
         for before, after in zip(versions, versions[1:], strict=False)
         if after < before
     ]
 
 
-def of_retries(
-    told: collections.abc.Iterable[Told],
+def check_retries(
+    told: collections.abc.Iterable[RequestRecord],
     runs: collections.Counter[str],
     share: float,
     reserve: float,
@@ -174,7 +183,7 @@
         return []
     return [
         Finding(
-            Promise.RETRIES,
+            Guarantee.RETRY_BUDGET,
             f"{repeated_runs} retries of {len(work_ids)} requests, "
             f"{limit:.0f} allowed",
         )
--- a/endivewind/soak/fleets.py
+++ b/endivewind/soak/fleets.py
@@ -22,7 +22,7 @@
 
 # Restarted processes bind their old ports. Outgoing connections leave
 # from another address, so they can't take these ports meanwhile.
-ADDRESS = "127.0.0.2"
+LISTEN_ADDRESS = "127.0.0.2"
 ZONES = ("andina-a", "andina-b", "caribe-a", "caribe-a")
 SERVICE = "ledger"
 RETRY_PERCENT = 20
@@ -46,9 +46,9 @@
     },
 }
 _LISTENERS = ("callers", "targets", "nodes", "operators")
-STOP_SECONDS = 6.0
+STOP_TIMEOUT_SECONDS = 6.0
 # Longer than the longest graceful stop plus a pause of the process.
-END_SECONDS = 20.0
+EXIT_TIMEOUT_SECONDS = 20.0
 
 
 class Fleet:
@@ -69,15 +69,15 @@
         self._stack = contextlib.AsyncExitStack()
         # Closed last: processes write logs until they exit.
         self._log_files = contextlib.ExitStack()
-        self._children = children.Children()
+        self._children = children.ChildProcesses()
         self._settings: dict[str, dict[str, Any]] = {}
         self._locks: dict[str, asyncio.Lock] = collections.defaultdict(
             asyncio.Lock
         )
         self._logs: dict[str, Any] = {}
-        self.runs: collections.Counter[str] = collections.Counter()
-        self.starts: collections.Counter[str] = collections.Counter()
-        self.processes: dict[str, children.Child] = {}
+        self.run_counts: collections.Counter[str] = collections.Counter()
+        self.start_counts: collections.Counter[str] = collections.Counter()
+        self.processes: dict[str, children.ChildProcess] = {}
         self.relays: dict[str, relay.Relay] = {}
 
     async def __aenter__(self) -> "Fleet":
@@ -86,8 +86,8 @@
 
     async def __aexit__(self, *error: object) -> None:
         for process in self.processes.values():
-            process.signal(signal.SIGCONT)
-            process.signal(signal.SIGKILL)
+            process.send_signal(signal.SIGCONT)
+            process.send_signal(signal.SIGKILL)
         await self._stack.aclose()
         self._log_files.close()
 
@@ -99,35 +99,37 @@
     @property
     def platform_url(self) -> str:
         """URL of the platform stand-in."""
-        return "http://" + str(self.processes["platform"].listening["address"])
+        return "http://" + str(
+            self.processes["platform"].listening_line["address"]
+        )
 
-    def callers_urls(self) -> dict[str, str]:
+    def caller_urls(self) -> dict[str, str]:
         """Returns the callers' URL of each node."""
         return {
             name: "http://" + self._settings[name]["callers"]
             for name in self.nodes
         }
 
-    def operators_url(self, node: str) -> str:
+    def operator_url(self, node: str) -> str:
         """Returns the operators' URL of a node."""
         return "http://" + str(self._settings[node]["operators"])
 
     async def start(self) -> None:
         """Starts all processes and submits a configuration."""
         self.processes["platform"] = await self._children.start(
-            "platform", "standin", "platform", f"--address={ADDRESS}"
+            "platform", "standin", "platform", f"--address={LISTEN_ADDRESS}"
         )
         self._follow_log("platform")
-        for number in range(schedules.NODES):
+        for number in range(schedules.NODE_COUNT):
             await self._create_node(f"node-{number}", ZONES[number])
         await asyncio.gather(
             *(
                 self.start_target(f"target-{number}")
-                for number in range(schedules.TARGETS)
+                for number in range(schedules.TARGET_COUNT)
             )
         )
         await self.submit(CONFIGURATION, "first")
-        await self.control("backup")
+        await self.call_platform_control("backup")
 
     async def _create_node(self, name: str, zone: str) -> None:
         node_relay = relay.Relay()
@@ -140,11 +142,11 @@
             "platform": self.platform_url,
             "nodes_advertised": node_relay.address,
             "log_level": "info",
-            "limits": {"stop_seconds": STOP_SECONDS},
-            **dict.fromkeys(_LISTENERS, f"{ADDRESS}:0"),
+            "limits": {"stop_seconds": STOP_TIMEOUT_SECONDS},
+            **dict.fromkeys(_LISTENERS, f"{LISTEN_ADDRESS}:0"),
         }
         await self.start_node(name)
-        listening = self.processes[name].listening
+        listening = self.processes[name].listening_line
         for listener in _LISTENERS:
             self._settings[name][listener] = listening[listener]
         node_relay.upstream = listening["nodes"]
@@ -154,8 +156,8 @@
         async with self._locks[name]:
             if self.is_running(name):
                 return
-            self.starts[name] += 1
-            self.processes[name] = await self._children.node(
+            self.start_counts[name] += 1
+            self.processes[name] = await self._children.start_node(
                 self._settings[name], self._checkout(name)
             )
             self._follow_log(name)
@@ -170,14 +172,14 @@
         async with self._locks[name]:
             if self.is_running(name):
                 return
-            first_node = int(name.rpartition("-")[2]) % schedules.NODES
+            first_node = int(name.rpartition("-")[2]) % schedules.NODE_COUNT
             addresses = [self._settings[node]["targets"] for node in self.nodes]
             ordered = addresses[first_node:] + addresses[:first_node]
             self.processes[name] = await self._children.start(
                 name,
                 "standin",
                 "target",
-                f"--address={ADDRESS}",
+                f"--address={LISTEN_ADDRESS}",
                 f"--name={name}",
                 f"--service={SERVICE}",
                 f"--nodes={','.join(ordered)}",
@@ -187,15 +189,15 @@
     def is_running(self, name: str) -> bool:
         """Whether a process has been started and has not exited."""
         process = self.processes.get(name)
-        return process is not None and process.running
+        return process is not None and process.is_running
 
     async def stop(self, name: str) -> int | None:
         """Stops a process gracefully; returns None if it does not exit."""
         process = self.processes[name]
-        process.signal(signal.SIGTERM)
+        process.send_signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(END_SECONDS):
-                return await process.ended()
+            async with asyncio.timeout(EXIT_TIMEOUT_SECONDS):
+                return await process.wait()
         except TimeoutError:
             return None
 
@@ -206,7 +208,7 @@
         )
         self._settings[name]["log_level"] = level
         self._children.write_settings(self._settings[name])
-        self.processes[name].signal(signal.SIGHUP)
+        self.processes[name].send_signal(signal.SIGHUP)
 
     async def submit(self, configuration: dict[str, Any], name: str) -> None:
         """Submits by the command line; conflicts and failures are ignored."""
@@ -218,19 +220,19 @@
         output, _ = await process.communicate()
         (self._folder / f"{name}.out").write_bytes(output)
 
-    async def control(self, action: str) -> None:
+    async def call_platform_control(self, action: str) -> None:
         """Calls a control path of the platform stand-in."""
         await self._call("POST", f"{self.platform_url}/standin/{action}", None)
 
-    async def platform_faults(self, *faults: dict[str, Any]) -> None:
+    async def set_platform_faults(self, *faults: dict[str, Any]) -> None:
         """Replaces all faults of the platform stand-in."""
         url = f"{self.platform_url}/standin/fault"
         await self._call("PUT", url, {"faults": list(faults)})
 
-    async def target_fault(self, name: str, **fault: Any) -> None:
+    async def set_target_fault(self, name: str, **fault: Any) -> None:
         """Sets the fault of a target; without arguments, clears it."""
         if self.is_running(name):
-            address = self.processes[name].listening["address"]
+            address = self.processes[name].listening_line["address"]
             url = f"http://{address}/standin/fault"
             with contextlib.suppress(aiohttp.ClientError, TimeoutError):
                 # It was just killed or paused; a restart clears the fault.
@@ -257,6 +259,6 @@
         def handle_line(line: dict[str, Any]) -> None:
             self._logs[name].write(json.dumps(line) + "\n")
             if line.get("message") == "work runs" and line.get("work"):
-                self.runs[line["work"]] += 1
+                self.run_counts[line["work"]] += 1
 
         self.processes[name].follow(handle_line)
