--- a/endivewind/soak/runs.py
+++ b/endivewind/soak/runs.py
@@ -23,17 +23,17 @@
 from endivewind.soak import schedules
 from endivewind.standins import relay
 
-Kind = schedules.Kind
+Kind = schedules.FaultKind
 
-CALLERS = 6
-LOOK_SECONDS = 0.5
+CALLER_COUNT = 6
+POLL_INTERVAL_SECONDS = 0.5
 # Time to recover after the last fault: a target's lease lasts two seconds, the
 # suspicion of a node four, and a repair comes after ten.
-RECOVERY_SECONDS = 25.0
-PROBES = 20
+RECOVERY_TIMEOUT_SECONDS = 25.0
+PROBES_PER_NODE = 20
 # A silent link or target is detected after some seconds, even if the fault has
 # ended before.
-NOTICE_SECONDS = 4.0
+DETECTION_SECONDS = 4.0
 _STREAM_BREAKING_KINDS = frozenset(
     {
         Kind.NODE_KILLED,
@@ -64,15 +64,15 @@
     Kind.TARGET_DRAINS: {"draining": True},
 }
 _LINK_FAULTS = {
-    Kind.LINK_DEAF: ("towards", relay.Mode.DROP),
-    Kind.LINK_MUTE: ("back", relay.Mode.DROP),
-    Kind.LINK_DELAYED: ("towards", relay.Mode.DELAY),
-    Kind.LINK_DRIPS: ("back", relay.Mode.DRIP),
+    Kind.LINK_DEAF: ("to_upstream", relay.DirectionMode.DROP),
+    Kind.LINK_MUTE: ("from_upstream", relay.DirectionMode.DROP),
+    Kind.LINK_DELAYED: ("to_upstream", relay.DirectionMode.DELAY),
+    Kind.LINK_DRIPS: ("from_upstream", relay.DirectionMode.DRIP),
 }
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Outcome:
+class RunResult:
     """Result of one run.
 
     Attributes:
@@ -88,7 +88,7 @@
     findings: tuple[checks.Finding, ...]
 
 
-class Run:
+class SoakRun:
     """Executes one schedule and stops all processes that it starts."""
 
     def __init__(
@@ -115,7 +115,7 @@
         self._fleet: fleets.Fleet
         self._run_start = 0.0
 
-    async def play(self) -> Outcome:
+    async def execute(self) -> RunResult:
         """Executes the schedule and checks the guarantees.
 
         Raises:
@@ -132,13 +132,13 @@
             await self._wait_for_agreement()
             return self._check(told)
 
-    async def _run_with_faults(self) -> list[checks.Told]:
+    async def _run_with_faults(self) -> list[checks.RequestRecord]:
         rng = random.Random(self._schedule.seed)
         self._run_start = asyncio.get_running_loop().time()
-        urls = self._fleet.callers_urls()
+        urls = self._fleet.caller_urls()
         all_callers = [
             callers.Caller(f"c{number}", urls, random.Random(rng.random()))
-            for number in range(CALLERS)
+            for number in range(CALLER_COUNT)
         ]
         tasks = [
             asyncio.create_task(item.run(self._run_start))
@@ -153,15 +153,15 @@
             item.stop()
         await asyncio.gather(*tasks)
         recording.cancel()
-        return [told for item in all_callers for told in item.told]
+        return [told for item in all_callers for told in item.records]
 
     async def _inject_fault(self, fault: schedules.Fault) -> None:
         """Starts one fault at its time and ends it after its duration."""
         await self._sleep_until(fault.at)
         group = fault.kind.value.partition("-")[0]
         if group == "link" or fault.kind in _STREAM_BREAKING_KINDS:
-            detected_at = fault.ends + NOTICE_SECONDS
-            outage = checks.Outage(checks.ANY, fault.at, detected_at)
+            detected_at = fault.ends_at + DETECTION_SECONDS
+            outage = checks.Outage(checks.ANY_NODE, fault.at, detected_at)
             self._outages.append(outage)
         match group:
             case "node":
@@ -176,7 +176,9 @@
                 await self._race_submits(fault)
 
     def _subject(self, fault: schedules.Fault, group: str) -> str:
-        count = schedules.NODES if group == "node" else schedules.TARGETS
+        count = (
+            schedules.NODE_COUNT if group == "node" else schedules.TARGET_COUNT
+        )
         return f"{group}-{fault.subject % count}"
 
     async def _node_fault(self, fault: schedules.Fault, name: str) -> None:
@@ -201,10 +203,11 @@
         code = await self._fleet.stop(name)
         if code is None:
             self._add_finding(
-                checks.Promise.EXIT, f"{name} did not stop on SIGTERM"
+                checks.Guarantee.NO_UNEXPECTED_EXIT,
+                f"{name} did not stop on SIGTERM",
             )
             await self._kill(fault, name)
-        await self._sleep_until(fault.ends)
+        await self._sleep_until(fault.ends_at)
 
     async def _target_fault(self, fault: schedules.Fault, name: str) -> None:
         if fault.kind is Kind.TARGET_PAUSED:
@@ -213,43 +216,45 @@
             await self._kill(fault, name)
             await self._fleet.start_target(name)
         else:
-            await self._fleet.target_fault(name, **_TARGET_FAULTS[fault.kind])
-            await self._sleep_until(fault.ends)
-            await self._fleet.target_fault(name)
+            await self._fleet.set_target_fault(
+                name, **_TARGET_FAULTS[fault.kind]
+            )
+            await self._sleep_until(fault.ends_at)
+            await self._fleet.set_target_fault(name)
 
     async def _pause(self, fault: schedules.Fault, name: str) -> None:
         process = self._fleet.processes[name]
-        process.signal(signal.SIGSTOP)
-        await self._sleep_until(fault.ends)
-        process.signal(signal.SIGCONT)
+        process.send_signal(signal.SIGSTOP)
+        await self._sleep_until(fault.ends_at)
+        process.send_signal(signal.SIGCONT)
 
     async def _kill(self, fault: schedules.Fault, name: str) -> None:
         process = self._fleet.processes[name]
         killed_at = self._now()
-        process.signal(signal.SIGCONT)
-        process.signal(signal.SIGKILL)
-        await process.ended()
-        await self._sleep_until(fault.ends)
+        process.send_signal(signal.SIGCONT)
+        process.send_signal(signal.SIGKILL)
+        await process.wait()
+        await self._sleep_until(fault.ends_at)
         self._outages.append(checks.Outage(name, killed_at, self._now()))
 
     async def _link_fault(self, fault: schedules.Fault, name: str) -> None:
         node_relay = self._fleet.relays[name]
         if fault.kind is Kind.LINK_RESET:
-            node_relay.cut()
+            node_relay.abort_connections()
             return
         direction, mode = _LINK_FAULTS[fault.kind]
         setattr(node_relay, direction, mode)
-        await self._sleep_until(fault.ends)
-        setattr(node_relay, direction, relay.Mode.PASS)
+        await self._sleep_until(fault.ends_at)
+        setattr(node_relay, direction, relay.DirectionMode.PASS)
 
     async def _platform_fault(self, fault: schedules.Fault) -> None:
         action = _PLATFORM_ACTIONS.get(fault.kind)
         if action:
-            await self._fleet.control(action)
+            await self._fleet.call_platform_control(action)
             return
-        await self._fleet.platform_faults(_PLATFORM_FAULTS[fault.kind])
-        await self._sleep_until(fault.ends)
-        await self._fleet.platform_faults()
+        await self._fleet.set_platform_faults(_PLATFORM_FAULTS[fault.kind])
+        await self._sleep_until(fault.ends_at)
+        await self._fleet.set_platform_faults()
 
     async def _race_submits(self, fault: schedules.Fault) -> None:
         """Submits two different numbers of slots concurrently."""
@@ -264,18 +269,21 @@
     async def _clear_faults(self) -> None:
         """Ends all faults; overlapping faults may have left some active."""
         fleet = self._fleet
-        await fleet.platform_faults()
+        await fleet.set_platform_faults()
         for node_relay in fleet.relays.values():
-            node_relay.towards = node_relay.back = relay.Mode.PASS
+            node_relay.to_upstream = node_relay.from_upstream = (
+                relay.DirectionMode.PASS
+            )
         for process in fleet.processes.values():
-            process.signal(signal.SIGCONT)
-        for number in range(schedules.TARGETS):
+            process.send_signal(signal.SIGCONT)
+        for number in range(schedules.TARGET_COUNT):
             await fleet.start_target(f"target-{number}")
-            await fleet.target_fault(f"target-{number}")
+            await fleet.set_target_fault(f"target-{number}")
         for name in fleet.nodes:
             if not fleet.is_running(name):
                 self._add_finding(
-                    checks.Promise.EXIT, f"{name} exited unexpectedly"
+                    checks.Guarantee.NO_UNEXPECTED_EXIT,
+                    f"{name} exited unexpectedly",
                 )
                 await fleet.start_node(name)
 
@@ -285,19 +293,21 @@
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 for name in self._fleet.nodes:
-                    start = self._fleet.starts[name]
+                    start = self._fleet.start_counts[name]
                     version = await self._version_in_force(session, name)
                     # A new incarnation may have responded instead.
-                    is_same_incarnation = start == self._fleet.starts[name]
+                    is_same_incarnation = (
+                        start == self._fleet.start_counts[name]
+                    )
                     if version is not None and is_same_incarnation:
                         self._versions[f"{name}.{start}"].append(version)
-                await asyncio.sleep(LOOK_SECONDS)
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
     async def _version_in_force(
         self, session: aiohttp.ClientSession, name: str
     ) -> int | None:
         """Returns the service's version at a node, None without a response."""
-        url = self._fleet.operators_url(name)
+        url = self._fleet.operator_url(name)
         query = {"object": _OBJECT_NAME}
         try:
             async with session.get(
@@ -310,21 +320,21 @@
 
     async def _wait_for_recovery(self) -> None:
         """Waits until each node serves PROBES_PER_NODE look-ups in a row."""
-        end = self._now() + RECOVERY_SECONDS
+        end = self._now() + RECOVERY_TIMEOUT_SECONDS
         failure = "no probe was sent"
         while self._now() < end:
             failure = await self._probe()
             if not failure:
                 return
-            await asyncio.sleep(LOOK_SECONDS)
-        self._add_finding(checks.Promise.RECOVERED, failure)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
+        self._add_finding(checks.Guarantee.RECOVERY, failure)
 
     async def _probe(self) -> str:
         """Returns the first failed look-up at any node, or an empty string."""
         timeout = aiohttp.ClientTimeout(total=4)
         async with aiohttp.ClientSession(timeout=timeout) as session:
-            for name, url in self._fleet.callers_urls().items():
-                for _ in range(PROBES):
+            for name, url in self._fleet.caller_urls().items():
+                for _ in range(PROBES_PER_NODE):
                     try:
                         async with session.get(url + "/look") as response:
                             text = await response.text()
@@ -336,7 +346,7 @@
 
     async def _wait_for_agreement(self) -> None:
         """Waits until all nodes have the same version in force."""
-        end = self._now() + RECOVERY_SECONDS
+        end = self._now() + RECOVERY_TIMEOUT_SECONDS
         versions: dict[str, int | None] = {}
         timeout = aiohttp.ClientTimeout(total=_OPERATOR_TIMEOUT_SECONDS)
         async with aiohttp.ClientSession(timeout=timeout) as session:
@@ -347,16 +357,16 @@
                 }
                 if len(set(versions.values())) == 1 and all(versions.values()):
                     return
-                await asyncio.sleep(LOOK_SECONDS)
-        self._add_finding(checks.Promise.AGREED, json.dumps(versions))
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
+        self._add_finding(checks.Guarantee.CONVERGENCE, json.dumps(versions))
 
-    def _check(self, told: list[checks.Told]) -> Outcome:
-        runs = self._fleet.runs
+    def _check(self, told: list[checks.RequestRecord]) -> RunResult:
+        runs = self._fleet.run_counts
         findings = [
             *self._findings,
-            *checks.of_requests(told, runs, self._outages),
-            *checks.of_versions(self._versions),
-            *checks.of_retries(
+            *checks.check_requests(told, runs, self._outages),
+            *checks.check_versions(self._versions),
+            *checks.check_retries(
                 told,
                 runs,
                 fleets.RETRY_PERCENT / 100,
@@ -367,9 +377,9 @@
         lines = [json.dumps(dataclasses.asdict(item)) for item in told]
         (self._folder / "told.jsonl").write_text("\n".join(lines))
         answered = sum(item.status == 200 for item in told)
-        return Outcome(self._schedule, len(told), answered, tuple(findings))
+        return RunResult(self._schedule, len(told), answered, tuple(findings))
 
-    def _add_finding(self, promise: checks.Promise, detail: str) -> None:
+    def _add_finding(self, promise: checks.Guarantee, detail: str) -> None:
         self._findings.append(checks.Finding(promise, detail))
 
     def _now(self) -> float:
--- a/endivewind/soak/schedules.py
+++ b/endivewind/soak/schedules.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 
-class Kind(enum.StrEnum):
+class FaultKind(enum.StrEnum):
     """Kind of a fault; all faults are injected from outside the processes.
 
     NODE_*, TARGET_*: signals to a process, or faults of the target stand-in.
@@ -49,12 +49,12 @@
     SUBMIT_RACE = "submit-race"
 
 
-NODES = 4
-TARGETS = 6
+NODE_COUNT = 4
+TARGET_COUNT = 6
 # Frequent enough that most faults overlap with others.
 FAULTS_PER_SECOND = 0.8
-SHORTEST_SECONDS = 0.2
-LONGEST_SECONDS = 5.0
+MIN_FAULT_SECONDS = 0.2
+MAX_FAULT_SECONDS = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -69,13 +69,13 @@
         count.
     """
 
-    kind: Kind
+    kind: FaultKind
     at: float
     lasts: float
     subject: int
 
     @property
-    def ends(self) -> float:
+    def ends_at(self) -> float:
         """End, in seconds after the start of the run."""
         return self.at + self.lasts
 
@@ -109,7 +109,7 @@
             data: dict[str, Any] = json.loads(text)
             faults = tuple(
                 Fault(
-                    Kind(item["kind"]),
+                    FaultKind(item["kind"]),
                     float(item["at"]),
                     float(item["lasts"]),
                     int(item["subject"]),
@@ -130,17 +130,17 @@
         return dataclasses.replace(self, faults=tuple(kept))
 
 
-def draw(seed: int, seconds: float) -> Schedule:
+def generate(seed: int, seconds: float) -> Schedule:
     """Generates the schedule of a seed, deterministically."""
     rng = random.Random(seed)
     count = max(1, round(FAULTS_PER_SECOND * seconds * rng.uniform(0.5, 1.5)))
-    kinds = list(Kind)
+    kinds = list(FaultKind)
     faults = [
         Fault(
             rng.choice(kinds),
             round(rng.uniform(0, seconds), 2),
-            round(rng.uniform(SHORTEST_SECONDS, LONGEST_SECONDS), 2),
-            rng.randrange(NODES * TARGETS),
+            round(rng.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS), 2),
+            rng.randrange(NODE_COUNT * TARGET_COUNT),
         )
         for _ in range(count)
     ]
--- a/endivewind/standins/matrix.py
+++ b/endivewind/standins/fault_matrix.py
@@ -9,14 +9,14 @@
 import dataclasses
 import itertools
 
-from endivewind.standins import virtual
-from endivewind.standins import world
+from endivewind.standins import simulated_cluster
+from endivewind.standins import virtual_loop
 
-Cell = tuple[world.Step, world.Fault]
+InjectedFault = tuple[simulated_cluster.ExchangeStep, simulated_cluster.Fault]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Outcome:
+class MatrixResult:
     """Result of one run of the matrix.
 
     Attributes:
@@ -30,36 +30,42 @@
     unreached: int
 
 
-def singles() -> collections.abc.Iterator[tuple[Cell, ...]]:
+def single_faults() -> collections.abc.Iterator[tuple[InjectedFault, ...]]:
     """Yields each fault at each step."""
-    for cell in itertools.product(world.Step, world.Fault):
+    for cell in itertools.product(
+        simulated_cluster.ExchangeStep, simulated_cluster.Fault
+    ):
         yield (cell,)
 
 
-def pairs() -> collections.abc.Iterator[tuple[Cell, ...]]:
+def fault_pairs() -> collections.abc.Iterator[tuple[InjectedFault, ...]]:
     """Yields each pair of faults at two different steps."""
-    cells = itertools.product(world.Step, world.Fault)
+    cells = itertools.product(
+        simulated_cluster.ExchangeStep, simulated_cluster.Fault
+    )
     for first, second in itertools.combinations(cells, 2):
         if first[0] != second[0]:
             yield (first, second)
 
 
-def run(cells: collections.abc.Iterable[tuple[Cell, ...]]) -> Outcome:
+def run_matrix(
+    cells: collections.abc.Iterable[tuple[InjectedFault, ...]],
+) -> MatrixResult:
     """Runs each case in a simulated cluster of its own."""
     red = []
     count = 0
     unreached = 0
     for cell in cells:
         count += 1
-        violation, untriggered = run_cell(cell)
+        violation, untriggered = run_case(cell)
         if violation:
             name = " + ".join(f"{step}:{fault}" for step, fault in cell)
             red.append(f"{name}: {violation}")
         unreached += bool(untriggered)
-    return Outcome(count, tuple(red), unreached)
+    return MatrixResult(count, tuple(red), unreached)
 
 
-def run_cell(cell: tuple[Cell, ...]) -> tuple[str, int]:
+def run_case(cell: tuple[InjectedFault, ...]) -> tuple[str, int]:
     """Runs one non-idempotent request with the faults in two topologies.
 
     First the entry node, the issuer of the ticket and the home are three
@@ -70,40 +76,46 @@
       The violated guarantee, or an empty string; and the number of faults
       that were not triggered in the topology of three nodes.
     """
-    violation, untriggered = _run_cell(cell, *world.ENTRIES)
+    violation, untriggered = _run_cell(cell, *simulated_cluster.ENTRY_NODES)
     if not violation:
-        violation, _ = _run_cell(cell, world.HOMES[0], world.HOMES[0])
+        violation, _ = _run_cell(
+            cell,
+            simulated_cluster.HOME_NODES[0],
+            simulated_cluster.HOME_NODES[0],
+        )
     return violation, untriggered
 
 
 def _run_cell(
-    cell: tuple[Cell, ...], issuer: str, entry: str
+    cell: tuple[InjectedFault, ...], issuer: str, entry: str
 ) -> tuple[str, int]:
     """Sends two requests, resends one to every node, then both once more."""
-    cluster = world.World(virtual.VirtualLoop())
+    cluster = simulated_cluster.SimulatedCluster(virtual_loop.VirtualLoop())
     try:
-        key = cluster.issue(issuer)
-        other = cluster.issue(entry)
+        key = cluster.issue_key(issuer)
+        other = cluster.issue_key(entry)
         cluster.faults.update(cell)
         cluster.run(_send_and_wait(cluster, entry, key))
         cluster.run(_send_and_wait(cluster, issuer, other))
         untriggered = len(cluster.faults)
-        for name in cluster.names:
-            cluster.announce(name)
+        for name in cluster.node_names:
+            cluster.announce_node(name)
             cluster.run(_send_and_wait(cluster, name, key))
-        cluster.check()
+        cluster.check_guarantees()
         cluster.settle()
         for sent in (key, other):
             cluster.run(_send_and_wait(cluster, issuer, sent))
-        cluster.check()
-    except world.Violation as error:
+        cluster.check_guarantees()
+    except simulated_cluster.GuaranteeViolation as error:
         return str(error), len(cluster.faults)
     finally:
         cluster.close()
     return "", untriggered
 
 
-async def _send_and_wait(cluster: world.World, entry: str, key: str) -> None:
+async def _send_and_wait(
+    cluster: simulated_cluster.SimulatedCluster, entry: str, key: str
+) -> None:
     task = cluster.send(entry, key)
     await asyncio.wait([task])
     # A crash of the node closes the connections of its callers.
--- a/endivewind/standins/faults.py
+++ b/endivewind/standins/faults.py
@@ -10,7 +10,7 @@
 import pydantic
 
 
-class Mode(enum.StrEnum):
+class FaultMode(enum.StrEnum):
     """The way in which a call fails.
 
     OUTAGE closes the connection before the call is executed. SLOW executes
@@ -50,7 +50,7 @@
 
     model_config = pydantic.ConfigDict(extra="forbid")
 
-    mode: Mode
+    mode: FaultMode
     count: int = pydantic.Field(default=0, ge=0)
     methods: tuple[str, ...] = ()
     delay_ms: int = pydantic.Field(default=1_000, ge=0, le=60_000)
@@ -63,7 +63,7 @@
     faults: tuple[Fault, ...] = ()
 
 
-class Faults:
+class FaultInjector:
     """Selects the faults that affect a call. Performs no I/O."""
 
     def __init__(self) -> None:
@@ -74,16 +74,16 @@
         self._call_counts: collections.Counter[str] = collections.Counter()
 
     @property
-    def counted(self) -> dict[str, int]:
+    def call_counts(self) -> dict[str, int]:
         """Calls by method since the start, whether affected or not."""
         return dict(self._call_counts)
 
-    def set(self, wanted: FaultList) -> None:
+    def replace(self, wanted: FaultList) -> None:
         """Replaces the active faults."""
         self._faults = wanted.faults
         self._hit_counts = [0] * len(wanted.faults)
 
-    def hits(self, method: str, now: float) -> dict[Mode, Fault]:
+    def faults_for(self, method: str, now: float) -> dict[FaultMode, Fault]:
         """Returns the faults that affect a call and counts the call.
 
         Args:
@@ -95,14 +95,14 @@
             self._current_second = int(now)
             self._calls_in_second = 0
         self._calls_in_second += 1
-        found: dict[Mode, Fault] = {}
+        found: dict[FaultMode, Fault] = {}
         for number, fault in enumerate(self._faults):
             if fault.methods and method not in fault.methods:
                 continue
             if fault.count and self._hit_counts[number] >= fault.count:
                 continue
             if (
-                fault.mode is Mode.RATE_LIMIT
+                fault.mode is FaultMode.RATE_LIMIT
                 and self._calls_in_second <= fault.per_second
             ):
                 continue
--- a/endivewind/standins/hop.py
+++ b/endivewind/standins/hop.py
@@ -16,14 +16,14 @@
 _DROPPED_HEADERS = headers.HOP_BY_HOP | {"host", "content-length"}
 
 
-class Hop:
+class HopProxy:
     """Forwards all requests to one URL."""
 
     def __init__(self, url: str) -> None:
         self._url = url.rstrip("/")
         self._session: aiohttp.ClientSession
 
-    def application(self) -> web.Application:
+    def make_application(self) -> web.Application:
         """Returns the web application, which has a single catch-all route."""
         app = web.Application()
         app.cleanup_ctx.append(self._client_session)
--- a/endivewind/standins/load.py
+++ b/endivewind/standins/load_generator.py
@@ -14,7 +14,7 @@
 
 import aiohttp
 
-BODY = b"x" * 256
+REQUEST_BODY = b"x" * 256
 _TIMEOUT = aiohttp.ClientTimeout(total=30)
 
 
@@ -43,7 +43,7 @@
     latencies: list[float] = dataclasses.field(default_factory=list)
     failures: int = 0
 
-    def percentile_ms(self, percent: float) -> float:
+    def latency_percentile_ms(self, percent: float) -> float:
         """Returns a percentile of the latencies in milliseconds."""
         if not self.latencies:
             return math.nan
@@ -52,7 +52,7 @@
         return ordered[rank - 1] * 1000
 
 
-async def paced(rate: float) -> collections.abc.AsyncGenerator[int, None]:
+async def pace(rate: float) -> collections.abc.AsyncGenerator[int, None]:
     """Yields 0, 1, 2, ... at a rate per second.
 
     If the consumer falls behind, the next numbers follow without a pause
@@ -66,7 +66,7 @@
         await asyncio.sleep(max(0.0, due - loop.time()))
 
 
-async def at_rate(
+async def send_at_rate(
     session: aiohttp.ClientSession,
     request: Request,
     rate: float,
@@ -107,7 +107,7 @@
     return len(samples.latencies) / (time.perf_counter() - start)
 
 
-def session() -> aiohttp.ClientSession:
+def make_session() -> aiohttp.ClientSession:
     """Returns a client session without a connection limit."""
     connector = aiohttp.TCPConnector(limit=0)
     return aiohttp.ClientSession(connector=connector, timeout=_TIMEOUT)
@@ -122,7 +122,7 @@
     fields = {"Host": request.host}
     try:
         async with client.post(
-            request.url, data=BODY, headers=fields
+            request.url, data=REQUEST_BODY, headers=fields
         ) as response:
             await response.read()
             is_success = response.status == 200
@@ -134,12 +134,12 @@
         samples.failures += 1
 
 
-def summary(samples: Samples, rate: float) -> dict[str, Any]:
+def summarize(samples: Samples, rate: float) -> dict[str, Any]:
     """Returns the samples as JSON values, with times in milliseconds."""
     return {
         "answers": len(samples.latencies),
         "failures": samples.failures,
         "per_second": round(rate, 1),
-        "p50_ms": round(samples.percentile_ms(50), 3),
-        "p99_ms": round(samples.percentile_ms(99), 3),
+        "p50_ms": round(samples.latency_percentile_ms(50), 3),
+        "p99_ms": round(samples.latency_percentile_ms(99), 3),
     }
--- a/endivewind/standins/platform.py
+++ b/endivewind/standins/platform.py
@@ -17,11 +17,11 @@
 from endivewind.standins import faults
 
 # Writes kept for watches; a watch from an older revision gets status 410.
-LOG_LENGTH = 10_000
+MAX_LOG_ENTRIES = 10_000
 # Objects in one page of a listing.
-PAGE_OBJECTS = 500
+MAX_PAGE_OBJECTS = 500
 # Longer than the timeout of any call.
-SILENCE = datetime.timedelta(minutes=1)
+SILENT_DURATION = datetime.timedelta(minutes=1)
 
 
 class ObjectStore:
@@ -40,7 +40,7 @@
         return self._revision
 
     @property
-    def changed(self) -> asyncio.Event:
+    def change_event(self) -> asyncio.Event:
         """Event set by the next write, which also replaces it by a new one."""
         return self._change_event
 
@@ -70,7 +70,7 @@
         ]
         self._notify_watchers()
 
-    def knows(self, revision: int) -> bool:
+    def has_history_since(self, revision: int) -> bool:
         """Whether the log has all writes after a revision."""
         return self._compacted_revision <= revision <= self._revision
 
@@ -82,7 +82,9 @@
         """Returns all objects of a kind."""
         return [item for item in self._objects.values() if item.kind == kind]
 
-    def since(self, kind: str, revision: int) -> list[messages.StoredObject]:
+    def changes_since(
+        self, kind: str, revision: int
+    ) -> list[messages.StoredObject]:
         """Returns writes after a revision; a deletion has an empty value."""
         return [
             item
@@ -121,8 +123,8 @@
             kind=kind, name=name, version=self._revision, value=value
         )
         self._log.append(stored)
-        if len(self._log) > LOG_LENGTH:
-            self.compact(self._log[-LOG_LENGTH // 2].version)
+        if len(self._log) > MAX_LOG_ENTRIES:
+            self.compact(self._log[-MAX_LOG_ENTRIES // 2].version)
         self._notify_watchers()
         return stored
 
@@ -142,7 +144,7 @@
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
-        self._faults = faults.Faults()
+        self._faults = faults.FaultInjector()
         self._backup = store.copy()
         self._stale_store = self._backup
 
@@ -152,16 +154,16 @@
         return self._store
 
     @property
-    def calls(self) -> dict[str, int]:
+    def call_counts(self) -> dict[str, int]:
         """Calls by method since the start."""
-        return self._faults.counted
+        return self._faults.call_counts
 
     def set_faults(self, *wanted: faults.Fault) -> None:
         """Replaces the active faults; without arguments, clears them."""
-        self._faults.set(faults.FaultList(faults=wanted))
+        self._faults.replace(faults.FaultList(faults=wanted))
         self._stale_store = self._store.copy()
 
-    def application(self) -> web.Application:
+    def make_application(self) -> web.Application:
         """Returns the application: the object API and the control paths."""
         app = web.Application(middlewares=[self._inject_faults])
         app.router.add_get(names.OBJECTS_PATH, self._list)
@@ -182,21 +184,24 @@
             response: web.StreamResponse = await handler(request)
             return response
         now = asyncio.get_running_loop().time()
-        hits = self._faults.hits(request.method, now)
-        request["is_stale"] = faults.Mode.STALE in hits
-        if faults.Mode.SILENT in hits:
-            await asyncio.sleep(SILENCE.total_seconds())
+        hits = self._faults.faults_for(request.method, now)
+        request["is_stale"] = faults.FaultMode.STALE in hits
+        if faults.FaultMode.SILENT in hits:
+            await asyncio.sleep(SILENT_DURATION.total_seconds())
             return _close_connection(request)
         refused = _unexecuted_response(request, hits)
         if refused is not None:
             return refused
-        for mode in (faults.Mode.SLOW, faults.Mode.LATE):
+        for mode in (faults.FaultMode.SLOW, faults.FaultMode.LATE):
             if mode in hits:
                 await asyncio.sleep(hits[mode].delay_ms / 1000)
         full_response: web.Response = await handler(request)
-        if faults.Mode.ANSWER_LOST in hits or faults.Mode.LATE in hits:
+        if (
+            faults.FaultMode.ANSWER_LOST in hits
+            or faults.FaultMode.LATE in hits
+        ):
             return _close_connection(request)
-        if faults.Mode.PARTIAL in hits:
+        if faults.FaultMode.PARTIAL in hits:
             return await _send_half(request, full_response)
         return full_response
 
@@ -223,7 +228,7 @@
         return web.Response(status=204)
 
     async def _calls(self, request: web.Request) -> web.Response:
-        return web.json_response(self.calls)
+        return web.json_response(self.call_counts)
 
     async def _get(self, request: web.Request) -> web.Response:
         found = self._store.get(*_object_key(request))
@@ -244,7 +249,7 @@
             ),
             key=lambda item: item.name,
         )
-        page = found[:PAGE_OBJECTS]
+        page = found[:MAX_PAGE_OBJECTS]
         return _json_response(
             {
                 "items": [_encode(item) for item in page],
@@ -307,10 +312,10 @@
             return web.Response(status=400)
         deadline = asyncio.get_running_loop().time() + wait
         while True:
-            if not store.knows(revision):
+            if not store.has_history_since(revision):
                 return web.Response(status=410)
-            changed = store.changed
-            changes = store.since(kind, revision)
+            changed = store.change_event
+            changes = store.changes_since(kind, revision)
             left = deadline - asyncio.get_running_loop().time()
             if changes or left <= 0:
                 return _watch_response(store, changes)
@@ -325,18 +330,18 @@
 
 
 def _unexecuted_response(
-    request: web.Request, hits: dict[faults.Mode, faults.Fault]
+    request: web.Request, hits: dict[faults.FaultMode, faults.Fault]
 ) -> web.Response | None:
     """Returns the response of a call that is not executed, or None."""
-    if faults.Mode.RATE_LIMIT in hits:
+    if faults.FaultMode.RATE_LIMIT in hits:
         return web.Response(status=429, headers={"Retry-After": "1"})
-    if faults.Mode.ERROR in hits:
+    if faults.FaultMode.ERROR in hits:
         return web.Response(status=500)
-    if faults.Mode.BUSY in hits:
+    if faults.FaultMode.BUSY in hits:
         return web.Response(status=503)
-    if faults.Mode.OUTAGE in hits:
+    if faults.FaultMode.OUTAGE in hits:
         return _close_connection(request)
-    if faults.Mode.GARBAGE in hits:
+    if faults.FaultMode.GARBAGE in hits:
         return web.Response(text="<html>", content_type="application/json")
     return None
 
@@ -396,7 +401,7 @@
 
 
 def _encode(stored: messages.StoredObject) -> dict[str, Any]:
-    return wire.object_out(stored.name, stored.value, stored.version)
+    return wire.encode_object(stored.name, stored.value, stored.version)
 
 
 def _json_response(value: object, status: int = 200) -> web.Response:
--- a/endivewind/standins/relay.py
+++ b/endivewind/standins/relay.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 # Longer than the heartbeat timeout of a link, shorter than request deadlines.
-DELAY_SECONDS = 0.5
+READ_DELAY_SECONDS = 0.5
 # Slow enough that a frame of a few hundred bytes takes a second.
-DRIP_BYTES = 16
-DRIP_SECONDS = 0.05
+DRIP_CHUNK_BYTES = 16
+DRIP_INTERVAL_SECONDS = 0.05
 
 
-class Mode(enum.Enum):
+class DirectionMode(enum.Enum):
     """How the relay treats bytes of one direction.
 
     PASS forwards them, DROP discards them, DELAY delays each read, and DRIP
@@ -38,10 +38,10 @@
 
     def __init__(self) -> None:
         self.upstream = ""
-        self.towards = Mode.PASS
-        self.back = Mode.PASS
+        self.to_upstream = DirectionMode.PASS
+        self.from_upstream = DirectionMode.PASS
         # Set once bytes of a TCP connection have been dropped.
-        self.has_lost = asyncio.Event()
+        self.loss_event = asyncio.Event()
         self._server: asyncio.Server | None = None
         self._datagram_transport: asyncio.DatagramTransport | None = None
         self._writers: set[asyncio.StreamWriter] = set()
@@ -67,17 +67,17 @@
             self._server.close()
         if self._datagram_transport is not None:
             self._datagram_transport.close()
-        self.cut()
+        self.abort_connections()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def cut(self) -> None:
+    def abort_connections(self) -> None:
         """Aborts every open connection."""
         for writer in self._writers:
             writer.transport.abort()
 
-    def split(self) -> tuple[str, int]:
+    def upstream_address(self) -> tuple[str, int]:
         """Host and port of the upstream."""
         host, _, port = self.upstream.rpartition(":")
         return host, int(port)
@@ -86,7 +86,9 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            up_reader, up_writer = await asyncio.open_connection(*self.split())
+            up_reader, up_writer = await asyncio.open_connection(
+                *self.upstream_address()
+            )
         except OSError:
             # The relay must look unreachable, too, while the upstream is down.
             writer.transport.abort()
@@ -94,10 +96,10 @@
         self._writers |= {writer, up_writer}
         pumps = [
             asyncio.create_task(
-                self._pump(reader, up_writer, lambda: self.towards)
+                self._pump(reader, up_writer, lambda: self.to_upstream)
             ),
             asyncio.create_task(
-                self._pump(up_reader, writer, lambda: self.back)
+                self._pump(up_reader, writer, lambda: self.from_upstream)
             ),
         ]
         self._tasks.update(pumps)
@@ -106,7 +108,7 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        mode: collections.abc.Callable[[], Mode],
+        mode: collections.abc.Callable[[], DirectionMode],
     ) -> None:
         has_lost_bytes = False
         try:
@@ -114,9 +116,9 @@
                 # TCP never delivers bytes after a gap: once bytes were lost,
                 # this direction of the connection stays silent, even when
                 # new connections pass again.
-                has_lost_bytes = has_lost_bytes or mode() is Mode.DROP
+                has_lost_bytes = has_lost_bytes or mode() is DirectionMode.DROP
                 if has_lost_bytes:
-                    self.has_lost.set()
+                    self.loss_event.set()
                 else:
                     await _forward(data, writer, mode)
         except OSError:
@@ -129,16 +131,16 @@
 async def _forward(
     data: bytes,
     writer: asyncio.StreamWriter,
-    mode: collections.abc.Callable[[], Mode],
+    mode: collections.abc.Callable[[], DirectionMode],
 ) -> None:
     """Forwards bytes with the delay of the mode."""
-    if mode() is Mode.DELAY:
-        await asyncio.sleep(DELAY_SECONDS)
-    while data and mode() is Mode.DRIP:
-        writer.write(data[:DRIP_BYTES])
+    if mode() is DirectionMode.DELAY:
+        await asyncio.sleep(READ_DELAY_SECONDS)
+    while data and mode() is DirectionMode.DRIP:
+        writer.write(data[:DRIP_CHUNK_BYTES])
         await writer.drain()
-        data = data[DRIP_BYTES:]
-        await asyncio.sleep(DRIP_SECONDS)
+        data = data[DRIP_CHUNK_BYTES:]
+        await asyncio.sleep(DRIP_INTERVAL_SECONDS)
     writer.write(data)
     await writer.drain()
 
@@ -166,7 +168,10 @@
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
         """Forwards a datagram, unless its direction drops."""
-        if self._relay.towards is Mode.DROP or not self._relay.upstream:
+        if (
+            self._relay.to_upstream is DirectionMode.DROP
+            or not self._relay.upstream
+        ):
             return
         upstream_socket = self._upstream_sockets.get(addr)
         if upstream_socket is None:
@@ -192,7 +197,7 @@
         if self._transport is None:
             self._buffered.append(data)
         else:
-            self._transport.sendto(data, self._relay.split())
+            self._transport.sendto(data, self._relay.upstream_address())
 
     def close(self) -> None:
         """Closes the socket."""
@@ -204,12 +209,12 @@
         """Stores the bound transport and sends the buffered datagrams."""
         self._transport = transport
         for data in self._buffered:
-            self._transport.sendto(data, self._relay.split())
+            self._transport.sendto(data, self._relay.upstream_address())
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
         """Forwards a reply of the upstream, unless its direction drops."""
         if (
-            self._relay.back is not Mode.DROP
+            self._relay.from_upstream is not DirectionMode.DROP
             and not self._relay_transport.is_closing()
         ):
             self._relay_transport.sendto(data, self._sender)
--- a/endivewind/standins/world.py
+++ b/endivewind/standins/simulated_cluster.py
@@ -23,51 +23,51 @@
 from endivewind import exchange
 from endivewind.callers import gateway
 from endivewind.callers import placement
-from endivewind.callers import ticket_book
+from endivewind.callers import ticket_store
 from endivewind.callers import ticketing
 from endivewind.callers import tickets
 from endivewind.config import objects
 from endivewind.config import store
 from endivewind.nodes import links
 from endivewind.nodes import view
-from endivewind.standins import virtual
+from endivewind.standins import virtual_loop
+from endivewind.targets import attempt_log
 from endivewind.targets import connections
 from endivewind.targets import dispatch
-from endivewind.targets import handover
 from endivewind.targets import records
 from endivewind.targets import registry
 
 SERVICE = "ledger"
-ROUTE = objects.Route(service=SERVICE, repeat=objects.Repeat.NEVER)
+ROUTE = objects.Route(service=SERVICE, repeat=objects.RepeatPolicy.NEVER)
 DEADLINE = datetime.timedelta(seconds=5)
-DELAY_SECONDS = 0.5
+MESSAGE_DELAY_SECONDS = 0.5
 # The second copy arrives while the first one is still being processed.
-DUPLICATE_SECONDS = 0.05
+DUPLICATE_DELAY_SECONDS = 0.05
 PAUSE_SECONDS = 30.0
 WORK_SECONDS = 0.2
-RENEWAL_SECONDS = 0.5
-SETTLED = datetime.timedelta(minutes=1)
-ENTRIES = ("entry-1", "entry-2")
-HOMES = ("home-1", "home-2")
+LEASE_RENEWAL_SECONDS = 0.5
+SETTLE_TIME = datetime.timedelta(minutes=1)
+ENTRY_NODES = ("entry-1", "entry-2")
+HOME_NODES = ("home-1", "home-2")
 _SLOTS_PER_TARGET = 4
 _MAX_KEPT_BYTES = 1024
 
-AnswerResult = gateway.AnswerResult
+ResponseResult = gateway.ResponseResult
 
 
-class Step(enum.StrEnum):
+class ExchangeStep(enum.StrEnum):
     """A step of an exchange at which a fault can be injected."""
 
     ISSUER_CONNECT = "issuer-connect"
     ISSUER_REQUEST = "issuer-request"
-    ISSUER_ANSWER = "issuer-answer"
+    ISSUER_RESPONSE = "issuer-answer"
     HOME_CONNECT = "home-connect"
     HOME_REQUEST = "home-request"
-    HOME_ANSWER = "home-answer"
+    HOME_RESPONSE = "home-answer"
     TARGET_CONNECT = "target-connect"
     TARGET_REQUEST = "target-request"
-    TARGET_ANSWER = "target-answer"
-    CALLER_ANSWER = "caller-answer"
+    TARGET_RESPONSE = "target-answer"
+    CALLER_RESPONSE = "caller-answer"
 
 
 class Fault(enum.StrEnum):
@@ -102,19 +102,25 @@
 class _LinkSteps:
     """The three steps of an exchange over one link."""
 
-    connect: Step
-    request: Step
-    answer: Step
+    connect: ExchangeStep
+    request: ExchangeStep
+    answer: ExchangeStep
 
 
 _ISSUER_STEPS = _LinkSteps(
-    Step.ISSUER_CONNECT, Step.ISSUER_REQUEST, Step.ISSUER_ANSWER
+    ExchangeStep.ISSUER_CONNECT,
+    ExchangeStep.ISSUER_REQUEST,
+    ExchangeStep.ISSUER_RESPONSE,
+)
+_HOME_STEPS = _LinkSteps(
+    ExchangeStep.HOME_CONNECT,
+    ExchangeStep.HOME_REQUEST,
+    ExchangeStep.HOME_RESPONSE,
 )
-_HOME_STEPS = _LinkSteps(Step.HOME_CONNECT, Step.HOME_REQUEST, Step.HOME_ANSWER)
 
 
 @dataclasses.dataclass(slots=True)
-class Told:
+class WorkRecord:
     """The work of one key and the results that its callers received.
 
     Attributes:
@@ -122,69 +128,69 @@
       results: results of the requests sent with the key.
     """
 
-    work: str
-    results: list[AnswerResult] = dataclasses.field(default_factory=list)
+    work_id: str
+    results: list[ResponseResult] = dataclasses.field(default_factory=list)
 
 
-class Violation(Exception):
+class GuaranteeViolation(Exception):
     """A guarantee to callers that was violated."""
 
 
-class World:
+class SimulatedCluster:
     """A simulated cluster of nodes, targets and callers."""
 
-    def __init__(self, loop: virtual.VirtualLoop) -> None:
+    def __init__(self, loop: virtual_loop.VirtualLoop) -> None:
         """Starts two entry nodes and two homes with one target each."""
         self.loop = loop
-        self.clock = virtual.LoopClock(loop)
-        self.faults: dict[Step, Fault] = {}
+        self.clock = virtual_loop.LoopClock(loop)
+        self.faults: dict[ExchangeStep, Fault] = {}
         self.runs: collections.Counter[str] = collections.Counter()
-        self.told: dict[str, Told] = {}
-        self.names = [*ENTRIES, *HOMES]
+        self.work_by_key: dict[str, WorkRecord] = {}
+        self.node_names = [*ENTRY_NODES, *HOME_NODES]
         self._counter = itertools.count(1)
         self._tasks: set[asyncio.Task[Any]] = set()
         self.nodes: dict[str, Member] = {}
-        for name in self.names:
+        for name in self.node_names:
             self.nodes[name] = Member(self, name, next(self._counter))
-        for name in self.names:
-            self.announce(name)
-        self.run(asyncio.sleep(RENEWAL_SECONDS))
+        for name in self.node_names:
+            self.announce_node(name)
+        self.run(asyncio.sleep(LEASE_RENEWAL_SECONDS))
 
-    def announce(self, name: str) -> None:
+    def announce_node(self, name: str) -> None:
         """Tells all nodes a node's present incarnation and its target."""
         member = self.nodes[name]
         for node in self.nodes.values():
-            node.hear(member)
-            member.hear(node)
+            node.add_node(member)
+            member.add_node(node)
 
     def crash(self, name: str) -> None:
         """Crashes a node and restarts it, without telling the other nodes."""
-        self.nodes[name].end()
+        self.nodes[name].crash()
         fresh = Member(self, name, next(self._counter))
         self.nodes[name] = fresh
         for node in self.nodes.values():
-            fresh.hear(node)
+            fresh.add_node(node)
 
-    def fault(self, step: Step) -> Fault | None:
+    def take_fault(self, step: ExchangeStep) -> Fault | None:
         """Returns the fault of a step and removes it."""
         return self.faults.pop(step, None)
 
-    def issue(self, entry: str) -> str:
+    def issue_key(self, entry: str) -> str:
         """Issues a new key (a ticket) at a node and assigns work to it."""
         key = self.nodes[entry].ticketing.issue("boat")
-        self.told[key] = Told(f"work-{next(self._counter)}")
+        self.work_by_key[key] = WorkRecord(f"work-{next(self._counter)}")
         return key
 
     def send(self, entry: str, key: str) -> asyncio.Task[Any]:
         """Sends the work of a key to a node, as a caller does."""
         member = self.nodes[entry]
-        return member.start(self._send(member, key))
+        return member.start_task(self._send(member, key))
 
     def settle(self) -> None:
         """Lets time pass until all pending requests have ended."""
-        self.run(asyncio.sleep(SETTLED.total_seconds()))
+        self.run(asyncio.sleep(SETTLE_TIME.total_seconds()))
 
-    def wait(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         """Lets virtual time pass."""
         self.run(asyncio.sleep(seconds))
 
@@ -195,40 +201,40 @@
     def close(self) -> None:
         """Stops all nodes and closes the loop."""
         for member in self.nodes.values():
-            member.end()
+            member.crash()
         self.run(asyncio.sleep(0))
         self.loop.close()
 
-    def check(self) -> None:
+    def check_guarantees(self) -> None:
         """Compares the callers' results with what ran.
 
         Raises:
           GuaranteeViolation: work ran twice, or a result is false.
         """
-        for key, record in self.told.items():
-            runs = self.runs[record.work]
+        for key, record in self.work_by_key.items():
+            runs = self.runs[record.work_id]
             if runs > 1:
-                raise Violation(f"{record.work} ran {runs} times")
+                raise GuaranteeViolation(f"{record.work_id} ran {runs} times")
             for result in record.results:
                 _check_result(record, result, runs, key)
 
     async def _send(self, member: "Member", key: str) -> None:
-        record = self.told[key]
+        record = self.work_by_key[key]
         head = exchange.RequestHead(
-            request_id=record.work,
+            request_id=record.work_id,
             method="POST",
             path="/payouts",
-            headers=((b"work", record.work.encode()),),
+            headers=((b"work", record.work_id.encode()),),
             service=SERVICE,
             workspace="boat",
-            remaining=DEADLINE,
+            remaining_time=DEADLINE,
             ticket=key,
         )
-        body = exchange.RequestBody(record.work.encode())
+        body = exchange.RequestBody(record.work_id.encode())
         sending = member.ticketing.serve(ROUTE, head, body)
-        if self.fault(Step.CALLER_ANSWER) is not None:
+        if self.take_fault(ExchangeStep.CALLER_RESPONSE) is not None:
             # The caller disconnects, so the response is lost.
-            task = member.start(sending)
+            task = member.start_task(sending)
             await asyncio.sleep(WORK_SECONDS / 2)
             task.cancel()
             return
@@ -236,30 +242,38 @@
 
 
 def _check_result(
-    record: Told, result: AnswerResult, runs: int, key: str
+    record: WorkRecord, result: ResponseResult, runs: int, key: str
 ) -> None:
     if result.is_ok():
-        if result.ok.body != record.work.encode():
-            raise Violation(f"{record.work} got response {result.ok.body!r}")
+        if result.ok.body != record.work_id.encode():
+            raise GuaranteeViolation(
+                f"{record.work_id} got response {result.ok.body!r}"
+            )
         if runs != 1:
-            raise Violation(
-                f"{record.work} got a response but ran {runs} times"
+            raise GuaranteeViolation(
+                f"{record.work_id} got a response but ran {runs} times"
             )
         return
     outcome = result.error.outcome
-    if outcome is exchange.Outcome.NOT_RUN and runs:
-        raise Violation(f"{record.work} ran after {result.error} ({key})")
-    if outcome is exchange.Outcome.RAN and runs != 1:
-        raise Violation(f"{record.work} did not run despite {result.error}")
+    if outcome is exchange.ExecutionOutcome.NOT_RUN and runs:
+        raise GuaranteeViolation(
+            f"{record.work_id} ran after {result.error} ({key})"
+        )
+    if outcome is exchange.ExecutionOutcome.RAN and runs != 1:
+        raise GuaranteeViolation(
+            f"{record.work_id} did not run despite {result.error}"
+        )
 
 
 class Member:
     """One incarnation of a node; homes have one target."""
 
-    def __init__(self, world: World, name: str, incarnation: int) -> None:
+    def __init__(
+        self, world: SimulatedCluster, name: str, incarnation: int
+    ) -> None:
         self._world = world
         self.name = name
-        self.alive = True
+        self.is_alive = True
         self.record = view.NodeRecord(name, incarnation, name, "r", "z")
         self.fleet = view.FleetView()
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -272,14 +286,14 @@
             session,
             session,
             world.clock,
-            dispatch.Unobserved(),
-            handover.HandOverLedger(),
+            dispatch.NullObserver(),
+            attempt_log.AttemptLog(),
         )
         pool = cast(links.LinkPool, _FaultyLinkPool(world, self))
         served = gateway.Gateway(
             name,
             placement.Placement(
-                placement.Place(name, "r", "z"),
+                placement.Locality(name, "r", "z"),
                 self.fleet,
                 lambda service: 0,
                 world.clock,
@@ -298,22 +312,22 @@
             f"secret-{incarnation}".encode(),
             lambda: f"n{next(nonces)}",
         )
-        self.ticketing = ticketing.Ticketing(
+        self.ticketing = ticketing.TicketHandler(
             issuer,
-            ticket_book.TicketBook(kept_answer_bytes=_MAX_KEPT_BYTES),
+            ticket_store.TicketStore(kept_answer_bytes=_MAX_KEPT_BYTES),
             served,
             self.fleet,
             pool,
             world.clock,
             _MAX_KEPT_BYTES,
         )
-        if name in HOMES:
-            self.start(self._renew_target_lease())
+        if name in HOME_NODES:
+            self.start_task(self._renew_target_lease())
 
-    def hear(self, other: "Member") -> None:
+    def add_node(self, other: "Member") -> None:
         """Adds another node's incarnation and its target to the view."""
         self.fleet.put_node(other.record)
-        if other.name not in HOMES:
+        if other.name not in HOME_NODES:
             return
         record = records.TargetRecord(
             id=f"target-{other.name}",
@@ -326,7 +340,7 @@
             slots=_SLOTS_PER_TARGET,
             weight=1,
             state=records.State.READY,
-            health=records.Health.NORMAL,
+            health=records.EjectionStatus.NORMAL,
         )
         self.fleet.put_home_state(
             other.name, other.record.incarnation, 1, (record,)
@@ -338,13 +352,13 @@
             service=SERVICE, address="http://target", lease_ms=60_000
         )
         while True:
-            self.targets.expire()
+            self.targets.remove_expired()
             self.targets.announce(
                 f"target-{self.name}", announcement, _SLOTS_PER_TARGET
             )
-            await asyncio.sleep(RENEWAL_SECONDS)
+            await asyncio.sleep(LEASE_RENEWAL_SECONDS)
 
-    def start(
+    def start_task(
         self, work: collections.abc.Coroutine[Any, Any, Any]
     ) -> asyncio.Task[Any]:
         """Starts a task that ends with this incarnation of the node."""
@@ -353,23 +367,23 @@
         task.add_done_callback(self._tasks.discard)
         return task
 
-    def end(self) -> None:
+    def crash(self) -> None:
         """Crashes the node: cancels all tasks of this incarnation."""
-        self.alive = False
+        self.is_alive = False
         for task in self._tasks:
             task.cancel()
-        self.ticketing.abandon()
+        self.ticketing.cancel_all()
 
 
 Deliver = collections.abc.Callable[
-    ["Member"], collections.abc.Coroutine[Any, Any, AnswerResult]
+    ["Member"], collections.abc.Coroutine[Any, Any, ResponseResult]
 ]
 
 
 class _FaultyLinkPool:
     """A fake links.LinkPool that injects faults and returns its results."""
 
-    def __init__(self, world: World, owner: Member) -> None:
+    def __init__(self, world: SimulatedCluster, owner: Member) -> None:
         self._world = world
         self._owner = owner
 
@@ -379,10 +393,10 @@
         target: str,
         head: exchange.RequestHead,
         body: exchange.RequestBody,
-    ) -> AnswerResult:
+    ) -> ResponseResult:
         """Forwards a request to a home, as LinkPool.forward does."""
 
-        async def deliver(member: Member) -> AnswerResult:
+        async def deliver(member: Member) -> ResponseResult:
             return await member.dispatcher.run_forwarded(
                 target, home.incarnation, head, body
             )
@@ -398,10 +412,10 @@
         head: exchange.RequestHead,
         body: exchange.RequestBody,
         priority: str,
-    ) -> AnswerResult:
+    ) -> ResponseResult:
         """Forwards to an issuer, as LinkPool.forward_to_issuer does."""
 
-        async def deliver(member: Member) -> AnswerResult:
+        async def deliver(member: Member) -> ResponseResult:
             return await member.ticketing.execute(
                 head, body, objects.Priority(priority), incarnation
             )
@@ -415,61 +429,63 @@
         name: str,
         steps: _LinkSteps,
         deliver: Deliver,
-        failures: links.Failures,
-    ) -> AnswerResult:
-        match self._world.fault(steps.connect):
+        failures: links.FailureRefusals,
+    ) -> ResponseResult:
+        match self._world.take_fault(steps.connect):
             case None | Fault.DUPLICATE | Fault.CROSS | Fault.TRUNCATE:
                 pass
             case Fault.DELAY:
-                await asyncio.sleep(DELAY_SECONDS)
+                await asyncio.sleep(MESSAGE_DELAY_SECONDS)
             case Fault.DROP:
-                return expression.Error(failures.unreachable("refused"))
+                return expression.Error(failures.connect_failed("refused"))
             case Fault.CRASH:
                 self._world.crash(name)
-                return expression.Error(failures.unreachable("refused"))
+                return expression.Error(failures.connect_failed("refused"))
             case _:
                 await asyncio.sleep(links.CONNECT_TIMEOUT.total_seconds())
-                return expression.Error(failures.unreachable("no answer"))
+                return expression.Error(failures.connect_failed("no answer"))
         result = await self._send_request(name, steps, deliver)
         if result is None:
-            return expression.Error(failures.lost("link broken"))
+            return expression.Error(failures.link_lost("link broken"))
         return result
 
     async def _send_request(
         self, name: str, steps: _LinkSteps, deliver: Deliver
-    ) -> AnswerResult | None:
+    ) -> ResponseResult | None:
         """Sends over an open link; returns None if the link was lost."""
         member = self._world.nodes[name]
-        silence = links.SILENCE_LIMIT.total_seconds()
-        fault = self._world.fault(steps.request)
+        silence = links.HEARTBEAT_TIMEOUT.total_seconds()
+        fault = self._world.take_fault(steps.request)
         if fault is Fault.CRASH:
             self._world.crash(name)
             return None
         if fault is Fault.PAUSE:
             # The paused node handles the request in its socket buffer later.
-            member.start(_deliver_later(PAUSE_SECONDS, deliver, member))
+            member.start_task(_deliver_later(PAUSE_SECONDS, deliver, member))
         if fault in _NO_RESPONSE_FAULTS:
             await asyncio.sleep(silence)
             return None
         if fault in (Fault.DROP, Fault.TRUNCATE):
             return None
         if fault is Fault.DELAY:
-            await asyncio.sleep(DELAY_SECONDS)
+            await asyncio.sleep(MESSAGE_DELAY_SECONDS)
         if fault is Fault.DUPLICATE:
-            member.start(_deliver_later(DUPLICATE_SECONDS, deliver, member))
-        running = member.start(deliver(member))
+            member.start_task(
+                _deliver_later(DUPLICATE_DELAY_SECONDS, deliver, member)
+            )
+        running = member.start_task(deliver(member))
         return await self._await_response(name, steps, running, fault)
 
     async def _await_response(
         self,
         name: str,
         steps: _LinkSteps,
-        running: asyncio.Task[AnswerResult],
+        running: asyncio.Task[ResponseResult],
         request_fault: Fault | None,
-    ) -> AnswerResult | None:
-        fault = self._world.fault(steps.answer)
+    ) -> ResponseResult | None:
+        fault = self._world.take_fault(steps.answer)
         if fault in _NO_RESPONSE_FAULTS:
-            await asyncio.sleep(links.SILENCE_LIMIT.total_seconds())
+            await asyncio.sleep(links.HEARTBEAT_TIMEOUT.total_seconds())
             return None
         try:
             result = await running
@@ -482,7 +498,7 @@
             self._world.crash(name)
             return None
         if fault is Fault.DELAY:
-            await asyncio.sleep(DELAY_SECONDS)
+            await asyncio.sleep(MESSAGE_DELAY_SECONDS)
         if fault in _LINK_LOST_FAULTS or request_fault is Fault.CROSS:
             return None
         return result
@@ -502,7 +518,7 @@
 class _FaultySession:
     """A fake HTTP client for targets that injects faults."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: SimulatedCluster) -> None:
         self._world = world
 
     async def request(
@@ -516,44 +532,44 @@
     ) -> Any:
         """Acts as aiohttp.ClientSession.request and its connection errors."""
         await self._connect()
-        trace_request_ctx.connected = True
+        trace_request_ctx.has_connection = True
         work = headers["work"]
-        match self._world.fault(Step.TARGET_REQUEST):
+        match self._world.take_fault(ExchangeStep.TARGET_REQUEST):
             case Fault.DROP | Fault.TRUNCATE | Fault.CRASH | Fault.CROSS:
-                raise connections.HandOverLostError("closed")
+                raise connections.ConnectionLostError("closed")
             case Fault.SILENCE | Fault.PARTITION:
-                await asyncio.sleep(SETTLED.total_seconds())
+                await asyncio.sleep(SETTLE_TIME.total_seconds())
             case Fault.PAUSE:
                 self._world.loop.call_later(
                     PAUSE_SECONDS, self._record_run, work
                 )
-                await asyncio.sleep(SETTLED.total_seconds())
+                await asyncio.sleep(SETTLE_TIME.total_seconds())
             case Fault.DELAY:
-                await asyncio.sleep(DELAY_SECONDS)
+                await asyncio.sleep(MESSAGE_DELAY_SECONDS)
             case _:
                 pass
         self._record_run(work)
         await asyncio.sleep(WORK_SECONDS)
-        match self._world.fault(Step.TARGET_ANSWER):
+        match self._world.take_fault(ExchangeStep.TARGET_RESPONSE):
             case Fault.DROP | Fault.TRUNCATE | Fault.CRASH | Fault.CROSS:
-                raise connections.HandOverLostError("closed")
+                raise connections.ConnectionLostError("closed")
             case Fault.SILENCE | Fault.PARTITION | Fault.PAUSE:
-                await asyncio.sleep(SETTLED.total_seconds())
+                await asyncio.sleep(SETTLE_TIME.total_seconds())
             case Fault.DELAY:
-                await asyncio.sleep(DELAY_SECONDS)
+                await asyncio.sleep(MESSAGE_DELAY_SECONDS)
             case _:
                 pass
         return _Response(work.encode())
 
     async def _connect(self) -> None:
-        match self._world.fault(Step.TARGET_CONNECT):
+        match self._world.take_fault(ExchangeStep.TARGET_CONNECT):
             case Fault.DROP | Fault.CRASH | Fault.TRUNCATE:
                 raise aiohttp.ClientConnectionError("refused")
             case Fault.SILENCE | Fault.PARTITION | Fault.PAUSE:
-                await asyncio.sleep(connections.CONNECT_LIMIT.total_seconds())
+                await asyncio.sleep(connections.CONNECT_TIMEOUT.total_seconds())
                 raise aiohttp.ServerTimeoutError("connect")
             case Fault.DELAY:
-                await asyncio.sleep(DELAY_SECONDS)
+                await asyncio.sleep(MESSAGE_DELAY_SECONDS)
             case _:
                 pass
 
--- a/endivewind/standins/target.py
+++ b/endivewind/standins/target.py
@@ -22,16 +22,16 @@
 FAULT_PATH = "/standin/fault"
 EVENTS_PATH = "/standin/events"
 FAULT_HEADER = "Standin-Fault"
-RENEWAL = datetime.timedelta(milliseconds=500)
-HANG = datetime.timedelta(hours=1)
-PART_BYTES = 500
-WHOLE_BYTES = 200_000
-STREAM_PARTS = WHOLE_BYTES // PART_BYTES // 20
+ANNOUNCEMENT_INTERVAL = datetime.timedelta(milliseconds=500)
+HANG_DURATION = datetime.timedelta(hours=1)
+CHUNK_BYTES = 500
+LARGE_BODY_BYTES = 200_000
+STREAM_CHUNKS = LARGE_BODY_BYTES // CHUNK_BYTES // 20
 
 _CHUNK_INTERVAL = datetime.timedelta(milliseconds=100)
 
 
-class Fault(enum.StrEnum):
+class RequestFault(enum.StrEnum):
     """A fault of one request, named by its header Standin-Fault."""
 
     CLOSE = "close"
@@ -70,7 +70,7 @@
             datetime.datetime.now(datetime.UTC).timestamp() * 1000
         )
 
-    def application(self) -> web.Application:
+    def make_application(self) -> web.Application:
         """Returns the application; paths outside /standin/ execute work."""
         app = web.Application(client_max_size=64 * 1024 * 1024)
         app.router.add_get(COUNTS_PATH, self._counts)
@@ -79,12 +79,12 @@
         app.router.add_route("*", "/{path:.*}", self._work)
         return app
 
-    async def announce(self, address: str) -> None:
+    async def run_announcements(self, address: str) -> None:
         """Renews the lease at one node; moves only if that node fails."""
         async with aiohttp.ClientSession() as session:
             while True:
                 await self._announce_once(session, address)
-                await asyncio.sleep(RENEWAL.total_seconds())
+                await asyncio.sleep(ANNOUNCEMENT_INTERVAL.total_seconds())
 
     async def _announce_once(
         self, session: aiohttp.ClientSession, address: str
@@ -145,11 +145,11 @@
     ) -> web.StreamResponse:
         fault = request.headers.get(FAULT_HEADER, "")
         if fault:
-            response = await self._apply_fault(Fault(fault), request)
+            response = await self._apply_fault(RequestFault(fault), request)
             if response is not None:
                 return response
         if self._hang:
-            await asyncio.sleep(HANG.total_seconds())
+            await asyncio.sleep(HANG_DURATION.total_seconds())
         if self._delay_seconds:
             await asyncio.sleep(self._delay_seconds)
         number = next(self._request_numbers)
@@ -168,24 +168,24 @@
         )
 
     async def _apply_fault(
-        self, fault: Fault, request: web.Request
+        self, fault: RequestFault, request: web.Request
     ) -> web.StreamResponse | None:
         """Applies the fault; returns None if the request is still to be run."""
         match fault:
-            case Fault.CRASH:
+            case RequestFault.CRASH:
                 os._exit(1)
-            case Fault.CLOSE:
+            case RequestFault.CLOSE:
                 _close_connection(request)
                 return web.Response()
-            case Fault.HANG:
-                await asyncio.sleep(HANG.total_seconds())
-            case Fault.DELAY:
+            case RequestFault.HANG:
+                await asyncio.sleep(HANG_DURATION.total_seconds())
+            case RequestFault.DELAY:
                 await asyncio.sleep(_CHUNK_INTERVAL.total_seconds() * 5)
-            case Fault.LARGE:
-                return web.Response(body=b"x" * WHOLE_BYTES)
-            case Fault.SLOW_STREAM:
+            case RequestFault.LARGE:
+                return web.Response(body=b"x" * LARGE_BODY_BYTES)
+            case RequestFault.SLOW_STREAM:
                 return await _slow_stream(request)
-            case Fault.TRUNCATE_LENGTH | Fault.TRUNCATE_CHUNKED:
+            case RequestFault.TRUNCATE_LENGTH | RequestFault.TRUNCATE_CHUNKED:
                 return await _truncate(request, fault)
         return None
 
@@ -214,22 +214,24 @@
     response = web.StreamResponse()
     response.enable_chunked_encoding()
     await response.prepare(request)
-    for _ in range(STREAM_PARTS):
-        await response.write(b"x" * PART_BYTES)
+    for _ in range(STREAM_CHUNKS):
+        await response.write(b"x" * CHUNK_BYTES)
         await asyncio.sleep(_CHUNK_INTERVAL.total_seconds())
     await response.write_eof()
     return response
 
 
-async def _truncate(request: web.Request, fault: Fault) -> web.StreamResponse:
+async def _truncate(
+    request: web.Request, fault: RequestFault
+) -> web.StreamResponse:
     """Sends a response that ends before its declared end."""
     response = web.StreamResponse()
-    if fault is Fault.TRUNCATE_LENGTH:
-        response.content_length = PART_BYTES * 2
+    if fault is RequestFault.TRUNCATE_LENGTH:
+        response.content_length = CHUNK_BYTES * 2
     else:
         response.enable_chunked_encoding()
     await response.prepare(request)
-    await response.write(b"x" * PART_BYTES)
+    await response.write(b"x" * CHUNK_BYTES)
     _close_connection(request)
     return response
 
--- a/endivewind/standins/virtual.py
+++ b/endivewind/standins/virtual_loop.py
@@ -42,7 +42,7 @@
         """Returns the virtual time in seconds."""
         return self._virtual_selector.now
 
-    def jump(self, by: datetime.timedelta) -> None:
+    def advance(self, by: datetime.timedelta) -> None:
         """Advances the time at once, as after a pause of the process."""
         self._virtual_selector.now += by.total_seconds()
 
@@ -57,6 +57,6 @@
         """Returns the virtual time since the loop's start."""
         return datetime.timedelta(seconds=self._loop.time())
 
-    def boot_time(self) -> datetime.timedelta:
+    def time_since_boot(self) -> datetime.timedelta:
         """Returns the same time: a virtual loop is never suspended."""
         return self.monotonic()
--- a/endivewind/targets/handover.py
+++ b/endivewind/targets/attempt_log.py
@@ -15,13 +15,13 @@
 # byte has been transferred for that long.
 RETENTION = datetime.timedelta(minutes=1)
 # Memory of one attempt at most, which a test checks.
-ATTEMPT_BYTES = 512
+MAX_BYTES_PER_ATTEMPT = 512
 # At most 2 MiB; enough for 68 attempts per second during the retention time.
 MAX_ATTEMPTS = 4_096
 # Further records for refused attempts, which must be sealed even if the log is
 # full for new ones.
-SEAL_RESERVE = 1_024
-FULL_RETRY = datetime.timedelta(seconds=1)
+RESERVED_FOR_REFUSALS = 1_024
+FULL_RETRY_AFTER = datetime.timedelta(seconds=1)
 
 
 @dataclasses.dataclass(slots=True)
@@ -31,11 +31,11 @@
     expires_at: datetime.timedelta
 
 
-class HandOverLedger:
+class AttemptLog:
     """The latest attempt of each ticket that this home node has received."""
 
     def __init__(
-        self, capacity: int = MAX_ATTEMPTS, reserve: int = SEAL_RESERVE
+        self, capacity: int = MAX_ATTEMPTS, reserve: int = RESERVED_FOR_REFUSALS
     ) -> None:
         self._capacity = capacity
         self._reserved = reserve
@@ -67,17 +67,17 @@
                 return refusal
         elif len(self._attempts) >= self._capacity + self._reserved:
             # A refusal as not run can't be sealed, so it could become false.
-            return exchange.outcome_unknown(
+            return exchange.unknown_outcome_refusal(
                 exchange.Reason.BUSY, "log of attempts is full"
             )
         is_full = known is None and len(self._attempts) >= self._capacity
         self._attempts.pop(ticket, None)
         self._attempts[ticket] = _Attempt(number, is_full, now + RETENTION)
         if is_full:
-            return exchange.not_run(
+            return exchange.not_run_refusal(
                 exchange.Reason.BUSY,
                 "log of attempts is full for new tickets",
-                FULL_RETRY,
+                FULL_RETRY_AFTER,
             )
         return None
 
@@ -99,10 +99,10 @@
     if number > known.number and known.is_sealed:
         return None
     if number == known.number and known.is_sealed:
-        return exchange.not_run(
+        return exchange.not_run_refusal(
             exchange.Reason.SEALED, "this attempt was refused before"
         )
-    return exchange.outcome_unknown(
+    return exchange.unknown_outcome_refusal(
         exchange.Reason.SEALED,
         "an attempt of this ticket was sent to a target before",
     )
--- a/endivewind/targets/connections.py
+++ b/endivewind/targets/connections.py
@@ -17,8 +17,8 @@
 # Targets close idle connections after ten seconds or more, some without notice.
 # A connection idle for less than half of that is rarely closed at the moment
 # when it is reused.
-KEEPALIVE = datetime.timedelta(seconds=4)
-CONNECT_LIMIT = datetime.timedelta(seconds=1)
+KEEPALIVE_TIMEOUT = datetime.timedelta(seconds=4)
+CONNECT_TIMEOUT = datetime.timedelta(seconds=1)
 
 
 class _ResponseHandler(client_proto.ResponseHandler):
@@ -52,7 +52,7 @@
         """
         if reuse:
             super().__init__(
-                limit=0, keepalive_timeout=KEEPALIVE.total_seconds()
+                limit=0, keepalive_timeout=KEEPALIVE_TIMEOUT.total_seconds()
             )
         else:
             super().__init__(limit=0, force_close=True)
@@ -63,7 +63,7 @@
         )  # type: ignore[assignment]
 
 
-class HandOverLostError(Exception):
+class ConnectionLostError(Exception):
     """The connection failed when part of the request may have been sent."""
 
 
@@ -78,12 +78,12 @@
       body_error: the error in reading the caller's body, if there was one.
     """
 
-    connected: bool = False
-    reused: bool = False
-    broken_body: exchange.TruncatedBodyError | None = None
+    has_connection: bool = False
+    is_reused: bool = False
+    body_error: exchange.RequestBodyError | None = None
 
 
-def session(connector: aiohttp.BaseConnector) -> aiohttp.ClientSession:
+def make_session(connector: aiohttp.BaseConnector) -> aiohttp.ClientSession:
     """Returns a session for requests to targets.
 
     Each request must be given its Progress as trace_request_ctx.
@@ -93,7 +93,7 @@
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
         timeout=aiohttp.ClientTimeout(
-            sock_connect=CONNECT_LIMIT.total_seconds()
+            sock_connect=CONNECT_TIMEOUT.total_seconds()
         ),
         skip_auto_headers=("User-Agent", "Content-Type", "Accept"),
         middlewares=(_prevent_resend,),
@@ -117,7 +117,7 @@
         raise
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
         detail = str(error) or type(error).__name__
-        raise HandOverLostError(detail) from error
+        raise ConnectionLostError(detail) from error
 
 
 def _progress_trace_config() -> aiohttp.TraceConfig:
@@ -132,7 +132,7 @@
     context: types.SimpleNamespace,
     params: aiohttp.TraceConnectionCreateEndParams,
 ) -> None:
-    context.trace_request_ctx.connected = True
+    context.trace_request_ctx.has_connection = True
 
 
 async def _on_connection_reused(
@@ -140,5 +140,5 @@
     context: types.SimpleNamespace,
     params: aiohttp.TraceConnectionReuseconnParams,
 ) -> None:
-    context.trace_request_ctx.connected = True
-    context.trace_request_ctx.reused = True
+    context.trace_request_ctx.has_connection = True
+    context.trace_request_ctx.is_reused = True
--- a/endivewind/targets/dispatch.py
+++ b/endivewind/targets/dispatch.py
@@ -18,33 +18,33 @@
 from endivewind import clock as clocks
 from endivewind import exchange
 from endivewind import headers
-from endivewind.targets import answers
+from endivewind.targets import attempt_log
 from endivewind.targets import connections
-from endivewind.targets import doubts
 from endivewind.targets import evidence
-from endivewind.targets import handover
 from endivewind.targets import records
 from endivewind.targets import registry
+from endivewind.targets import responses
+from endivewind.targets import silent_connections
 from endivewind.targets import slots
-from endivewind.targets import working
+from endivewind.targets import target_request
 
 log = logging.getLogger(__name__)
 
-BUSY_RETRY = datetime.timedelta(milliseconds=200)
+BUSY_RETRY_AFTER = datetime.timedelta(milliseconds=200)
 _MIN_TIMEOUT = datetime.timedelta(milliseconds=1)
 # A target may continue for this long with a request that was abandoned.
-WORKS_ON = datetime.timedelta(milliseconds=500)
-AnswerResult = expression.Result[exchange.Response, exchange.Refusal]
+ABANDONED_WORK_TIME = datetime.timedelta(milliseconds=500)
+ResponseResult = expression.Result[exchange.Response, exchange.Refusal]
 
 
-class Unobserved:
+class NullObserver:
     """Ignores all samples."""
 
-    def started(self, target: str, service: str) -> int:
+    def record_start(self, target: str, service: str) -> int:
         """Ignores the start of a request."""
         return 0
 
-    def finished(self, sample: evidence.Sample) -> None:
+    def record_finish(self, sample: evidence.Sample) -> None:
         """Ignores the result of a request."""
 
 
@@ -58,7 +58,7 @@
         fresh: aiohttp.ClientSession,
         clock: clocks.Clock,
         observer: evidence.Observer,
-        attempts: handover.HandOverLedger,
+        attempts: attempt_log.AttemptLog,
         header_names: headers.HeaderNames = headers.DEFAULT_NAMES,
     ) -> None:
         """Initializes the dispatcher.
@@ -79,7 +79,7 @@
         self._clock = clock
         self._observer = observer
         self._attempt_log = attempts
-        self._silent_connections = doubts.ConnectionDoubts()
+        self._silent_connections = silent_connections.SilentConnectionDetector()
         self._is_stopping = False
 
     @classmethod
@@ -95,11 +95,11 @@
         fresh = connections.Connector(reuse=False)
         return cls(
             targets,
-            connections.session(pooled),
-            connections.session(fresh),
+            connections.make_session(pooled),
+            connections.make_session(fresh),
             clock or clocks.SystemClock(),
-            observer or Unobserved(),
-            handover.HandOverLedger(),
+            observer or NullObserver(),
+            attempt_log.AttemptLog(),
             header_names,
         )
 
@@ -109,22 +109,25 @@
         await self._fresh.close()
 
     @property
-    def is_working(self) -> bool:
+    def has_active_work(self) -> bool:
         """Whether a target is executing a request, or may still be doing so."""
         now = self._clock.monotonic()
         return any(
-            item.pending
-            or (item.left_off is not None and now - item.left_off < WORKS_ON)
-            for item in self._targets.held()
+            item.pending_requests
+            or (
+                item.last_abandoned_at is not None
+                and now - item.last_abandoned_at < ABANDONED_WORK_TIME
+            )
+            for item in self._targets.home_targets()
         )
 
     @property
-    def repeat_share(self) -> float:
+    def possible_duplicate_share(self) -> float:
         """Share of the active requests that are possible duplicates."""
         duplicates = [
-            request.is_repeat
-            for item in self._targets.held()
-            for request in item.pending
+            request.may_be_duplicate
+            for item in self._targets.home_targets()
+            for request in item.pending_requests
         ]
         return sum(duplicates) / len(duplicates) if duplicates else 0.0
 
@@ -138,7 +141,7 @@
         home_incarnation: int,
         head: exchange.RequestHead,
         body: exchange.RequestBody,
-    ) -> AnswerResult:
+    ) -> ResponseResult:
         """Executes a request of another node if it names this incarnation.
 
         A restarted node has lost its log of attempts, so it could not
@@ -156,7 +159,7 @@
         target: str,
         head: exchange.RequestHead,
         body: exchange.RequestBody,
-    ) -> AnswerResult:
+    ) -> ResponseResult:
         """Executes a request at a target of this home node.
 
         An attempt under a ticket is first recorded, and sealed if it ends
@@ -180,26 +183,26 @@
         target: str,
         head: exchange.RequestHead,
         body: exchange.RequestBody,
-    ) -> AnswerResult:
-        deadline = self._clock.monotonic() + head.remaining
+    ) -> ResponseResult:
+        deadline = self._clock.monotonic() + head.remaining_time
         item = self._targets.get(target)
         if item is None:
             return expression.Error(self._unknown_target(target))
         refusal = self._check_availability(item, head)
         if refusal is not None:
             return refusal
-        waiter = slots.waiter(head.queue_priority, deadline)
-        if not await item.slots.take(item.record.slots, waiter):
+        waiter = slots.make_waiter(head.queue_priority, deadline)
+        if not await item.slots.acquire(item.record.slots, waiter):
             return _refuse(
                 exchange.Reason.BUSY,
                 f"{target} has no free slot",
-                BUSY_RETRY,
+                BUSY_RETRY_AFTER,
                 self._report(item),
             )
         # The target may have started draining while the request was queued.
         refusal = self._check_availability(item, head)
         if refusal is not None:
-            item.slots.free(item.record.slots)
+            item.slots.release(item.record.slots)
             return refusal
         remaining = max(deadline - self._clock.monotonic(), _MIN_TIMEOUT)
         return await self._dispatch_in_slot(
@@ -208,7 +211,7 @@
 
     def _check_availability(
         self, item: registry.HomeTarget, head: exchange.RequestHead
-    ) -> AnswerResult | None:
+    ) -> ResponseResult | None:
         """Returns a refusal if the target must not get the request now."""
         target = item.record.id
         if self._is_stopping:
@@ -223,51 +226,51 @@
             return _refuse(
                 exchange.Reason.SUSPECT,
                 f"{target} is probably unhealthy",
-                BUSY_RETRY,
+                BUSY_RETRY_AFTER,
                 report,
             )
         return None
 
-    def _report(self, item: registry.HomeTarget) -> exchange.TargetStatus:
-        return item.glance(self._clock.monotonic())
+    def _report(self, item: registry.HomeTarget) -> exchange.TargetReport:
+        return item.report(self._clock.monotonic())
 
     async def _dispatch_in_slot(
         self,
         item: registry.HomeTarget,
         head: exchange.RequestHead,
         body: exchange.RequestBody,
-    ) -> AnswerResult:
+    ) -> ResponseResult:
         """Sends a request to a target of which it holds a slot."""
-        request = working.HandOver(
+        request = target_request.TargetRequest(
             item, head, self._clock, self._observer, self._silent_connections
         )
         try:
             result = await self._send(request, head, body)
         except BaseException:
-            request.cancelled()
+            request.cancel()
             raise
         if result.is_error():
-            request.end()
+            request.finish()
             return expression.Error(
                 dataclasses.replace(
-                    result.error, target_status=self._report(item)
+                    result.error, target_report=self._report(item)
                 )
             )
         if result.ok.stream is None:
-            request.end()
-        result.ok.target_status = self._report(item)
+            request.finish()
+        result.ok.target_report = self._report(item)
         return result
 
-    def look(self) -> None:
+    def check_overdue(self) -> None:
         """Counts overdue requests without a latency objective; call it often.
 
         An unresponsive target completes no request: without this check there
         would be no evidence against it until the first deadline has passed.
         """
         now = self._clock.monotonic()
-        for item in self._targets.held():
-            for request in item.pending:
-                request.look(now)
+        for item in self._targets.home_targets():
+            for request in item.pending_requests:
+                request.check_overdue(now)
 
     def _unknown_target(self, target: str) -> exchange.Refusal:
         """Returns a refusal that names the target's new home node, if known.
@@ -277,7 +280,7 @@
         only target would be refused in the meantime.
         """
         return exchange.Refusal(
-            exchange.Outcome.NOT_RUN,
+            exchange.ExecutionOutcome.NOT_RUN,
             exchange.Reason.STALE_HOME,
             f"{target} is not registered at this node",
             moved_to=self._targets.moved_to(target),
@@ -285,10 +288,10 @@
 
     async def _send(
         self,
-        request: working.HandOver,
+        request: target_request.TargetRequest,
         head: exchange.RequestHead,
         body: exchange.RequestBody,
-    ) -> AnswerResult:
+    ) -> ResponseResult:
         """Sends a request over a pooled connection or a new one.
 
         Failure: the target has closed a pooled connection, or a device between
@@ -300,10 +303,10 @@
         """
         is_non_idempotent = bool(head.ticket)
         now = self._clock.monotonic()
-        fresh = is_non_idempotent or self._silent_connections.fresh_only(
-            request.item.record.id, now
+        fresh = is_non_idempotent or self._silent_connections.requires_fresh(
+            request.home_target.record.id, now
         )
-        timeout = head.remaining.total_seconds()
+        timeout = head.remaining_time.total_seconds()
         try:
             async with asyncio.timeout(timeout):
                 session = self._fresh if fresh else self._pooled
@@ -311,7 +314,7 @@
         except TimeoutError:
             return _timeout_refusal(request)
         except (
-            connections.HandOverLostError,
+            connections.ConnectionLostError,
             aiohttp.ClientError,
             OSError,
             exchange.TruncatedResponseError,
@@ -321,31 +324,31 @@
     async def _exchange(
         self,
         session: aiohttp.ClientSession,
-        request: working.HandOver,
+        request: target_request.TargetRequest,
         head: exchange.RequestHead,
         body: exchange.RequestBody,
-    ) -> AnswerResult:
+    ) -> ResponseResult:
         progress = connections.Progress()
         request.progress = progress
         response = await session.request(
             head.method,
-            yarl.URL(request.item.address + head.path, encoded=True),
+            yarl.URL(request.home_target.address + head.path, encoded=True),
             headers=_request_headers(
-                head, request.item.record.id, self._header_names
+                head, request.home_target.record.id, self._header_names
             ),
             data=_request_body(body, progress),
             allow_redirects=False,
             trace_request_ctx=progress,
         )
         self._check_response(head, response)
-        refusal = answers.not_run_by_target(response, self._header_names)
+        refusal = responses.target_refusal(response, self._header_names)
         if refusal is not None:
-            request.answered(response.status)
-            request.kind = evidence.Kind.SHED
-            await answers.read_away(response)
+            request.record_response_head(response.status)
+            request.result_kind = evidence.ResultKind.SHED
+            await responses.drain_response(response)
             return expression.Error(refusal)
-        request.answered(response.status)
-        return await answers.read(request, response)
+        request.record_response_head(response.status)
+        return await responses.read_response(request, response)
 
     def _check_response(
         self, head: exchange.RequestHead, response: aiohttp.ClientResponse
@@ -370,40 +373,42 @@
         ):
             return
         response.close()
-        raise connections.HandOverLostError(
+        raise connections.ConnectionLostError(
             "response belongs to another request"
         )
 
 
-def _timeout_refusal(request: working.HandOver) -> AnswerResult:
+def _timeout_refusal(request: target_request.TargetRequest) -> ResponseResult:
     if not request.may_have_run:
         return _unreachable(request, "connecting to the target timed out")
-    request.timed_out()
+    request.record_timeout()
     detail = "no response before the deadline"
     return expression.Error(
-        exchange.outcome_unknown(exchange.Reason.DEADLINE, detail)
+        exchange.unknown_outcome_refusal(exchange.Reason.DEADLINE, detail)
     )
 
 
 def _failure_refusal(
-    request: working.HandOver, error: Exception
-) -> AnswerResult:
+    request: target_request.TargetRequest, error: Exception
+) -> ResponseResult:
     detail = str(error) or type(error).__name__
     if not request.may_have_run:
         return _unreachable(request, detail)
-    body_error = request.progress.broken_body
+    body_error = request.progress.body_error
     if body_error is not None:
         # The caller's fault, and no evidence against the target.
-        request.kind = evidence.Kind.CANCELLED
-        return expression.Error(exchange.truncated_body(body_error))
-    request.kind = evidence.Kind.LOST
+        request.result_kind = evidence.ResultKind.CANCELLED
+        return expression.Error(exchange.body_error_refusal(body_error))
+    request.result_kind = evidence.ResultKind.LOST
     return expression.Error(
-        exchange.outcome_unknown(exchange.Reason.TARGET_LOST, detail)
+        exchange.unknown_outcome_refusal(exchange.Reason.TARGET_LOST, detail)
     )
 
 
-def _unreachable(request: working.HandOver, detail: str) -> AnswerResult:
-    request.kind = evidence.Kind.REFUSED_CONNECTION
+def _unreachable(
+    request: target_request.TargetRequest, detail: str
+) -> ResponseResult:
+    request.result_kind = evidence.ResultKind.REFUSED_CONNECTION
     return _refuse(exchange.Reason.UNREACHABLE, detail)
 
 
@@ -411,10 +416,10 @@
     reason: exchange.Reason,
     detail: str,
     retry_after: datetime.timedelta | None = None,
-    target_report: exchange.TargetStatus | None = None,
-) -> AnswerResult:
+    target_report: exchange.TargetReport | None = None,
+) -> ResponseResult:
     return expression.Error(
-        exchange.not_run(reason, detail, retry_after, target_report)
+        exchange.not_run_refusal(reason, detail, retry_after, target_report)
     )
 
 
@@ -436,8 +441,8 @@
     try:
         async for data in stream:
             yield data
-    except exchange.TruncatedBodyError as error:
-        progress.broken_body = error
+    except exchange.RequestBodyError as error:
+        progress.body_error = error
         raise
 
 
@@ -450,7 +455,7 @@
             for name, value in head.headers
         ]
     )
-    remaining = head.remaining // datetime.timedelta(milliseconds=1)
+    remaining = head.remaining_time // datetime.timedelta(milliseconds=1)
     fields[header_names.timeout_ms] = str(max(1, remaining))
     if header_names.expected_target:
         fields[header_names.expected_target] = target
--- a/endivewind/targets/evidence.py
+++ b/endivewind/targets/evidence.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 
-class Kind(enum.StrEnum):
+class ResultKind(enum.StrEnum):
     """How a request at a target ended."""
 
     SUCCESS = "success"
@@ -38,26 +38,26 @@
     target: str
     service: str
     workspace: str
-    kind: Kind
+    kind: ResultKind
     latency: datetime.timedelta
-    number: int = 0
+    request_number: int = 0
 
 
 class Observer(Protocol):
     """Observes the starts and results of requests at targets."""
 
-    def started(self, target: str, service: str) -> int:
+    def record_start(self, target: str, service: str) -> int:
         """Records the dispatch of a request and returns its number.
 
         Starts are recorded because a request that never ends is evidence, too.
         """
 
-    def finished(self, sample: Sample) -> None:
+    def record_finish(self, sample: Sample) -> None:
         """Records the result of a request; must not block."""
 
 
-def kind_of_status(status: int) -> Kind:
+def classify_status(status: int) -> ResultKind:
     """Classifies a response; 4xx statuses are not the target's failures."""
     if status in (429, 503):
-        return Kind.SHED
-    return Kind.ERROR if status >= 500 else Kind.SUCCESS
+        return ResultKind.SHED
+    return ResultKind.ERROR if status >= 500 else ResultKind.SUCCESS
--- a/endivewind/targets/judge.py
+++ b/endivewind/targets/outlier_monitor.py
@@ -26,48 +26,48 @@
 
 # Delay at most until an overdue request is noticed: a tenth of the detection
 # time that users require.
-PERIOD = datetime.timedelta(milliseconds=100)
+CHECK_INTERVAL = datetime.timedelta(milliseconds=100)
 
-ProfileOf = collections.abc.Callable[[str], objects.Profile]
+ProfileLookup = collections.abc.Callable[[str], objects.Profile]
 
 _SETTINGS = {
-    objects.Profile.DETECTION: ejection_settings.DETECTION,
-    objects.Profile.CAPACITY: ejection_settings.CAPACITY,
+    objects.Profile.DETECTION: ejection_settings.FAST_DETECTION_PRESET,
+    objects.Profile.CAPACITY: ejection_settings.KEEP_CAPACITY_PRESET,
 }
 _RESULTS = {
-    evidence.Kind.SUCCESS: outlier_detection.Result.GOOD,
-    evidence.Kind.ERROR: outlier_detection.Result.FAILED,
-    evidence.Kind.LOST: outlier_detection.Result.FAILED,
-    evidence.Kind.REFUSED_CONNECTION: outlier_detection.Result.FAILED,
-    evidence.Kind.TIMEOUT: outlier_detection.Result.UNFINISHED,
-    evidence.Kind.CANCELLED: outlier_detection.Result.UNFINISHED,
-    evidence.Kind.SHED: None,
+    evidence.ResultKind.SUCCESS: outlier_detection.Result.GOOD,
+    evidence.ResultKind.ERROR: outlier_detection.Result.FAILED,
+    evidence.ResultKind.LOST: outlier_detection.Result.FAILED,
+    evidence.ResultKind.REFUSED_CONNECTION: outlier_detection.Result.FAILED,
+    evidence.ResultKind.TIMEOUT: outlier_detection.Result.UNFINISHED,
+    evidence.ResultKind.CANCELLED: outlier_detection.Result.UNFINISHED,
+    evidence.ResultKind.SHED: None,
 }
 
 
 _KINDS_BY_REASON = {
-    exchange.Reason.DEADLINE: evidence.Kind.TIMEOUT,
-    exchange.Reason.TARGET_LOST: evidence.Kind.LOST,
-    exchange.Reason.UNREACHABLE: evidence.Kind.REFUSED_CONNECTION,
+    exchange.Reason.DEADLINE: evidence.ResultKind.TIMEOUT,
+    exchange.Reason.TARGET_LOST: evidence.ResultKind.LOST,
+    exchange.Reason.UNREACHABLE: evidence.ResultKind.REFUSED_CONNECTION,
 }
 
 
 def _remote_kind(
     result: expression.Result[exchange.Response, exchange.Refusal],
-) -> evidence.Kind | None:
+) -> evidence.ResultKind | None:
     """Returns how a forwarded request ended; None if that is no evidence."""
     if result.is_ok():
-        return evidence.kind_of_status(result.ok.status)
+        return evidence.classify_status(result.ok.status)
     return _KINDS_BY_REASON.get(result.error.reason)
 
 
-class Judge(evidence.Observer):
+class OutlierMonitor(evidence.Observer):
     """Runs an outlier detector for each service and applies its changes."""
 
     def __init__(
         self,
         targets: registry.TargetRegistry,
-        profile_of: ProfileOf,
+        profile_of: ProfileLookup,
         clock: clocks.Clock,
         on_change: collections.abc.Callable[[], None],
     ) -> None:
@@ -83,16 +83,18 @@
         )
 
     @property
-    def causes(self) -> collections.abc.Mapping[str, str]:
+    def ejection_causes(self) -> collections.abc.Mapping[str, str]:
         """Causes of ejections and trials by target, for operators."""
         return self._ejection_causes
 
     @property
-    def changes(self) -> collections.abc.Mapping[tuple[str, str], int]:
+    def status_change_counts(
+        self,
+    ) -> collections.abc.Mapping[tuple[str, str], int]:
         """Number of status changes so far, by service and ejection status."""
         return self._status_change_counts
 
-    def service(self, name: str) -> outlier_detection.OutlierDetector:
+    def detector_for(self, name: str) -> outlier_detection.OutlierDetector:
         """Returns the detector of a service, which it creates if necessary."""
         detector = self._detectors.get(name)
         if detector is None:
@@ -101,18 +103,18 @@
             )
         return detector
 
-    def started(self, target: str, service: str) -> int:
+    def record_start(self, target: str, service: str) -> int:
         """Records the dispatch of a request and returns its number."""
         number = next(self._request_numbers)
         now = self._clock.monotonic()
-        self.service(service).record_start(target, number, now)
+        self.detector_for(service).record_start(target, number, now)
         return number
 
-    def finished(self, sample: evidence.Sample) -> None:
+    def record_finish(self, sample: evidence.Sample) -> None:
         """Records the result of a request."""
-        change = self.service(sample.service).record_finish(
+        change = self.detector_for(sample.service).record_finish(
             sample.target,
-            sample.number,
+            sample.request_number,
             _RESULTS[sample.kind],
             sample.latency,
             sample.workspace,
@@ -121,7 +123,7 @@
         if change is not None:
             self._apply(change)
 
-    def witnessed(
+    def record_remote(
         self,
         record: records.TargetRecord,
         workspace: str,
@@ -135,7 +137,7 @@
         bounds the memory.
         """
         detector = self._detectors.get(record.service)
-        is_normal = record.health is records.Health.NORMAL
+        is_normal = record.health is records.EjectionStatus.NORMAL
         kind = _remote_kind(result)
         if detector is None or not is_normal or kind is None:
             return
@@ -146,10 +148,10 @@
                 record.id, remote_result, latency, workspace, now
             )
 
-    def advance(self) -> None:
+    def run_periodic_checks(self) -> None:
         """Checks for overdue requests and expired ejections; call it often."""
         now = self._clock.monotonic()
-        registered = {record.id for record in self._targets.announced()}
+        registered = {record.id for record in self._targets.target_records()}
         for name, detector in self._detectors.items():
             # Checked here and not at each request, as profiles change rarely.
             settings = self._settings_for(name)
@@ -158,19 +160,19 @@
             for target in set(detector.target_ids()) - registered:
                 detector.forget(target)
                 self._ejection_causes.pop(target, None)
-            for change in detector.advance(now):
+            for change in detector.run_periodic_checks(now):
                 self._apply(change)
 
     def _settings_for(self, name: str) -> ejection_settings.EjectionSettings:
         return _SETTINGS[self._profile_of(name)]
 
     def _apply(self, change: outlier_detection.StatusChange) -> None:
-        status = records.Health(change.status.value)
-        self._targets.set_health(change.target, status)
+        status = records.EjectionStatus(change.status.value)
+        self._targets.set_ejection_status(change.target, status)
         item = self._targets.get(change.target)
         if item is not None:
             self._status_change_counts[item.record.service, status.value] += 1
-        if status is records.Health.NORMAL:
+        if status is records.EjectionStatus.NORMAL:
             self._ejection_causes.pop(change.target, None)
         elif change.cause:
             self._ejection_causes[change.target] = change.cause
--- a/endivewind/targets/records.py
+++ b/endivewind/targets/records.py
@@ -12,7 +12,7 @@
     DRAINING = "draining"
 
 
-class Health(enum.StrEnum):
+class EjectionStatus(enum.StrEnum):
     """A target's ejection status, as its home node announces it.
 
     Has the same members as `decisions.ejection.Status`.
@@ -57,7 +57,7 @@
     slots: int
     weight: int
     state: State
-    health: Health
+    health: EjectionStatus
     target_incarnation: int = 0
     moves: int = 0
 
--- a/endivewind/targets/registration.py
+++ b/endivewind/targets/registration.py
@@ -7,11 +7,11 @@
 
 from endivewind.targets import registry
 
-Slots = collections.abc.Callable[[str], int]
-Admits = collections.abc.Callable[[registry.Announcement], str]
+DefaultSlotsLookup = collections.abc.Callable[[str], int]
+AnnouncementCheck = collections.abc.Callable[[registry.Announcement], str]
 
 
-def admits_all(announcement: registry.Announcement) -> str:
+def accept_all(announcement: registry.Announcement) -> str:
     """Accepts any announcement."""
     return ""
 
@@ -22,9 +22,9 @@
     def __init__(
         self,
         targets: registry.TargetRegistry,
-        default_slots: Slots,
+        default_slots: DefaultSlotsLookup,
         on_change: collections.abc.Callable[[], None],
-        check: Admits = admits_all,
+        check: AnnouncementCheck = accept_all,
     ) -> None:
         """Initializes the registration.
 
@@ -56,7 +56,7 @@
         return result.error if result.is_error() else None
 
     def withdraw(
-        self, target: str, incarnation: int = 0, latest: int = 0
+        self, target: str, incarnation: int = 0, max_incarnation: int = 0
     ) -> bool:
         """Processes a target's own withdrawal.
 
@@ -68,7 +68,7 @@
         Returns:
           False if the target is not registered.
         """
-        if not self._targets.depart(target, incarnation, latest):
+        if not self._targets.depart(target, incarnation, max_incarnation):
             return False
         self._on_change()
         return True
--- a/endivewind/targets/registry.py
+++ b/endivewind/targets/registry.py
@@ -24,21 +24,21 @@
 from endivewind.targets import slots
 
 # A home node has a few targets at a time; this covers all its recent ones.
-MAX_MOVED = 256
+MAX_REMEMBERED_MOVES = 256
 MIN_LEASE = datetime.timedelta(milliseconds=500)
 # remove_expired() runs several times a second. A longer gap means that the
 # process or its VM was paused.
-PAUSE_LIMIT = datetime.timedelta(seconds=1)
+MAX_TICK_GAP = datetime.timedelta(seconds=1)
 # After a pause, announcements sent before it are still in the socket buffers.
 # Targets renew within a third of their lease, so refusing one renewal costs
 # less than registering a target that has moved to another home node.
 RESUME_GRACE = datetime.timedelta(milliseconds=500)
 # Departed targets are remembered so that a delayed announcement does not
 # register them again; a home node has few in the seconds of such a delay.
-MAX_DEPARTED = 64
+MAX_REMEMBERED_DEPARTURES = 64
 # Announcements are delayed by seconds at most. After this time a departed
 # target may register again, as it did not stop after all.
-DEPARTED_FOR = datetime.timedelta(seconds=30)
+DEPARTURE_RETENTION = datetime.timedelta(seconds=30)
 
 
 class Announcement(base.Model):
@@ -92,35 +92,37 @@
 
     record: records.TargetRecord
     address: str
-    expires: datetime.timedelta
-    slots: slots.Slots
+    lease_expires_at: datetime.timedelta
+    slots: slots.TargetSlots
     suspicion: suspicion.SuspicionEstimator
-    announced: int = 0
-    pending: dict[Any, None] = dataclasses.field(default_factory=dict)
-    left_off: datetime.timedelta | None = None
-    times: response_times.ResponseTimes = dataclasses.field(
+    last_sequence: int = 0
+    pending_requests: dict[Any, None] = dataclasses.field(default_factory=dict)
+    last_abandoned_at: datetime.timedelta | None = None
+    latencies: response_times.ResponseTimes = dataclasses.field(
         default_factory=response_times.ResponseTimes
     )
 
     @property
-    def in_use(self) -> int:
+    def slots_in_use(self) -> int:
         """Number of slots in use."""
         return self.slots.in_use
 
-    def glance(self, now: datetime.timedelta) -> exchange.TargetStatus:
+    def report(self, now: datetime.timedelta) -> exchange.TargetReport:
         """Returns the report that is sent to entry nodes."""
         pending_ratio = self._pending_ratio(now)
         probability = self.suspicion.probability(now, pending_ratio)
-        return exchange.TargetStatus(self.slots.load, probability)
+        return exchange.TargetReport(self.slots.load, probability)
 
     def _pending_ratio(self, now: datetime.timedelta) -> float:
         """Returns the likelihood ratio of all its pending requests."""
-        return math.prod(request.silence(now) for request in self.pending)
+        return math.prod(
+            request.pending_ratio(now) for request in self.pending_requests
+        )
 
-    def state(self, now: datetime.timedelta) -> peer_updates.TargetSnapshot:
+    def snapshot(self, now: datetime.timedelta) -> peer_updates.TargetSnapshot:
         """Returns the state from which updates to entry nodes are derived."""
         return peer_updates.TargetSnapshot(
-            peer_updates.TargetUpdate(self.record.id, self.glance(now)),
+            peer_updates.TargetUpdate(self.record.id, self.report(now)),
             self.suspicion.signal_count
             + int(math.log2(self._pending_ratio(now))),
         )
@@ -149,17 +151,17 @@
     zone: str
 
 
-class Refused(enum.StrEnum):
+class AnnouncementRefusal(enum.StrEnum):
     """Why an announcement is refused."""
 
-    OLDER_START = "a later start of this target is known"
+    OLDER_INCARNATION = "a later start of this target is known"
     MOVED = "a later announcement at another home is known"
     RESUMING = "this home was paused; announce again"
     STOPPING = "this home is stopping; announce elsewhere"
-    LEFT = "this start of the target has left"
+    DEPARTED = "this start of the target has left"
 
 
-Rival = collections.abc.Callable[[str], records.TargetRecord | None]
+RivalLookup = collections.abc.Callable[[str], records.TargetRecord | None]
 
 
 def no_rival(target: str) -> records.TargetRecord | None:
@@ -174,7 +176,7 @@
         self,
         home: HomeIdentity,
         clock: clocks.Clock,
-        find_rival: Rival = no_rival,
+        find_rival: RivalLookup = no_rival,
     ) -> None:
         """Initializes an empty registry.
 
@@ -214,11 +216,11 @@
         home nodes would send requests to it.
         """
         item = self._targets.get(target)
-        if item is None or item.expires <= self._clock.monotonic():
+        if item is None or item.lease_expires_at <= self._clock.monotonic():
             return None
         return item
 
-    def stop_taking(self) -> None:
+    def refuse_announcements(self) -> None:
         """Refuses announcements from now on, including renewals.
 
         The targets move while this home node still sends them requests, so
@@ -226,11 +228,11 @@
         """
         self._is_stopping = True
 
-    def held(self) -> collections.abc.Iterable[HomeTarget]:
+    def home_targets(self) -> collections.abc.Iterable[HomeTarget]:
         """Returns all targets of this home node."""
         return self._targets.values()
 
-    def announced(self) -> list[records.TargetRecord]:
+    def target_records(self) -> list[records.TargetRecord]:
         """Returns the published records of all targets."""
         return [item.record for item in self._targets.values()]
 
@@ -241,13 +243,13 @@
 
     def announce(
         self, target: str, announcement: Announcement, default_slots: int
-    ) -> expression.Result[None, Refused]:
+    ) -> expression.Result[None, AnnouncementRefusal]:
         """Registers a target or renews its lease, or returns why not."""
         refusal = self._check(target, announcement)
         if refusal is not None:
             return expression.Error(refusal)
         known = self._targets.get(target)
-        health = known.record.health if known else records.Health.NORMAL
+        health = known.record.health if known else records.EjectionStatus.NORMAL
         record = self._record(target, announcement, default_slots, health)
         lease = datetime.timedelta(milliseconds=announcement.lease_ms)
         expires = self._clock.monotonic() + max(lease, MIN_LEASE)
@@ -258,7 +260,7 @@
                 record,
                 announcement.address,
                 expires,
-                slots.Slots(self._clock),
+                slots.TargetSlots(self._clock),
                 suspicion.SuspicionEstimator(self._clock.monotonic()),
                 announcement.sequence,
             )
@@ -267,8 +269,8 @@
         if _is_outdated(known, announcement):
             return expression.Ok(None)
         known.address = announcement.address
-        known.expires = expires
-        known.announced = announcement.sequence
+        known.lease_expires_at = expires
+        known.last_sequence = announcement.sequence
         if _differs(known.record, record):
             known.record = record
             self._record_change(target)
@@ -304,12 +306,12 @@
         return self.withdraw(target)
 
     def _remember_departure(self, target: str, incarnation: int) -> None:
-        expires_at = self._clock.monotonic() + DEPARTED_FOR
+        expires_at = self._clock.monotonic() + DEPARTURE_RETENTION
         self._departures[target] = _Departure(incarnation, expires_at)
-        if len(self._departures) > MAX_DEPARTED:
+        if len(self._departures) > MAX_REMEMBERED_DEPARTURES:
             del self._departures[next(iter(self._departures))]
 
-    def remember_left(self, target: str, incarnation: int) -> None:
+    def record_departure(self, target: str, incarnation: int) -> None:
         """Records a departure from an earlier incarnation of this node.
 
         The target may still withdraw itself; its other announcements from
@@ -328,7 +330,7 @@
         self._changes.append(records.TargetChange(record, is_removal=True))
         return True
 
-    def give_up(self, rival: records.TargetRecord) -> bool:
+    def release_if_moved(self, rival: records.TargetRecord) -> bool:
         """Removes a target if its announcement at another home node is later.
 
         Both home nodes use the same order of precedence, so exactly one of them
@@ -343,7 +345,7 @@
         if records.precedence(rival) < records.precedence(item.record):
             return False
         self._new_homes[rival.id] = rival.home
-        if len(self._new_homes) > MAX_MOVED:
+        if len(self._new_homes) > MAX_REMEMBERED_MOVES:
             del self._new_homes[next(iter(self._new_homes))]
         return self.withdraw(rival.id)
 
@@ -351,18 +353,22 @@
         """Returns the new home of a target that moved; empty if unknown."""
         return self._new_homes.get(target, "")
 
-    def expire(self) -> list[str]:
+    def remove_expired(self) -> list[str]:
         """Removes targets whose lease has expired; returns their ids."""
         self._detect_pause()
         now = self._clock.monotonic()
         expired = [
-            name for name, item in self._targets.items() if item.expires <= now
+            name
+            for name, item in self._targets.items()
+            if item.lease_expires_at <= now
         ]
         for name in expired:
             self.withdraw(name)
         return expired
 
-    def set_health(self, target: str, health: records.Health) -> None:
+    def set_ejection_status(
+        self, target: str, health: records.EjectionStatus
+    ) -> None:
         """Records a target's ejection status, as outlier detection sets it."""
         item = self._targets.get(target)
         if item is None or item.record.health is health:
@@ -372,32 +378,34 @@
 
     def _detect_pause(self) -> None:
         now = self._clock.monotonic()
-        if now - self._last_check_at > PAUSE_LIMIT:
+        if now - self._last_check_at > MAX_TICK_GAP:
             self._resumed_at = now
         self._last_check_at = now
 
-    def _check(self, target: str, announcement: Announcement) -> Refused | None:
+    def _check(
+        self, target: str, announcement: Announcement
+    ) -> AnnouncementRefusal | None:
         self._detect_pause()
         if self._is_stopping:
-            return Refused.STOPPING
+            return AnnouncementRefusal.STOPPING
         now = self._clock.monotonic()
         is_resuming = (
             self._resumed_at is not None
             and now - self._resumed_at < RESUME_GRACE
         )
         if is_resuming and self.get(target) is None:
-            return Refused.RESUMING
+            return AnnouncementRefusal.RESUMING
         known = self._targets.get(target)
         if known and known.record.target_incarnation > announcement.incarnation:
-            return Refused.OLDER_START
+            return AnnouncementRefusal.OLDER_INCARNATION
         if self._has_departed(target, announcement):
             # Without incarnation numbers a restarted target can't be
             # distinguished, so it may announce itself again.
             if announcement.incarnation:
-                return Refused.LEFT
+                return AnnouncementRefusal.DEPARTED
             del self._departures[target]
         if self._has_successor(target, announcement):
-            return Refused.OLDER_START
+            return AnnouncementRefusal.OLDER_INCARNATION
         return self._check_rival(target, announcement)
 
     def _has_departed(self, target: str, announcement: Announcement) -> bool:
@@ -441,15 +449,17 @@
 
     def _check_rival(
         self, target: str, announcement: Announcement
-    ) -> Refused | None:
+    ) -> AnnouncementRefusal | None:
         rival = self._find_rival(target)
         if rival is None or rival.home == self._home.name:
             return None
         if rival.target_incarnation > announcement.incarnation:
-            return Refused.OLDER_START
-        candidate = self._record(target, announcement, 1, records.Health.NORMAL)
+            return AnnouncementRefusal.OLDER_INCARNATION
+        candidate = self._record(
+            target, announcement, 1, records.EjectionStatus.NORMAL
+        )
         if records.precedence(rival) > records.precedence(candidate):
-            return Refused.MOVED
+            return AnnouncementRefusal.MOVED
         return None
 
     def _record(
@@ -457,7 +467,7 @@
         target: str,
         announcement: Announcement,
         default_slots: int,
-        health: records.Health,
+        health: records.EjectionStatus,
     ) -> records.TargetRecord:
         return records.TargetRecord(
             id=target,
@@ -487,7 +497,7 @@
     is_same_incarnation = (
         known.record.target_incarnation == announcement.incarnation
     )
-    return is_same_incarnation and announcement.sequence < known.announced
+    return is_same_incarnation and announcement.sequence < known.last_sequence
 
 
 def _differs(old: records.TargetRecord, new: records.TargetRecord) -> bool:
--- a/endivewind/targets/answers.py
+++ b/endivewind/targets/responses.py
@@ -14,40 +14,42 @@
 from endivewind import exchange
 from endivewind import headers
 from endivewind.targets import evidence
-from endivewind.targets import working
+from endivewind.targets import target_request
 
 log = logging.getLogger(__name__)
 
 # A response that has begun is aborted after this long without a byte.
-PROGRESS_LIMIT = datetime.timedelta(seconds=30)
+READ_TIMEOUT = datetime.timedelta(seconds=30)
 # Responses up to this size are buffered whole, so that a truncated one can
 # still be replaced by an error or by another target's response.
-WHOLE_ANSWER_BYTES = 65_536
+MAX_BUFFERED_BYTES = 65_536
 _HOP_BY_HOP = frozenset(name.encode() for name in headers.HOP_BY_HOP)
 _READ_SIZE = 65_536
 _MISDIRECTED_REQUEST = 421
 
-AnswerResult = expression.Result[exchange.Response, exchange.Refusal]
+ResponseResult = expression.Result[exchange.Response, exchange.Refusal]
 
 
-class TargetStream:
+class ResponseStream:
     """The unread remainder of a response; holds the slot until it ends."""
 
     def __init__(
-        self, request: working.HandOver, response: aiohttp.ClientResponse
+        self,
+        request: target_request.TargetRequest,
+        response: aiohttp.ClientResponse,
     ) -> None:
         self._request = request
         self._response = response
 
-    def __aiter__(self) -> "TargetStream":
+    def __aiter__(self) -> "ResponseStream":
         return self
 
     async def __anext__(self) -> bytes:
         try:
-            async with asyncio.timeout(PROGRESS_LIMIT.total_seconds()):
+            async with asyncio.timeout(READ_TIMEOUT.total_seconds()):
                 data = await self._response.content.read(_READ_SIZE)
         except (aiohttp.ClientError, OSError) as error:
-            self._close(evidence.Kind.LOST)
+            self._close(evidence.ResultKind.LOST)
             detail = str(error) or "response stalled"
             raise exchange.TruncatedResponseError(detail) from error
         if data:
@@ -57,17 +59,17 @@
 
     async def aclose(self) -> None:
         """Discards the unread bytes by closing the connection to the target."""
-        self._close(evidence.Kind.CANCELLED)
+        self._close(evidence.ResultKind.CANCELLED)
 
-    def _close(self, kind: evidence.Kind | None) -> None:
+    def _close(self, kind: evidence.ResultKind | None) -> None:
         # A connection with unread bytes of a response must not be reused.
         self._response.close()
-        self._request.end(kind)
+        self._request.finish(kind)
 
 
-async def read(
-    request: working.HandOver, response: aiohttp.ClientResponse
-) -> AnswerResult:
+async def read_response(
+    request: target_request.TargetRequest, response: aiohttp.ClientResponse
+) -> ResponseResult:
     """Reads the body of a response whose head has arrived.
 
     Returns:
@@ -81,7 +83,7 @@
         raise
     if is_complete:
         return expression.Ok(exchange.Response(response.status, pairs, body))
-    rest = TargetStream(request, response)
+    rest = ResponseStream(request, response)
     return expression.Ok(exchange.Response(response.status, pairs, body, rest))
 
 
@@ -97,14 +99,14 @@
       The bytes read, and whether they are the whole body.
     """
     length = response.content_length
-    if length is not None and length <= WHOLE_ANSWER_BYTES:
+    if length is not None and length <= MAX_BUFFERED_BYTES:
         return await response.read(), True
     if length is not None or "chunked" in _transfer_encoding(response):
         # The caller may need the chunks of a response as they arrive.
         return b"", False
     buffered = bytearray()
-    while len(buffered) <= WHOLE_ANSWER_BYTES:
-        async with asyncio.timeout(PROGRESS_LIMIT.total_seconds()):
+    while len(buffered) <= MAX_BUFFERED_BYTES:
+        async with asyncio.timeout(READ_TIMEOUT.total_seconds()):
             data = await response.content.read(_READ_SIZE)
         if not data:
             return bytes(buffered), True
@@ -116,7 +118,7 @@
     return response.headers.get("Transfer-Encoding", "").lower()
 
 
-async def read_away(response: aiohttp.ClientResponse) -> None:
+async def drain_response(response: aiohttp.ClientResponse) -> None:
     """Reads the rest of a response, so that its connection can be reused."""
     try:
         await response.read()
@@ -125,7 +127,7 @@
         response.close()
 
 
-def not_run_by_target(
+def target_refusal(
     response: aiohttp.ClientResponse, header_names: headers.HeaderNames
 ) -> exchange.Refusal | None:
     """Returns a refusal if the target declares that it did not execute it.
@@ -134,11 +136,11 @@
       None if the target may have executed the request.
     """
     if header_names.expected_target and response.status == _MISDIRECTED_REQUEST:
-        return exchange.not_run(
+        return exchange.not_run_refusal(
             exchange.Reason.WRONG_TARGET, "address belongs to another target"
         )
     if header_names.not_run and header_names.not_run in response.headers:
-        return exchange.not_run(
+        return exchange.not_run_refusal(
             exchange.Reason.TARGET_FULL,
             f"target rejected the request with status {response.status}",
         )
--- a/endivewind/targets/doubts.py
+++ b/endivewind/targets/silent_connections.py
@@ -7,10 +7,10 @@
 
 # Long enough to show whether the fault occurs on new connections, too; short
 # enough to limit the cost of connecting, about 1 ms per request.
-WINDOW = datetime.timedelta(seconds=60)
+FRESH_CONNECTIONS_DURATION = datetime.timedelta(seconds=60)
 
 
-class ConnectionDoubts:
+class SilentConnectionDetector:
     """Distinguishes silent connections from unresponsive targets.
 
     Load: steady requests over pooled connections. Harm: a device between home
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self._fresh_until: dict[str, datetime.timedelta] = {}
 
-    def fresh_only(self, target: str, now: datetime.timedelta) -> bool:
+    def requires_fresh(self, target: str, now: datetime.timedelta) -> bool:
         """Returns whether the target must not get pooled connections."""
         until = self._fresh_until.get(target)
         if until is None:
@@ -34,14 +34,14 @@
         del self._fresh_until[target]
         return False
 
-    def stalled(self, target: str, now: datetime.timedelta) -> bool:
+    def record_stall(self, target: str, now: datetime.timedelta) -> bool:
         """Records a time-out on a reused connection.
 
         Returns:
           Whether the time-out counts as the connection's fault and not as the
           target's: it does if no other one was recorded recently.
         """
-        if self.fresh_only(target, now):
+        if self.requires_fresh(target, now):
             return False
-        self._fresh_until[target] = now + WINDOW
+        self._fresh_until[target] = now + FRESH_CONNECTIONS_DURATION
         return True
--- a/endivewind/targets/slots.py
+++ b/endivewind/targets/slots.py
@@ -13,16 +13,16 @@
 # of all entry nodes; a short queue there keeps a slot from idling between a
 # refusal and the entry node's next attempt. A longer queue would delay requests
 # that another target could execute at once.
-QUEUE_PER_SLOT = 2
+QUEUE_LENGTH_PER_SLOT = 2
 
 
-class Slots:
+class TargetSlots:
     """Allocates the slots of one target in the order of the admission queue."""
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._clock = clock
         self._in_use = 0
-        self._queue = admission.ServiceQueue(0)
+        self._queue = admission.AdmissionQueue(0)
         self._futures: dict[admission.Waiter, asyncio.Future[None]] = {}
 
     @property
@@ -35,7 +35,7 @@
         """Number of requests running at the target or queued for it."""
         return self._in_use + len(self._futures)
 
-    async def take(self, slots: int, waiter: admission.Waiter) -> bool:
+    async def acquire(self, slots: int, waiter: admission.Waiter) -> bool:
         """Waits for a slot.
 
         Args:
@@ -49,7 +49,7 @@
         if self._in_use < slots and not self._futures:
             self._in_use += 1
             return True
-        self._queue.configure(QUEUE_PER_SLOT * slots)
+        self._queue.configure(QUEUE_LENGTH_PER_SLOT * slots)
         result = self._queue.offer(waiter, self._clock.monotonic())
         if isinstance(result, admission.Rejection):
             return False
@@ -57,7 +57,7 @@
             self._futures.pop(result).cancel()
         return await self._wait(waiter)
 
-    def free(self, slots: int) -> None:
+    def release(self, slots: int) -> None:
         """Releases a slot, which the first request in the queue gets."""
         self._in_use -= 1
         self._queue.record_completion(self._clock.monotonic())
@@ -94,7 +94,9 @@
         return future.done() and not future.cancelled()
 
 
-def waiter(priority: int, deadline: datetime.timedelta) -> admission.Waiter:
+def make_waiter(
+    priority: int, deadline: datetime.timedelta
+) -> admission.Waiter:
     """Returns a waiter without a workspace.
 
     Fairness between workspaces is up to the queues of the entry nodes.
--- a/endivewind/tests/callers/budgets_tests.py
+++ b/endivewind/tests/callers/budgets_tests.py
@@ -73,7 +73,7 @@
             retry_window_seconds=WINDOW_TICKS * TICK_INTERVAL.total_seconds(),
             floor_share=0.7,
         )
-        service = limits.applied_to(settings.objects.Service())
+        service = limits.apply_to(settings.objects.Service())
         self.configuration = store.ConfigurationStore()
         spec = service.model_dump(mode="json", exclude_defaults=True)
         self.configuration.apply(
@@ -114,7 +114,7 @@
 
     def _serve(self, node):
         now = self.clock.monotonic()
-        budget = node.budgets.of(SERVICE)
+        budget = node.budgets.for_service(SERVICE)
         for _ in range(self.rng.choice((0, 0, 1, 1, 2))):
             budget.record_request(now)
             self.request_counts[-1] += 1
@@ -128,10 +128,10 @@
     def _call(self, node, now):
         self.retry_counts[-1] += 1
         if not node.ticks_down:
-            node.budgets.of(SERVICE).charge(now)
+            node.budgets.for_service(SERVICE).charge(now)
 
     def _send_usages(self, node):
-        for usage in node.budgets.due():
+        for usage in node.budgets.due_updates():
             delay = self.rng.choice((0, 1))
             self._in_transit.append((delay, node.number, usage))
 
@@ -144,7 +144,7 @@
             for node in self.nodes:
                 lost = self.rng.random() < 0.05
                 if node.number != sender and not node.ticks_down and not lost:
-                    node.budgets.hear(f"n{sender}", usage)
+                    node.budgets.update_peer(f"n{sender}", usage)
 
     def max_excess(self):
         """Returns the maximum excess over the bound in any window.
@@ -201,7 +201,9 @@
         for _ in range(10):
             first.budgets.charge(SERVICE, 0.25)
 
-        count = first.budgets.of(SERVICE).counts(fleet.clock.monotonic())
+        count = first.budgets.for_service(SERVICE).counts(
+            fleet.clock.monotonic()
+        )
         self.assertEqual(2, count.retries)
 
     def test_loss_of_half_the_fleet_does_not_raise_limits(self):
@@ -215,13 +217,13 @@
         fleet = _Fleet(2, random.Random(1))
         first, second = fleet.nodes
         first.update_view(fleet.nodes)
-        budget = first.budgets.of(SERVICE)
-        first.budgets.hear("n1", _make_usage(10, 6))
+        budget = first.budgets.for_service(SERVICE)
+        first.budgets.update_peer("n1", _make_usage(10, 6))
         before = budget.spent_share(fleet.clock.monotonic())
         second.start()
         first.update_view(fleet.nodes)
 
-        first.budgets.hear("n1", _make_usage(0, 0))
+        first.budgets.update_peer("n1", _make_usage(0, 0))
 
         self.assertGreaterEqual(
             budget.spent_share(fleet.clock.monotonic()), before
@@ -230,7 +232,7 @@
 
 def _make_usage(request_count, retry_count):
     return peer_updates.RetryUsage(
-        SERVICE, budgets.retries.RequestCounts(request_count, retry_count)
+        SERVICE, budgets.retry_budget.RequestCounts(request_count, retry_count)
     )
 
 
--- /dev/null
+++ b/endivewind/tests/callers/entry_routes_tests.py
@@ -0,0 +1,78 @@
+"""Tests of telling callers' requests from calls of the local target."""
+
+import unittest
+
+from endivewind import clock as clocks
+from endivewind.callers import entry_routes
+
+
+class _LocalTarget:
+    def __init__(self):
+        self.has_active_work = False
+        self.possible_duplicate_share = 0.0
+
+
+class IngressRoutesTest(unittest.TestCase):
+    def setUp(self):
+        self.local_target = _LocalTarget()
+        self.clock = clocks.ManualClock()
+        self.routes = entry_routes.EntryRoutes(self.clock, self.local_target)
+
+    def test_calls_of_busy_target_are_not_callers_requests(self):
+        """Guards against too many retries to services that targets call.
+
+        Retries are limited to a share of callers' requests. Targets make calls
+        only while they are running a request.
+        """
+        self.local_target.has_active_work = True
+
+        self.assertFalse(self.routes.is_from_caller("venues", "/status/"))
+
+    def test_request_while_target_is_idle_is_a_callers(self):
+        """Later requests by the same route are callers' even if it is busy."""
+        self.assertTrue(self.routes.is_from_caller("riders", "/orders/"))
+        self.local_target.has_active_work = True
+
+        self.assertTrue(self.routes.is_from_caller("riders", "/orders/"))
+        self.assertFalse(self.routes.is_from_caller("riders", "/calls/"))
+
+    def test_retry_probability_is_share_of_retried_requests(self):
+        """The probability is zero for known routes of callers."""
+        self.routes.is_from_caller("riders", "/orders/")
+        self.local_target.has_active_work = True
+        self.local_target.possible_duplicate_share = 0.25
+
+        self.assertEqual(
+            0.25, self.routes.retry_probability("venues", "/status/")
+        )
+        self.assertEqual(
+            0.0, self.routes.retry_probability("riders", "/orders/")
+        )
+
+    def test_routes_are_learned_from_neighbours(self):
+        """Guards against a node that counts no request as a caller's.
+
+        If the target is busy from the start and never idle, the node learns no
+        routes by itself and could use only the reserve of its retry budget.
+        """
+        other_node = entry_routes.EntryRoutes(self.clock, _LocalTarget())
+        other_node._local_target.has_active_work = True
+        self.routes.is_from_caller("riders", "/orders/")
+        self.assertEqual((), self.routes.due_updates())
+        self.clock.advance(entry_routes.UPDATE_INTERVAL)
+
+        for route in self.routes.due_updates():
+            other_node.add_route(route)
+
+        self.assertTrue(other_node.is_from_caller("riders", "/orders/"))
+        self.assertFalse(other_node.is_from_caller("riders", "/calls/"))
+
+    def test_without_local_target_all_requests_are_callers(self):
+        routes = entry_routes.EntryRoutes(self.clock)
+
+        self.assertTrue(routes.is_from_caller("riders", "/orders/"))
+        self.assertEqual(0.0, routes.retry_probability("riders", "/orders/"))
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/endivewind/tests/callers/gateway_hedging_tests.py
+++ b/endivewind/tests/callers/gateway_hedging_tests.py
@@ -14,7 +14,7 @@
 from endivewind.config import store
 from endivewind.decisions import load_balancing
 from endivewind.nodes import view
-from endivewind.standins import virtual
+from endivewind.standins import virtual_loop
 from endivewind.tests import samples
 
 SERVICE = "riders"
@@ -45,14 +45,16 @@
     """One look-up at a service with four targets; its objective is 1 s."""
 
     def setUp(self):
-        self.loop = virtual.VirtualLoop()
+        self.loop = virtual_loop.VirtualLoop()
         self.addCleanup(self.loop.close)
-        clock = virtual.LoopClock(self.loop)
+        clock = virtual_loop.LoopClock(self.loop)
         fleet = view.FleetView()
         fleet.put_node(
             view.NodeRecord("node-a", 1, "192.0.2.1:1", "andina", "andina-a")
         )
-        targets = [samples.target(f"t{number}") for number in range(4)]
+        targets = [
+            samples.make_target_record(f"t{number}") for number in range(4)
+        ]
         fleet.put_home_state("node-a", 1, 1, targets)
         place = load_balancing.Locality("node-a", "andina", "andina-a")
         rng = random.Random(1)
@@ -72,7 +74,11 @@
     def send_request(self, *script, ticket="", attempts=2, cancel_after=None):
         """Returns the result and the seconds that it took."""
         self.dispatcher.script = script
-        repeat = objects.Repeat.NEVER if ticket else objects.Repeat.ALWAYS
+        repeat = (
+            objects.RepeatPolicy.NEVER
+            if ticket
+            else objects.RepeatPolicy.ALWAYS
+        )
         route = objects.Route(
             service=SERVICE, repeat=repeat, aim_ms=1000, attempts=attempts
         )
@@ -141,11 +147,11 @@
         If hedged requests used up the retry budget, the failed request could
         not be retried. So hedging stops when two fifths of it are spent.
         """
-        budget = self.gateway.budgets.of(SERVICE)
+        budget = self.gateway.budgets.for_service(SERVICE)
         now = datetime.timedelta(seconds=self.loop.time())
         for _ in range(20):
             budget.record_request(now)
-        while budget.spent_share(now) <= gateway.CHOSEN_SPENT:
+        while budget.spent_share(now) <= gateway.MAX_HEDGE_BUDGET_SHARE:
             self.assertTrue(budget.take(now))
 
         self.send_request((0.9, OK))
--- a/endivewind/tests/callers/gateway_retries_tests.py
+++ b/endivewind/tests/callers/gateway_retries_tests.py
@@ -14,7 +14,7 @@
 from endivewind.config import objects
 from endivewind.config import store
 from endivewind.decisions import load_balancing
-from endivewind.decisions import retries
+from endivewind.decisions import retry_budget
 from endivewind.nodes import view
 from endivewind.tests import samples
 
@@ -23,17 +23,21 @@
 OK = expression.Ok(exchange.Response(200, ()))
 FAILURE = expression.Ok(exchange.Response(500, ()))
 OVERLOADED = expression.Ok(exchange.Response(503, ()))
-LOST = expression.Error(exchange.outcome_unknown(exchange.Reason.TARGET_LOST))
+LOST = expression.Error(
+    exchange.unknown_outcome_refusal(exchange.Reason.TARGET_LOST)
+)
 BUSY = expression.Error(
-    exchange.not_run(
+    exchange.not_run_refusal(
         exchange.Reason.BUSY, retry_after=datetime.timedelta(seconds=1)
     )
 )
-TARGET_FULL = expression.Error(exchange.not_run(exchange.Reason.TARGET_FULL))
+TARGET_FULL = expression.Error(
+    exchange.not_run_refusal(exchange.Reason.TARGET_FULL)
+)
 
 
 def _record(number):
-    return samples.target(f"riders-{number}", sequence=number)
+    return samples.make_target_record(f"riders-{number}", sequence=number)
 
 
 class GatewayRetriesTest(unittest.IsolatedAsyncioTestCase):
@@ -74,7 +78,7 @@
             headers=(),
             service=SERVICE,
             workspace="w",
-            remaining=datetime.timedelta(seconds=5),
+            remaining_time=datetime.timedelta(seconds=5),
             ticket=ticket,
         )
         result = await self.gateway.serve(
@@ -101,8 +105,12 @@
         result, _ = await self.send_request([TARGET_FULL] * 3, "POST", "ticket")
 
         self.assertIs(exchange.Reason.TARGET_FULL, result.error.reason)
-        max_retry_after = placement.RETRY_SPREAD * placement.LEAST_RETRY
-        self.assertGreaterEqual(result.error.retry_after, placement.LEAST_RETRY)
+        max_retry_after = (
+            placement.RETRY_AFTER_SPREAD * placement.MIN_RETRY_AFTER
+        )
+        self.assertGreaterEqual(
+            result.error.retry_after, placement.MIN_RETRY_AFTER
+        )
         self.assertLessEqual(result.error.retry_after, max_retry_after)
 
     async def test_request_that_may_have_run_is_not_retried(self):
@@ -133,7 +141,7 @@
         attempt. The caller must get the result of the first one.
         """
         for first in (FAILURE, LOST):
-            with mock.patch.object(gateway, "MAX_PLACINGS", 3):
+            with mock.patch.object(gateway, "MAX_ATTEMPTS", 3):
                 result, called_targets = await self.send_request(
                     [first, BUSY, BUSY]
                 )
@@ -160,13 +168,13 @@
             attempt_count += len(called_targets)
 
         self.assertLessEqual(
-            attempt_count, 1.1 * requests + retries.DEFAULT_RESERVE
+            attempt_count, 1.1 * requests + retry_budget.DEFAULT_RESERVE
         )
 
     async def test_retry_after_has_jitter(self):
-        self.fleet.remove_home("node-a")
+        self.fleet.remove_home_targets("node-a")
         # Just after its start the node would wait for targets to be announced.
-        self.clock.advance(placement.SETTLING)
+        self.clock.advance(placement.DISCOVERY_TIME)
         retry_afters = set()
         for _ in range(50):
             result, _ = await self.send_request([])
@@ -176,9 +184,9 @@
         self.assertGreater(len(retry_afters), 40)
         self.assertTrue(
             all(
-                placement.LEAST_RETRY
+                placement.MIN_RETRY_AFTER
                 <= retry_after
-                <= placement.RETRY_SPREAD * placement.LEAST_RETRY
+                <= placement.RETRY_AFTER_SPREAD * placement.MIN_RETRY_AFTER
                 for retry_after in retry_afters
             )
         )
--- a/endivewind/tests/callers/gateway_tests.py
+++ b/endivewind/tests/callers/gateway_tests.py
@@ -12,7 +12,7 @@
 from endivewind import exchange
 from endivewind.callers import gateway
 from endivewind.callers import placement
-from endivewind.callers import routed
+from endivewind.callers import routed_request
 from endivewind.config import objects
 from endivewind.config import store
 from endivewind.decisions import load_balancing
@@ -45,7 +45,7 @@
 
     async def test_request_follows_target_to_new_home(self):
         moved = exchange.Refusal(
-            exchange.Outcome.NOT_RUN,
+            exchange.ExecutionOutcome.NOT_RUN,
             exchange.Reason.STALE_HOME,
             moved_to="new",
         )
@@ -58,10 +58,14 @@
 
     async def test_homes_that_name_each_other_exhaust_attempts(self):
         to_new = exchange.Refusal(
-            exchange.Outcome.NOT_RUN, exchange.Reason.STALE_HOME, moved_to="new"
+            exchange.ExecutionOutcome.NOT_RUN,
+            exchange.Reason.STALE_HOME,
+            moved_to="new",
         )
         to_old = exchange.Refusal(
-            exchange.Outcome.NOT_RUN, exchange.Reason.STALE_HOME, moved_to="old"
+            exchange.ExecutionOutcome.NOT_RUN,
+            exchange.Reason.STALE_HOME,
+            moved_to="old",
         )
         pool = _LinkPool(
             {"old": expression.Error(to_new), "new": expression.Error(to_old)}
@@ -69,8 +73,10 @@
 
         result = await _serve(pool)
 
-        self.assertEqual(exchange.Outcome.NOT_RUN, result.error.outcome)
-        self.assertEqual(gateway.MAX_PLACINGS, len(pool.sent))
+        self.assertEqual(
+            exchange.ExecutionOutcome.NOT_RUN, result.error.outcome
+        )
+        self.assertEqual(gateway.MAX_ATTEMPTS, len(pool.sent))
 
 
 class AbortTest(unittest.IsolatedAsyncioTestCase):
@@ -89,10 +95,10 @@
         task = asyncio.create_task(_send_request(self.gateway_under_test))
         await self.pool.reached.wait()
 
-        self.gateway_under_test.end_all()
+        self.gateway_under_test.abort_all()
 
         refusal = (await task).error
-        self.assertEqual(exchange.Outcome.UNKNOWN, refusal.outcome)
+        self.assertEqual(exchange.ExecutionOutcome.UNKNOWN, refusal.outcome)
         self.assertEqual(exchange.Reason.CUT_SHORT, refusal.reason)
 
     async def test_queued_request_was_not_run(self):
@@ -104,13 +110,15 @@
         )
         await asyncio.sleep(0)
 
-        self.gateway_under_test.end_all()
+        self.gateway_under_test.abort_all()
 
         refusal = (await queued_task).error
-        self.assertEqual(exchange.Outcome.NOT_RUN, refusal.outcome)
-        self.assertEqual(routed.END_RETRY, refusal.retry_after)
+        self.assertEqual(exchange.ExecutionOutcome.NOT_RUN, refusal.outcome)
+        self.assertEqual(
+            routed_request.SHUTDOWN_RETRY_AFTER, refusal.retry_after
+        )
         self.assertEqual(
-            exchange.Outcome.UNKNOWN, (await first_task).error.outcome
+            exchange.ExecutionOutcome.UNKNOWN, (await first_task).error.outcome
         )
         self.assertEqual(1, self.pool.forward_count)
 
@@ -118,7 +126,7 @@
         task = asyncio.create_task(_send_request(self.gateway_under_test))
         await self.pool.reached.wait()
 
-        self.gateway_under_test.end_all()
+        self.gateway_under_test.abort_all()
         task.cancel()
 
         with self.assertRaises(asyncio.CancelledError):
@@ -138,7 +146,7 @@
         await asyncio.Event().wait()
 
 
-async def _serve(pool: _LinkPool) -> gateway.AnswerResult:
+async def _serve(pool: _LinkPool) -> gateway.ResponseResult:
     return await _send_request(_gateway(pool))
 
 
@@ -163,7 +171,7 @@
 
 async def _send_request(
     gateway_under_test: gateway.Gateway,
-) -> gateway.AnswerResult:
+) -> gateway.ResponseResult:
     head = exchange.RequestHead(
         "r1", "GET", "/", (), "riders", "", datetime.timedelta(seconds=5)
     )
@@ -173,6 +181,6 @@
 
 
 def _record() -> records.TargetRecord:
-    return samples.target(
+    return samples.make_target_record(
         "t1", home="old", home_incarnation=7, zone="a", slots=1
     )
--- a/endivewind/tests/callers/pipelining_tests.py
+++ b/endivewind/tests/callers/pipelining_tests.py
@@ -17,17 +17,19 @@
 from endivewind import clock as clocks
 from endivewind import exchange
 from endivewind.callers import authorization
-from endivewind.callers import calls
+from endivewind.callers import caller_requests
 from endivewind.callers import connections
-from endivewind.callers import counts
 from endivewind.callers import listener
+from endivewind.callers import request_metrics
 from endivewind.callers import workspaces
 from endivewind.config import objects
 from endivewind.config import settings
 from endivewind.config import store
 
-LOOKUP_ROUTE = objects.Route(service="riders", repeat=objects.Repeat.ALWAYS)
-ORDER_ROUTE = objects.Route(service="riders", repeat=objects.Repeat.NEVER)
+LOOKUP_ROUTE = objects.Route(
+    service="riders", repeat=objects.RepeatPolicy.ALWAYS
+)
+ORDER_ROUTE = objects.Route(service="riders", repeat=objects.RepeatPolicy.NEVER)
 WAIT_SECONDS = 5
 LONG = 300_000
 
@@ -36,7 +38,7 @@
     """Routes by path; responds to a request when the test sets a response."""
 
     def __init__(self):
-        self.counts = counts.RequestCounts(clocks.SystemClock())
+        self.metrics = request_metrics.RequestMetrics(clocks.SystemClock())
         self.workspaces = workspaces.Workspaces(store.ConfigurationStore())
         self.started_paths = []
         self.cancelled_paths = []
@@ -49,7 +51,7 @@
             return None
         return ORDER_ROUTE if path.startswith("/order") else LOOKUP_ROUTE
 
-    def service_of(self, route):
+    def choose_service(self, route):
         return route.service
 
     def limits(self):
@@ -63,7 +65,7 @@
 
     async def serve(self, route, head, body):
         self.started_paths.append(head.path)
-        self.remaining[head.path] = head.remaining
+        self.remaining[head.path] = head.remaining_time
         await self._notify()
         try:
             return await self._answers[head.path]
@@ -83,7 +85,7 @@
         self._answers[path].set_result(expression.Ok(response))
 
     def refuse(self, path, reason):
-        refusal = exchange.not_run(reason)
+        refusal = exchange.not_run_refusal(reason)
         self._answers[path].set_result(expression.Error(refusal))
 
     async def wait_for(self, condition):
@@ -161,13 +163,15 @@
             self.gateway,
             None,
             settings.Limits(),
-            authorization.Doubts(lambda: None),
-            calls.Dialect(tickets=False),
+            authorization.ConfigurationStatus(lambda: None),
+            caller_requests.CallerConventions(uses_tickets=False),
         )
 
     @contextlib.asynccontextmanager
     async def caller(self):
-        runner = web.ServerRunner(self.listener.server(), shutdown_timeout=1)
+        runner = web.ServerRunner(
+            self.listener.make_server(), shutdown_timeout=1
+        )
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", 0).start()
         reader, writer = await asyncio.open_connection(*runner.addresses[0])
@@ -246,7 +250,7 @@
         """Hundreds of pipelined requests on a connection can't fill a node."""
         paths = [f"/{number}" for number in range(30)]
         self.caller.send(*paths)
-        max_started = 1 + connections.MAX_AHEAD
+        max_started = 1 + connections.MAX_EARLY_REQUESTS
         await self.gateway.wait_for(
             lambda: len(self.gateway.started_paths) == max_started
         )
@@ -285,7 +289,7 @@
         )
         async with asyncio.timeout(WAIT_SECONDS):
             await stream.closed.wait()
-            await self.served.listener.drained()
+            await self.served.listener.wait_drained()
 
         self.assertEqual({"/1", "/2"}, set(self.gateway.cancelled_paths))
         self.assertEqual(0, stream.read_count)
@@ -356,7 +360,7 @@
         status, _, is_last = await self.caller.receive()
         self.assertEqual((503, True), (status, is_last))
         self.assertTrue(await self.caller.is_closed())
-        await self.served.listener.drained()
+        await self.served.listener.wait_drained()
         self.assertEqual(["/1", "/2"], self.gateway.started_paths)
 
     async def test_refusal_by_stopping_home_keeps_connection_open(self):
--- a/endivewind/tests/callers/placement_tests.py
+++ b/endivewind/tests/callers/placement_tests.py
@@ -21,8 +21,10 @@
 FLOOR_SLOTS = 12
 
 
-def _record(number, health=records.Health.NORMAL):
-    return samples.target(f"riders-{number}", sequence=number, health=health)
+def _record(number, health=records.EjectionStatus.NORMAL):
+    return samples.make_target_record(
+        f"riders-{number}", sequence=number, health=health
+    )
 
 
 class PlacementTest(unittest.TestCase):
@@ -50,19 +52,21 @@
         counts = collections.Counter()
         while True:
             target = self.placement.choose(
-                SERVICE, load_balancing.Demand(False)
+                SERVICE, load_balancing.RequestConstraints(False)
             )
             if target is None:
                 return counts
-            self.placement.started(target)
+            self.placement.record_start(target)
             counts[target.id] += 1
 
     def test_readmitted_target_starts_with_one_slot(self):
         """An ejected target becomes normal again under full load."""
         targets = [_record(number) for number in range(8)]
-        ejected = dataclasses.replace(targets[0], health=records.Health.EJECTED)
+        ejected = dataclasses.replace(
+            targets[0], health=records.EjectionStatus.EJECTED
+        )
         self.put_targets([ejected, *targets[1:]])
-        self.placement.choose(SERVICE, load_balancing.Demand(False))
+        self.placement.choose(SERVICE, load_balancing.RequestConstraints(False))
 
         self.put_targets(targets)
         first = self.fill()
@@ -83,12 +87,14 @@
         self.put_targets(targets)
         for reason in (exchange.Reason.STALE_HOME, exchange.Reason.STOPPING):
             with self.subTest(reason):
-                refused = expression.Error(exchange.not_run(reason))
-                self.placement.started(targets[0])
-                self.placement.ended(targets[0], refused, datetime.timedelta())
+                refused = expression.Error(exchange.not_run_refusal(reason))
+                self.placement.record_start(targets[0])
+                self.placement.record_end(
+                    targets[0], refused, datetime.timedelta()
+                )
 
                 chosen = {self.choose_target() for _ in range(20)}
-                self.clock.advance(placement.SHED_REST)
+                self.clock.advance(placement.LONG_COOLDOWN)
                 later = {self.choose_target() for _ in range(20)}
 
                 self.assertEqual({"riders-1"}, chosen)
@@ -99,12 +105,12 @@
         targets = [_record(number) for number in range(2)]
         self.put_targets(targets)
         moved = exchange.Refusal(
-            exchange.Outcome.NOT_RUN,
+            exchange.ExecutionOutcome.NOT_RUN,
             exchange.Reason.STALE_HOME,
             moved_to="node-b",
         )
-        self.placement.started(targets[0])
-        self.placement.ended(
+        self.placement.record_start(targets[0])
+        self.placement.record_end(
             targets[0], expression.Error(moved), datetime.timedelta()
         )
 
@@ -114,7 +120,9 @@
 
     def choose_target(self):
         """Returns the id of the target chosen for a request."""
-        return self.placement.choose(SERVICE, load_balancing.Demand(False)).id
+        return self.placement.choose(
+            SERVICE, load_balancing.RequestConstraints(False)
+        ).id
 
     def test_capacity_floor_readmits_without_slow_start(self):
         """Most targets are ejected at once, and the floor readmits some.
@@ -123,16 +131,16 @@
         """
         targets = [_record(number) for number in range(6)]
         self.put_targets(targets)
-        self.placement.choose(SERVICE, load_balancing.Demand(False))
+        self.placement.choose(SERVICE, load_balancing.RequestConstraints(False))
 
-        ejected = [_record(n, records.Health.EJECTED) for n in range(4)]
+        ejected = [_record(n, records.EjectionStatus.EJECTED) for n in range(4)]
         self.put_targets([*ejected, *targets[4:]])
 
         self.assertEqual(FLOOR_SLOTS, self.fill().total())
 
     def test_restart_of_most_targets_skips_slow_start(self):
         self.put_targets([_record(number) for number in range(2)])
-        self.placement.choose(SERVICE, load_balancing.Demand(False))
+        self.placement.choose(SERVICE, load_balancing.RequestConstraints(False))
 
         self.put_targets([_record(number) for number in range(8)])
 
@@ -162,10 +170,10 @@
 
     def complete_request(self, target, seconds):
         """Records a successful request to a target."""
-        self.placement.started(target)
+        self.placement.record_start(target)
         response = expression.Ok(exchange.Response(200, ()))
         latency = datetime.timedelta(seconds=seconds)
-        self.placement.ended(target, response, latency)
+        self.placement.record_end(target, response, latency)
 
     def test_draining_target_gets_no_requests(self):
         draining = dataclasses.replace(_record(0), state=records.State.DRAINING)
@@ -176,7 +184,7 @@
     def test_load_survives_change_of_targets(self):
         self.put_targets([_record(0)])
         self.fill()
-        self.placement.ended(_record(0), None, datetime.timedelta())
+        self.placement.record_end(_record(0), None, datetime.timedelta())
 
         self.put_targets([_record(0), _record(1)])
 
--- a/endivewind/tests/callers/request_queues_tests.py
+++ b/endivewind/tests/callers/request_queues_tests.py
@@ -8,7 +8,7 @@
 from endivewind import clock as clocks
 from endivewind import exchange
 from endivewind.callers import placement
-from endivewind.callers import waiting
+from endivewind.callers import request_queues
 from endivewind.config import objects
 from endivewind.decisions import admission
 from endivewind.decisions import load_balancing
@@ -36,7 +36,7 @@
             clock,
             random.Random(1),
         )
-        self.queues = waiting.WaitingRoom(
+        self.queues = request_queues.RequestQueues(
             self.placement, lambda service: 3, clock
         )
 
@@ -44,11 +44,14 @@
         self, workspace="a", priority=objects.Priority.NORMAL, excluded=()
     ):
         route = objects.Route(service=SERVICE, priority=priority)
-        request = waiting.Claim(
+        request = request_queues.SlotRequest(
             SERVICE,
-            load_balancing.Demand(True, frozenset(excluded)),
+            load_balancing.RequestConstraints(True, frozenset(excluded)),
             admission.Waiter(
-                workspace, 1, waiting.level(route), DISTANT_DEADLINE
+                workspace,
+                1,
+                request_queues.queue_priority(route),
+                DISTANT_DEADLINE,
             ),
             0,
         )
@@ -59,8 +62,8 @@
             await asyncio.sleep(0)
 
     def end_request(self):
-        self.placement.ended(_record(), None, datetime.timedelta())
-        self.queues.ended(SERVICE)
+        self.placement.record_end(_record(), None, datetime.timedelta())
+        self.queues.record_end(SERVICE)
 
     async def test_freed_slot_goes_to_highest_priority(self):
         running = [self.place_request() for _ in range(2)]
@@ -84,8 +87,8 @@
 
         error = refused_task.result().error
         self.assertIs(exchange.Reason.BUSY, error.reason)
-        self.assertIs(exchange.Outcome.NOT_RUN, error.outcome)
-        self.assertGreaterEqual(error.retry_after, placement.LEAST_RETRY)
+        self.assertIs(exchange.ExecutionOutcome.NOT_RUN, error.outcome)
+        self.assertGreaterEqual(error.retry_after, placement.MIN_RETRY_AFTER)
         for task in waiters:
             task.cancel()
 
@@ -120,4 +123,4 @@
 
 
 def _record():
-    return samples.target("riders-1", slots=2)
+    return samples.make_target_record("riders-1", slots=2)
--- a/endivewind/tests/callers/starting_tests.py
+++ b/endivewind/tests/callers/starting_tests.py
@@ -11,12 +11,12 @@
 
 from endivewind import exchange
 from endivewind.callers import authorization
-from endivewind.callers import calls
+from endivewind.callers import caller_requests
 from endivewind.callers import listener
 from endivewind.callers import workspaces
 from endivewind.config import settings
 from endivewind.config import store
-from endivewind.standins import virtual
+from endivewind.standins import virtual_loop
 
 PATH = "/orders/"
 MISSING_CONFIGURATION = "no configuration yet"
@@ -24,7 +24,7 @@
 
 class StartupTest(unittest.TestCase):
     def setUp(self):
-        self.loop = virtual.VirtualLoop()
+        self.loop = virtual_loop.VirtualLoop()
         self.addCleanup(self.loop.close)
         self.route = None
         self.missing = MISSING_CONFIGURATION
@@ -38,7 +38,7 @@
             gateway,
             mock.Mock(),
             settings.Limits(),
-            authorization.Doubts(lambda: self.missing),
+            authorization.ConfigurationStatus(lambda: self.missing),
         )
 
     def send_request_at(self, time):
@@ -52,8 +52,10 @@
             headers=headers, raw_headers=(), method="GET", rel_url=PATH
         )
         request.raw_path = request.path = request.path_qs = PATH
-        call = calls.Call(request, calls.Dialect())
-        await self.listener._settle(call)
+        call = caller_requests.CallerRequest(
+            request, caller_requests.CallerConventions()
+        )
+        await self.listener._wait_for_configuration(call)
         waited = asyncio.get_running_loop().time() - time
         refusal = None
         if self.route is None:
--- a/endivewind/tests/callers/tickets_tests.py
+++ b/endivewind/tests/callers/tickets_tests.py
@@ -8,7 +8,7 @@
 import expression
 
 from endivewind import exchange
-from endivewind.callers import ticket_book
+from endivewind.callers import ticket_store
 from endivewind.callers import tickets
 
 SECOND = datetime.timedelta(seconds=1)
@@ -32,7 +32,7 @@
         "headers": (),
         "service": "ledger",
         "workspace": "boat-1",
-        "remaining": 5 * SECOND,
+        "remaining_time": 5 * SECOND,
     }
     return exchange.RequestHead(**{**fields, **changes})
 
@@ -101,15 +101,15 @@
 
     def setUp(self):
         self.issuer = issuer()
-        self.store = ticket_book.TicketBook()
+        self.store = ticket_store.TicketStore()
         self.ticket = self.issuer.issue("boat-1", NOW)
 
     def claim(self, after=SECOND, fingerprint=b"m", ticket=None):
         return self.store.claim(ticket or self.ticket, fingerprint, NOW + after)
 
     def test_first_send_starts_and_next_joins(self):
-        self.assertEqual(ticket_book.Step.START, self.claim().ok)
-        self.assertEqual(ticket_book.Step.JOIN, self.claim().ok)
+        self.assertEqual(ticket_store.ClaimAction.START, self.claim().ok)
+        self.assertEqual(ticket_store.ClaimAction.JOIN, self.claim().ok)
 
     def test_finished_ticket_returns_kept_response(self):
         answer = exchange.Response(201, (), b"paid")
@@ -124,14 +124,14 @@
         The caller got "not run" and resends the payout with a new key. Then a
         delayed copy of the first send arrives and must not start.
         """
-        refusal = exchange.not_run(exchange.Reason.NO_TARGET)
+        refusal = exchange.not_run_refusal(exchange.Reason.NO_TARGET)
         self.claim()
         self.store.finish(self.ticket, expression.Error(refusal))
 
         self.assertEqual(refusal, self.claim().error)
 
     def test_unknown_is_final(self):
-        refusal = exchange.outcome_unknown(exchange.Reason.TARGET_LOST)
+        refusal = exchange.unknown_outcome_refusal(exchange.Reason.TARGET_LOST)
         self.claim()
         self.store.finish(self.ticket, expression.Error(refusal))
         self.store.finish(
@@ -149,14 +149,14 @@
         finished = self.claim(fingerprint=b"other").error
 
         self.assertEqual(exchange.Reason.TICKET_REUSED, running.reason)
-        self.assertEqual(exchange.Outcome.UNKNOWN, running.outcome)
-        self.assertEqual(exchange.Outcome.RAN, finished.outcome)
+        self.assertEqual(exchange.ExecutionOutcome.UNKNOWN, running.outcome)
+        self.assertEqual(exchange.ExecutionOutcome.RAN, finished.outcome)
 
     def test_ticket_unused_for_too_long_does_not_start(self):
-        result = self.claim(after=ticket_book.FIRST_USE).error
+        result = self.claim(after=ticket_store.FIRST_USE_TIMEOUT).error
 
         self.assertEqual(exchange.Reason.TICKET_EXPIRED, result.reason)
-        self.assertEqual(exchange.Outcome.NOT_RUN, result.outcome)
+        self.assertEqual(exchange.ExecutionOutcome.NOT_RUN, result.outcome)
 
     def test_outcome_is_unknown_after_retention(self):
         self.claim()
@@ -164,18 +164,18 @@
             self.ticket, expression.Ok(exchange.Response(200, ()))
         )
 
-        result = self.claim(after=SECOND + ticket_book.RETENTION).error
+        result = self.claim(after=SECOND + ticket_store.RETENTION).error
 
-        self.assertEqual(exchange.Outcome.UNKNOWN, result.outcome)
+        self.assertEqual(exchange.ExecutionOutcome.UNKNOWN, result.outcome)
         self.assertEqual(0, self.store.count)
         self.assertEqual(0, self.store.size)
 
     def test_record_of_running_request_is_kept_past_retention(self):
         self.claim()
 
-        result = self.claim(after=SECOND + ticket_book.RETENTION)
+        result = self.claim(after=SECOND + ticket_store.RETENTION)
 
-        self.assertEqual(ticket_book.Step.JOIN, result.ok)
+        self.assertEqual(ticket_store.ClaimAction.JOIN, result.ok)
 
     def test_ticket_refused_by_full_store_never_starts(self):
         """Guards against a request that runs after it was refused as "not run".
@@ -183,23 +183,27 @@
         The store is full and has no room to record the refusal. Later it has
         room again, and a delayed copy of the refused send arrives.
         """
-        self.store = ticket_book.TicketBook(capacity=ticket_book.RECORD_BYTES)
+        self.store = ticket_store.TicketStore(
+            capacity=ticket_store.RECORD_BYTES
+        )
         refused = self.issuer.issue("boat-1", NOW + SECOND)
         self.claim()
         self.store.finish(
             self.ticket, expression.Ok(exchange.Response(200, ()))
         )
         full = self.claim(after=3 * SECOND, ticket=refused).error
-        self.claim(after=SECOND + ticket_book.RETENTION)
-        later = self.issuer.issue("boat-1", NOW + ticket_book.RETENTION)
+        self.claim(after=SECOND + ticket_store.RETENTION)
+        later = self.issuer.issue("boat-1", NOW + ticket_store.RETENTION)
 
-        copy = self.claim(after=ticket_book.FIRST_USE, ticket=refused).error
-        new = self.claim(after=ticket_book.RETENTION + SECOND, ticket=later)
+        copy = self.claim(
+            after=ticket_store.FIRST_USE_TIMEOUT, ticket=refused
+        ).error
+        new = self.claim(after=ticket_store.RETENTION + SECOND, ticket=later)
 
         self.assertEqual(exchange.Reason.BUSY, full.reason)
-        self.assertEqual(exchange.Outcome.NOT_RUN, full.outcome)
-        self.assertEqual(exchange.Outcome.NOT_RUN, copy.outcome)
-        self.assertEqual(ticket_book.Step.START, new.ok)
+        self.assertEqual(exchange.ExecutionOutcome.NOT_RUN, full.outcome)
+        self.assertEqual(exchange.ExecutionOutcome.NOT_RUN, copy.outcome)
+        self.assertEqual(ticket_store.ClaimAction.START, new.ok)
 
     def test_closed_store_returns_results_but_starts_nothing(self):
         answer = exchange.Response(201, (), b"paid")
@@ -211,22 +215,26 @@
         self.assertEqual(answer, self.claim().ok)
         refused = self.claim(ticket=other).error
         self.assertEqual(exchange.Reason.STOPPING, refused.reason)
-        self.assertEqual(exchange.Outcome.NOT_RUN, refused.outcome)
+        self.assertEqual(exchange.ExecutionOutcome.NOT_RUN, refused.outcome)
 
     def test_outcome_is_ran_if_response_is_too_large(self):
-        self.store = ticket_book.TicketBook(kept_answer_bytes=3)
+        self.store = ticket_store.TicketStore(kept_answer_bytes=3)
         self.claim()
         self.store.finish(
             self.ticket, expression.Ok(exchange.Response(200, (), b"four"))
         )
 
-        self.assertEqual(exchange.Outcome.RAN, self.claim().error.outcome)
+        self.assertEqual(
+            exchange.ExecutionOutcome.RAN, self.claim().error.outcome
+        )
 
     def test_records_use_no_more_memory_than_estimated(self):
         def refused(nonce):
             detail = "x" * 100 + nonce
             return expression.Error(
-                exchange.outcome_unknown(exchange.Reason.TARGET_LOST, detail)
+                exchange.unknown_outcome_refusal(
+                    exchange.Reason.TARGET_LOST, detail
+                )
             )
 
         def answered(nonce):
@@ -239,7 +247,7 @@
 
         for result in (refused, answered):
             with self.subTest(result.__name__):
-                self.store = ticket_book.TicketBook()
+                self.store = ticket_store.TicketStore()
                 used_bytes = _allocated_bytes(
                     lambda make_result=result: self._fill_store(make_result)
                 )
--- a/endivewind/tests/callers/workspaces_tests.py
+++ b/endivewind/tests/callers/workspaces_tests.py
@@ -7,17 +7,17 @@
 
 from endivewind import exchange
 from endivewind.callers import authorization
-from endivewind.callers import calls
+from endivewind.callers import caller_requests
 from endivewind.callers import listener
 from endivewind.callers import problems
-from endivewind.callers import waiting
+from endivewind.callers import request_queues
 from endivewind.callers import workspaces
 from endivewind.config import caller_keys
 from endivewind.config import objects
 from endivewind.config import settings
 from endivewind.config import store
 from endivewind.platform import names
-from endivewind.standins import virtual
+from endivewind.standins import virtual_loop
 
 KEY = "gjqnirth5mgjy5rcpihh"
 OTHER_KEY = "acruddedev3nax7u27gx"
@@ -54,14 +54,14 @@
         self.workspaces.configure(store.DOCUMENT, "main")
 
     def test_no_key_is_required_before_first_key_exists(self):
-        self.assertFalse(self.workspaces.have_keys)
+        self.assertFalse(self.workspaces.requires_keys)
 
     def test_key_identifies_workspace(self):
         self.apply_keys(1, {"crew": KEY, "venue": OTHER_KEY})
 
-        self.assertEqual("crew", self.workspaces.holder(f"Bearer {KEY}"))
+        self.assertEqual("crew", self.workspaces.authenticate(f"Bearer {KEY}"))
         self.assertEqual(
-            "venue", self.workspaces.holder(f"bearer  {OTHER_KEY} ")
+            "venue", self.workspaces.authenticate(f"bearer  {OTHER_KEY} ")
         )
 
     def test_invalid_header_identifies_no_workspace(self):
@@ -76,22 +76,24 @@
             "Bearer x",
         ):
             with self.subTest(header):
-                self.assertEqual("", self.workspaces.holder(header))
+                self.assertEqual("", self.workspaces.authenticate(header))
 
     def test_revoked_key_is_invalid(self):
         """Guards against a key that is still valid after it was revoked."""
         self.apply_keys(1, {"crew": KEY, "venue": OTHER_KEY})
         self.apply_keys(2, {"venue": OTHER_KEY})
 
-        self.assertEqual("", self.workspaces.holder(f"Bearer {KEY}"))
+        self.assertEqual("", self.workspaces.authenticate(f"Bearer {KEY}"))
         self.assertIsNone(self.workspaces.get("crew"))
-        self.assertEqual("venue", self.workspaces.holder(f"Bearer {OTHER_KEY}"))
+        self.assertEqual(
+            "venue", self.workspaces.authenticate(f"Bearer {OTHER_KEY}")
+        )
 
     def test_key_can_move_to_another_workspace(self):
         self.apply_keys(1, {"crew": KEY, "venue": OTHER_KEY})
         self.apply_keys(2, {"venue": KEY})
 
-        self.assertEqual("venue", self.workspaces.holder(f"Bearer {KEY}"))
+        self.assertEqual("venue", self.workspaces.authenticate(f"Bearer {KEY}"))
 
     def test_keys_are_still_required_after_last_is_revoked(self):
         """Guards against a fleet without authentication."""
@@ -101,8 +103,8 @@
         self.store.apply(store.DOCUMENT, "main", 2, configuration)
         self.workspaces.configure(store.DOCUMENT, "main")
 
-        self.assertTrue(self.workspaces.have_keys)
-        self.assertEqual("", self.workspaces.holder(f"Bearer {KEY}"))
+        self.assertTrue(self.workspaces.requires_keys)
+        self.assertEqual("", self.workspaces.authenticate(f"Bearer {KEY}"))
 
     def test_keys_are_not_stored(self):
         """Guards against keys in memory dumps and logs."""
@@ -116,7 +118,7 @@
     """The entry node serves requests with a valid key only."""
 
     def setUp(self):
-        self.loop = virtual.VirtualLoop()
+        self.loop = virtual_loop.VirtualLoop()
         self.addCleanup(self.loop.close)
         self.store = store.ConfigurationStore()
         self.workspaces = workspaces.Workspaces(self.store)
@@ -124,13 +126,15 @@
         self.route = ROUTE
         gateway = mock.Mock()
         gateway.route = lambda host, path, workspace: self.route
-        gateway.service_of = lambda route: route.service
+        gateway.choose_service = lambda route: route.service
         gateway.timeout = lambda route: None
         gateway.workspaces = self.workspaces
         gateway.serve = self.serve
         self.heads = []
         self.is_proved = True
-        self.conventions = calls.Dialect(names.HEADERS, tickets=False)
+        self.conventions = caller_requests.CallerConventions(
+            names.HEADERS, uses_tickets=False
+        )
         self.listener = self.loop.run_until_complete(self.start(gateway))
         self.configure()
 
@@ -144,7 +148,9 @@
             gateway,
             mock.Mock(),
             settings.Limits(),
-            authorization.Doubts(lambda: self.missing, lambda: self.is_proved),
+            authorization.ConfigurationStatus(
+                lambda: self.missing, lambda: self.is_proved
+            ),
             self.conventions,
         )
 
@@ -162,11 +168,11 @@
             method="GET",
             raw_path="/a",
         )
-        call = calls.Call(request, self.conventions)
-        await self.listener._settle(call)
+        call = caller_requests.CallerRequest(request, self.conventions)
+        await self.listener._wait_for_configuration(call)
         refusal = self.listener._admit(call)
         if refusal is None:
-            await self.listener._pass_on(call)
+            await self.listener._forward(call)
         return refusal
 
     def run_request(self, **fields):
@@ -196,7 +202,9 @@
 
         self.run_request(Authorization=f"Bearer {KEY}")
 
-        first = waiting.level(objects.Route(service="riders", rank=0))
+        first = request_queues.queue_priority(
+            objects.Route(service="riders", rank=0)
+        )
         self.assertEqual(first, self.heads[0].queue_priority)
 
     def test_missing_or_unknown_key_is_refused(self):
@@ -206,7 +214,9 @@
                 refusal = self.run_request(**fields)
 
                 self.assertEqual(401, problems.status(refusal))
-                self.assertEqual(exchange.Outcome.NOT_RUN, refusal.outcome)
+                self.assertEqual(
+                    exchange.ExecutionOutcome.NOT_RUN, refusal.outcome
+                )
                 self.assertIsNone(refusal.retry_after)
         self.assertEqual([], self.heads)
 
@@ -237,7 +247,7 @@
         refusal = self.run_request(Authorization=f"Bearer {KEY}")
 
         self.assertEqual(503, problems.status(refusal))
-        self.assertEqual(authorization.UNPROVED_RETRY, refusal.retry_after)
+        self.assertEqual(authorization.STALE_RETRY_AFTER, refusal.retry_after)
         self.route = ANONYMOUS_ROUTE
         self.assertIsNone(self.run_request())
 
--- a/endivewind/tests/commands/bench_control_tests.py
+++ b/endivewind/tests/commands/bench_control_tests.py
@@ -12,33 +12,43 @@
 
 
 def _report(cpu=1.0, rss=80.0, gossip=300.0):
-    load = bench_control.Load(cpu, rss, gossip, 500.0, 3200.0)
-    return bench_control.Report(50, 800, 1.0, load, 0.5)
+    load = bench_control.NodeLoad(cpu, rss, gossip, 500.0, 3200.0)
+    return bench_control.SizeReport(50, 800, 1.0, load, 0.5)
 
 
 class CompareTest(unittest.TestCase):
     """Comparison with a page of one row, and fitted slopes."""
 
     def test_equal_figures_are_no_difference(self):
-        self.assertEqual([], bench_control.compare(PAGE, [_report()]))
+        self.assertEqual([], bench_control.find_differences(PAGE, [_report()]))
 
     def test_each_difference_is_reported(self):
-        found = bench_control.compare(PAGE, [_report(2.0, 95.0, 3000.0)])
+        found = bench_control.find_differences(
+            PAGE, [_report(2.0, 95.0, 3000.0)]
+        )
         self.assertEqual(3, len(found))
         self.assertIn("cpu: page 1.0, measured 2.00", found[0])
 
     def test_missing_row_is_reported(self):
-        found = bench_control.compare("nothing", [_report()])
+        found = bench_control.find_differences("nothing", [_report()])
         self.assertEqual(["the page has no row for (50, 800)"], found)
 
     def test_slopes_are_linear_in_number_of_nodes(self):
-        small = bench_control.Report(
-            10, 160, 1.0, bench_control.Load(1.0, 50.0, 100.0, 0.0, 0.0), 0.5
+        small = bench_control.SizeReport(
+            10,
+            160,
+            1.0,
+            bench_control.NodeLoad(1.0, 50.0, 100.0, 0.0, 0.0),
+            0.5,
         )
-        large = bench_control.Report(
-            110, 1760, 1.0, bench_control.Load(2.0, 60.0, 100.0, 0.0, 0.0), 0.5
+        large = bench_control.SizeReport(
+            110,
+            1760,
+            1.0,
+            bench_control.NodeLoad(2.0, 60.0, 100.0, 0.0, 0.0),
+            0.5,
         )
-        found = bench_control.slopes([small, large])
+        found = bench_control.fit_slopes([small, large])
         self.assertEqual({"at_0": 49.0, "per_node": 0.1}, found["rss_mb"])
         self.assertEqual(0.01, found["cpu_percent"]["per_node"])
 
--- a/endivewind/tests/commands/bench_options_tests.py
+++ b/endivewind/tests/commands/bench_options_tests.py
@@ -16,7 +16,7 @@
 
     def seeds(self, text):
         with flagsaver.flagsaver(seeds=text):
-            return list(bench_options.seeds("2"))
+            return list(bench_options.parse_seeds("2"))
 
     def test_count_range_and_default(self):
         self.assertEqual([1, 2, 3], self.seeds("3"))
--- a/endivewind/tests/commands/bench_overhead_tests.py
+++ b/endivewind/tests/commands/bench_overhead_tests.py
@@ -3,7 +3,7 @@
 import unittest
 
 from endivewind.commands import bench_overhead as bench
-from endivewind.standins import load
+from endivewind.standins import load_generator
 
 
 def _figures(**across) -> dict[str, dict]:
@@ -19,12 +19,12 @@
         bench.ONE_HOP: path(2.0, 4000),
         bench.TWO_HOPS: path(3.0, 3000),
         bench.AT_HOME: path(2.0, 3200),
-        bench.ACROSS: {**path(3.0, 2400), **across},
+        bench.ACROSS_NODES: {**path(3.0, 2400), **across},
     }
 
 
 def _missed(figures) -> set[str]:
-    goals = bench.judge(figures)
+    goals = bench.check_goals(figures)
     return {name for name, goal in goals.items() if not goal["reached"]}
 
 
@@ -57,8 +57,8 @@
     """Percentiles of latency samples."""
 
     def test_percentile_is_one_of_the_samples(self):
-        samples = load.Samples([n / 1000 for n in range(100, 0, -1)])
+        samples = load_generator.Samples([n / 1000 for n in range(100, 0, -1)])
 
-        self.assertAlmostEqual(99, samples.percentile_ms(99))
-        self.assertAlmostEqual(50, samples.percentile_ms(50))
-        self.assertAlmostEqual(1, samples.percentile_ms(0.1))
+        self.assertAlmostEqual(99, samples.latency_percentile_ms(99))
+        self.assertAlmostEqual(50, samples.latency_percentile_ms(50))
+        self.assertAlmostEqual(1, samples.latency_percentile_ms(0.1))
--- a/endivewind/tests/commands/cli_tests.py
+++ b/endivewind/tests/commands/cli_tests.py
@@ -14,16 +14,16 @@
 from absl.testing import flagsaver
 
 from endivewind.commands import bench
+from endivewind.commands import cli
 from endivewind.commands import main
-from endivewind.commands import running
 from endivewind.commands import status
 
 # Flags are defined on import; import all commands before a test saves values.
 for _command in main.COMMANDS:
-    importlib.import_module(main.BINARY.prefix + _command)
+    importlib.import_module(main.BINARY.module_prefix + _command)
 
 
-def _run(binary: running.Binary, *arguments: str) -> tuple[int, str, str]:
+def _run(binary: cli.Binary, *arguments: str) -> tuple[int, str, str]:
     out, err = io.StringIO(), io.StringIO()
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
         code = binary.main(list(arguments))
@@ -47,7 +47,7 @@
                 self.assertEqual(0, code)
                 self.assertIn(f"usage: endivewind {command}", out)
                 self.assertIn("  --format:", out)
-                self.assertIn(running.EXIT_CODES, out)
+                self.assertIn(cli.EXIT_CODES, out)
 
     def test_bench_help_lists_every_measurement(self):
         # In a separate process: two binaries may define the same flag.
@@ -191,13 +191,15 @@
         ejected = {**target, "health": "ejected", "reason": "errors"}
         found = [_node("node-a", [target]), _node("node-b", [ejected])]
 
-        lines = status.text(found).splitlines()
+        lines = status.format_status(found).splitlines()
 
         (shown,) = [line for line in lines if line.startswith("riders-1")]
         self.assertEqual(["ejected", "errors"], shown.split()[-2:])
 
     def test_unresponsive_node(self):
-        text = status.text([{"operators": "127.0.0.1:1", "error": "refused"}])
+        text = status.format_status(
+            [{"operators": "127.0.0.1:1", "error": "refused"}]
+        )
 
         self.assertIn("127.0.0.1:1 did not respond: refused", text)
 
--- a/endivewind/tests/commands/demo_tests.py
+++ b/endivewind/tests/commands/demo_tests.py
@@ -43,9 +43,11 @@
         self.assertEqual(0, child.returncode, child.stderr)
 
     def test_report_lists_ejected_targets(self):
-        callers = demo.Seen(whole=3, failed=2, first_half_failed=2)
+        callers = demo.CallerResults(
+            complete=3, failed=2, failed_in_first_half=2
+        )
 
-        shown = demo.text(callers, {"riders-3": "errors"})
+        shown = demo.format_report(callers, {"riders-3": "errors"})
 
         self.assertIn("Ejected: riders-3", shown)
         self.assertIn("failed responses, second half  0", shown)
--- a/endivewind/tests/commands/submit_tests.py
+++ b/endivewind/tests/commands/submit_tests.py
@@ -22,7 +22,7 @@
         await self.enterAsyncContext(self.platform)
 
     async def _plan(self, spec):
-        stored = await submissions.current(self.platform.client)
+        stored = await submissions.read_configuration(self.platform.client)
         return planning.plan({RIDERS: spec}, stored)
 
     async def _submit(self, steps, author="ana"):
@@ -65,7 +65,7 @@
         steps = await self._plan({"slots": 5})
         self.platform.standin.set_faults(
             faults.Fault(
-                mode=faults.Mode.ERROR, methods=("POST", "PUT"), count=0
+                mode=faults.FaultMode.ERROR, methods=("POST", "PUT"), count=0
             )
         )
         submission = submit.Submission(
--- a/endivewind/tests/config/convergence_tests.py
+++ b/endivewind/tests/config/convergence_tests.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies
 
 from endivewind.commands import bench_spreading
-from endivewind.config import spreading
+from endivewind.config import replication
 from endivewind.config import store
 from endivewind.nodes import view
 
@@ -33,14 +33,14 @@
         super().__init__()
         self._rng = random.Random(0)
         self._now = datetime.timedelta()
-        self._in_flight: list[spreading.Outgoing] = []
+        self._in_flight: list[replication.OutgoingMessage] = []
         self._highest: dict[store.Key, tuple[int, int | None]] = {}
         self._versions = 0
         self._platform: dict[store.Key, dict] = {}
         self._history: list[tuple[store.Key, dict]] = []
         self._blocked_links: set[tuple[str, str]] = set()
         self._stores: dict[str, store.ConfigurationStore] = {}
-        self._cores: dict[str, spreading.Spreader] = {}
+        self._cores: dict[str, replication.Replicator] = {}
         self._last_versions: dict[tuple[str, store.Key], int] = {}
         for name in NODES:
             self._start(name)
@@ -52,7 +52,7 @@
             if peer != name
         ]
         self._stores[name] = store.ConfigurationStore()
-        self._cores[name] = spreading.Spreader(
+        self._cores[name] = replication.Replicator(
             name, "andina", self._stores[name], lambda: peers, self._rng
         )
 
@@ -60,9 +60,11 @@
         before = self._stores[node].stamp(key)
         self._stores[node].apply(*key, 1, value)
         if self._stores[node].stamp(key) != before:
-            self._cores[node].taken(key)
+            self._cores[node].add_rumour(key)
 
-    def _send(self, sender: str, outgoing: list[spreading.Outgoing]) -> None:
+    def _send(
+        self, sender: str, outgoing: list[replication.OutgoingMessage]
+    ) -> None:
         self._in_flight.extend(
             item
             for item in outgoing
@@ -83,7 +85,7 @@
     def accept_a_change(self, node, name, slots):
         key = store.Key(store.SERVICE, name)
         self._versions += 1
-        value = bench_spreading.change(slots or 1, self._versions)
+        value = bench_spreading.make_service_value(slots or 1, self._versions)
         if slots is None:
             value["spec"] = None
         self._highest[key] = (self._versions, slots)
@@ -120,7 +122,7 @@
 
     @stateful.rule(node=nodes)
     def tick(self, node):
-        self._now += spreading.TICK
+        self._now += replication.TICK_INTERVAL
         self._send(node, self._cores[node].tick(self._now))
 
     @stateful.precondition(lambda self: self._in_flight)
@@ -135,14 +137,14 @@
             del self._in_flight[position]
         if fate != "lose":
             core = self._cores[item.to]
-            received = core.received(item.message, self._now)
+            received = core.handle_message(item.message, self._now)
             self._send(item.to, received.outgoing)
 
     @stateful.rule()
     def lose_all_messages_until_rumours_end(self):
         """A long partition, from which only anti-entropy can recover."""
         for _ in range(30):
-            self._now += spreading.TICK
+            self._now += replication.TICK_INTERVAL
             for name in NODES:
                 self._cores[name].tick(self._now)
         self._in_flight.clear()
@@ -175,14 +177,16 @@
         """Returns how many nodes have the highest version of an object."""
         highest = self._highest.get(key, (0, None))[0]
         return sum(
-            1 for held in stores.values() if held.in_force(key) == highest
+            1
+            for held in stores.values()
+            if held.version_in_force(key) == highest
         )
 
     @stateful.invariant()
     def no_node_goes_back(self):
         for name, held in self._stores.items():
             for key in self._highest:
-                version = held.in_force(key)
+                version = held.version_in_force(key)
                 assert version >= self._last_versions.get((name, key), 0)
                 self._last_versions[name, key] = version
 
@@ -192,7 +196,7 @@
         for key, value in self._platform.items():
             self._apply(NODES[0], key, value)
         for _ in range(ROUNDS_TO_CONVERGE):
-            self._now += spreading.TICK
+            self._now += replication.TICK_INTERVAL
             for name in NODES:
                 self._send(name, self._cores[name].tick(self._now))
             # Bounded, so that nodes that respond to each other endlessly make
@@ -202,13 +206,13 @@
                     break
                 item = self._in_flight.pop(0)
                 core = self._cores[item.to]
-                received = core.received(item.message, self._now)
+                received = core.handle_message(item.message, self._now)
                 self._send(item.to, received.outgoing)
-            if len({held.buckets for held in self._stores.values()}) == 1:
+            if len({held.bucket_hashes for held in self._stores.values()}) == 1:
                 break
         for held in self._stores.values():
             for key, (version, slots) in self._highest.items():
-                assert held.in_force(key) == version
+                assert held.version_in_force(key) == version
                 service = held.service(key.name)
                 assert (service.slots if service else None) == slots
 
--- a/endivewind/tests/config/freshness_tests.py
+++ b/endivewind/tests/config/freshness_tests.py
@@ -21,52 +21,52 @@
 class FreshnessTest(unittest.TestCase):
     def setUp(self):
         self.version = 3
-        self.proof = freshness.Freshness(lambda: self.version, BOUND)
+        self.proof = freshness.FreshnessTracker(lambda: self.version, BOUND)
 
     def test_without_a_read_there_is_no_proof(self):
-        self.assertFalse(self.proof.is_proved(seconds(0)))
-        self.assertIsNone(self.proof.answer(seconds(0)))
+        self.assertFalse(self.proof.is_fresh(seconds(0)))
+        self.assertIsNone(self.proof.make_response(seconds(0)))
 
     def test_proof_expires(self):
-        self.proof.proved(3, seconds(10))
+        self.proof.record_proof(3, seconds(10))
 
-        self.assertTrue(self.proof.is_proved(seconds(14.8)))
-        self.assertFalse(self.proof.is_proved(seconds(15)))
+        self.assertTrue(self.proof.is_fresh(seconds(14.8)))
+        self.assertFalse(self.proof.is_fresh(seconds(15)))
 
     def test_delayed_response_makes_an_older_proof(self):
         """A delayed response must not extend the use of a revoked key."""
-        answer = freshness.Answer(3, seconds(1))
+        answer = freshness.ProofResponse(3, seconds(1))
 
-        self.proof.answered(answer, asked=seconds(10))
+        self.proof.handle_response(answer, query_time=seconds(10))
 
         self.assertEqual(seconds(4), self.proof.age(seconds(13)))
 
     def test_proof_of_a_newer_version_counts_once_it_is_in_force(self):
         """A proof must not count for a version that is not in force here."""
-        self.proof.proved(4, seconds(10))
-        self.assertFalse(self.proof.is_proved(seconds(10)))
+        self.proof.record_proof(4, seconds(10))
+        self.assertFalse(self.proof.is_fresh(seconds(10)))
 
         self.version = 4
 
-        self.assertTrue(self.proof.is_proved(seconds(10)))
+        self.assertTrue(self.proof.is_fresh(seconds(10)))
 
     def test_proof_of_an_older_version_holds_for_a_newer_one(self):
         self.version = 9
 
-        self.proof.proved(3, seconds(10))
+        self.proof.record_proof(3, seconds(10))
 
-        self.assertTrue(self.proof.is_proved(seconds(11)))
+        self.assertTrue(self.proof.is_fresh(seconds(11)))
 
     def test_older_proof_does_not_replace_a_younger_one(self):
-        self.proof.proved(3, seconds(10))
-        self.proof.proved(3, seconds(7))
+        self.proof.record_proof(3, seconds(10))
+        self.proof.record_proof(3, seconds(7))
 
         self.assertEqual(seconds(1), self.proof.age(seconds(11)))
 
     def test_node_without_a_bound_needs_no_proof(self):
-        self.proof.limit(None)
+        self.proof.set_bound(None)
 
-        self.assertTrue(self.proof.is_proved(seconds(100)))
+        self.assertTrue(self.proof.is_fresh(seconds(100)))
 
 
 class RevocationMachine(stateful.RuleBasedStateMachine):
@@ -89,7 +89,7 @@
         self.messages = []
 
     def build(self, node):
-        return freshness.Freshness(lambda: self.versions[node], BOUND)
+        return freshness.FreshnessTracker(lambda: self.versions[node], BOUND)
 
     def clock(self, node):
         return self.now + self.offsets[node]
@@ -139,10 +139,10 @@
 
     def read_finished(self, node, start, moment, version):
         if start == self.incarnations[node]:
-            self.proofs[node].proved(version, moment)
+            self.proofs[node].record_proof(version, moment)
 
     def query_received(self, node, start, moment, answerer):
-        answer = self.proofs[answerer].answer(self.clock(answerer))
+        answer = self.proofs[answerer].make_response(self.clock(answerer))
         if answer is not None:
             self.messages.append(
                 ("response_received", node, start, moment, answer)
@@ -150,7 +150,7 @@
 
     def response_received(self, node, start, moment, answer):
         if start == self.incarnations[node]:
-            self.proofs[node].answered(answer, moment)
+            self.proofs[node].handle_response(answer, moment)
 
     @stateful.precondition(lambda self: self.messages)
     @stateful.rule(data=strategies.data())
@@ -167,7 +167,7 @@
     @stateful.invariant()
     def no_revoked_key_works_beyond_the_bound(self):
         for node in NODES:
-            if not self.proofs[node].is_proved(self.clock(node)):
+            if not self.proofs[node].is_fresh(self.clock(node)):
                 continue
             later = self.accepted[self.versions[node] + 1 :]
             if later:
--- a/endivewind/tests/config/planning_tests.py
+++ b/endivewind/tests/config/planning_tests.py
@@ -13,10 +13,10 @@
 
 def _submit(spec, current=None, operation="op"):
     """Returns the object on the platform after submitting a spec."""
-    held = current or planning.Current()
-    step = planning.Step(A, planning.Action.WRITE, spec, held)
-    envelope = planning.envelope(step, operation, "ana", NOW)
-    return planning.Current(held.platform_version + 1, envelope)
+    held = current or planning.StoredObject()
+    step = planning.PlanStep(A, planning.Action.WRITE, spec, held)
+    envelope = planning.make_envelope(step, operation, "ana", NOW)
+    return planning.StoredObject(held.platform_version + 1, envelope)
 
 
 class PlanTest(unittest.TestCase):
@@ -75,10 +75,10 @@
 
     def test_versions_grow_even_if_the_clock_is_behind(self):
         held = _submit({"slots": 3})
-        later = planning.Step(A, planning.Action.WRITE, {"slots": 4}, held)
+        later = planning.PlanStep(A, planning.Action.WRITE, {"slots": 4}, held)
 
         early = NOW - datetime.timedelta(days=400)
-        envelope = planning.envelope(later, "op", "ana", early)
+        envelope = planning.make_envelope(later, "op", "ana", early)
 
         self.assertEqual(held.version + 1, envelope.version)
 
@@ -96,7 +96,7 @@
 
     def test_concurrent_change_of_the_same_object_is_refused(self):
         read = _submit({"slots": 3})
-        step = planning.Step(A, planning.Action.WRITE, {"slots": 4}, read)
+        step = planning.PlanStep(A, planning.Action.WRITE, {"slots": 4}, read)
 
         again = planning.replan(step, _submit({"slots": 9}, read))
 
@@ -106,7 +106,7 @@
         before = {"routes": [{"prefix": "/a"}]}
         after = {"routes": [{"prefix": "/b"}, {"prefix": "/c"}]}
 
-        found = [str(i) for i in planning.differences(before, after)]
+        found = [str(i) for i in planning.find_differences(before, after)]
 
         self.assertEqual(
             [
--- a/endivewind/tests/config/replication_tests.py
+++ b/endivewind/tests/config/replication_tests.py
@@ -5,15 +5,15 @@
 import unittest
 
 from endivewind.commands import bench_spreading
-from endivewind.config import joining
-from endivewind.config import spreading
+from endivewind.config import readiness
+from endivewind.config import replication
 from endivewind.config import store
 from endivewind.config import watchers
 from endivewind.nodes import codec
 from endivewind.nodes import configuration
 from endivewind.nodes import view
 
-RIDERS = bench_spreading.CHANGED
+RIDERS = bench_spreading.CHANGED_KEY
 SECOND = datetime.timedelta(seconds=1)
 
 
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.stores = {name: store.ConfigurationStore() for name in ("a", "b")}
         self.cores = {
-            name: spreading.Spreader(
+            name: replication.Replicator(
                 name,
                 "andina",
                 self.stores[name],
@@ -37,12 +37,14 @@
             for name, other in (("a", "b"), ("b", "a"))
         }
 
-    def deliver_all(self, outgoing: list[spreading.Outgoing], now) -> int:
+    def deliver_all(
+        self, outgoing: list[replication.OutgoingMessage], now
+    ) -> int:
         delivered = 0
         while outgoing:
             item = outgoing.pop(0)
             delivered += 1
-            received = self.cores[item.to].received(item.message, now)
+            received = self.cores[item.to].handle_message(item.message, now)
             outgoing.extend(received.outgoing)
         return delivered
 
@@ -50,16 +52,18 @@
 class ReplicatorTest(unittest.TestCase):
     def test_rumour_of_a_new_version_ends_after_some_time(self):
         pair = _Pair()
-        pair.cores["a"].ready = True
-        pair.stores["a"].apply(*RIDERS, 1, bench_spreading.change(5, 2))
-        pair.cores["a"].taken(RIDERS)
+        pair.cores["a"].is_ready = True
+        pair.stores["a"].apply(
+            *RIDERS, 1, bench_spreading.make_service_value(5, 2)
+        )
+        pair.cores["a"].add_rumour(RIDERS)
 
         for number in range(20):
-            now = number * spreading.TICK
+            now = number * replication.TICK_INTERVAL
             pair.deliver_all(pair.cores["a"].tick(now), now)
 
-        self.assertEqual(2, pair.stores["b"].in_force(RIDERS))
-        late_messages = pair.cores["a"].tick(20 * spreading.TICK)
+        self.assertEqual(2, pair.stores["b"].version_in_force(RIDERS))
+        late_messages = pair.cores["a"].tick(20 * replication.TICK_INTERVAL)
         self.assertFalse(
             [item for item in late_messages if item.message.objects]
         )
@@ -78,12 +82,12 @@
         key = store.Key(store.ROUTE_GROUP, "camerino")
         value = {"spec": {"routes": routes}, "operation": "x", "version": 2}
         pair.stores["a"].apply(*key, 1, value)
-        pair.cores["a"].taken(key)
+        pair.cores["a"].add_rumour(key)
         rumour = pair.cores["a"].tick(SECOND)[0].message
         self.assertEqual((), rumour.objects)
 
-        first = pair.cores["b"].received(rumour, SECOND)
-        second = pair.cores["b"].received(rumour, SECOND)
+        first = pair.cores["b"].handle_message(rumour, SECOND)
+        second = pair.cores["b"].handle_message(rumour, SECOND)
 
         wants = [
             [item.message.want for item in result.outgoing]
@@ -98,21 +102,25 @@
         some seconds later than the others.
         """
         pair = _Pair()
-        have = (spreading.Have(RIDERS, store.Stamp(2, 3)),)
-        message = spreading.Message("a", have=have)
-        pair.cores["b"].received(message, SECOND)
+        have = (replication.Advertisement(RIDERS, store.Stamp(2, 3)),)
+        message = replication.Message("a", have=have)
+        pair.cores["b"].handle_message(message, SECOND)
 
         requested = []
         for number in range(1, 40):
-            for item in pair.cores["b"].tick(SECOND + number * spreading.TICK):
+            for item in pair.cores["b"].tick(
+                SECOND + number * replication.TICK_INTERVAL
+            ):
                 requested.extend(item.message.want)
 
-        self.assertEqual([RIDERS] * (spreading.MAX_ASKS - 1), requested)
+        self.assertEqual(
+            [RIDERS] * (replication.MAX_WANT_ATTEMPTS - 1), requested
+        )
 
     def test_anti_entropy_works_in_both_directions(self):
         pair = _Pair()
-        older = bench_spreading.change(3, 1)
-        newer = bench_spreading.change(5, 2)
+        older = bench_spreading.make_service_value(3, 1)
+        newer = bench_spreading.make_service_value(5, 2)
         only_a = store.Key(store.SERVICE, "venues")
         pair.stores["a"].apply(*RIDERS, 1, newer)
         pair.stores["a"].apply(*only_a, 1, older)
@@ -122,59 +130,63 @@
             now = number * SECOND
             pair.deliver_all(pair.cores["b"].tick(now), now)
 
-        self.assertEqual(pair.stores["a"].buckets, pair.stores["b"].buckets)
-        self.assertEqual(2, pair.stores["b"].in_force(RIDERS))
-        self.assertEqual(1, pair.stores["b"].in_force(only_a))
+        self.assertEqual(
+            pair.stores["a"].bucket_hashes, pair.stores["b"].bucket_hashes
+        )
+        self.assertEqual(2, pair.stores["b"].version_in_force(RIDERS))
+        self.assertEqual(1, pair.stores["b"].version_in_force(only_a))
 
     def test_message_size_is_limited(self):
         pair = _Pair()
         for number in range(2_000):
-            value = bench_spreading.change(3, 1)
+            value = bench_spreading.make_service_value(3, 1)
             key = store.Key(store.SERVICE, f"service-{number}")
             pair.stores["a"].apply(*key, 1, value)
-            pair.cores["a"].taken(key)
+            pair.cores["a"].add_rumour(key)
 
         rumours = pair.cores["a"].tick(SECOND)
         digest = pair.cores["b"].tick(SECOND)[0].message
-        answer = pair.cores["a"].received(digest, SECOND).outgoing
+        answer = pair.cores["a"].handle_message(digest, SECOND).outgoing
 
         for item in (*rumours, *answer):
             self.assertLessEqual(
                 len(item.message.have) + len(item.message.objects),
-                spreading.MAX_ENTRIES,
+                replication.MAX_ENTRIES,
             )
-            self.assertLess(spreading.size(item.message), 40_000)
+            self.assertLess(replication.message_size(item.message), 40_000)
 
     def test_burst_of_changes_keeps_to_the_budget(self):
-        cores = bench_spreading.Cores(10, 0.0, 1)
+        cores = bench_spreading.SimulatedReplicators(10, 0.0, 1)
         for number in range(600):
             key = store.Key(store.SERVICE, f"new-{number}")
-            cores.write("node-0000", key, bench_spreading.change(3, 2))
+            cores.write(
+                "node-0000", key, bench_spreading.make_service_value(3, 2)
+            )
 
         cores.run_for(60 * SECOND)
 
-        buckets = {item.buckets for item in cores.stores.values()}
+        buckets = {item.bucket_hashes for item in cores.stores.values()}
         self.assertEqual(1, len(buckets))
-        allowed = spreading.BURST_BYTES + 60 * spreading.BYTES_PER_SECOND
-        self.assertLess(max(cores.sent.values()), 1.2 * allowed)
+        allowed = replication.BURST_BYTES + 60 * replication.BYTES_PER_SECOND
+        self.assertLess(max(cores.sent_bytes.values()), 1.2 * allowed)
 
     def test_message_survives_encoding_and_decoding(self):
-        message = spreading.Message(
+        message = replication.Message(
             "a",
             True,
-            tuple(range(store.BUCKETS)),
+            tuple(range(store.BUCKET_COUNT)),
             True,
-            (spreading.Have(RIDERS, store.Stamp(2, 3)),),
+            (replication.Advertisement(RIDERS, store.Stamp(2, 3)),),
             (4, 5),
             (RIDERS,),
-            (spreading.Packed(RIDERS, 2, b"\x00\xff"),),
+            (replication.PackedObject(RIDERS, 2, b"\x00\xff"),),
         )
-        wire = configuration.message_out(message)
+        wire = configuration.encode_message(message)
         frame = codec.encode_frame(codec.messages.Frame(configuration=wire))
 
         decoded = codec.decode_frame(frame[4:]).configuration
 
-        self.assertEqual(message, configuration.message_in(decoded))
+        self.assertEqual(message, configuration.decode_message(decoded))
 
 
 class ReplicationTimeTest(unittest.TestCase):
@@ -195,22 +207,22 @@
     def setUp(self):
         self.pair = _Pair()
         self.spreader = self.pair.cores["a"]
-        self.readiness = joining.Joining(
+        self.readiness = readiness.Readiness(
             self.spreader, ("service", "route-group")
         )
 
     def _agree(self, *names, ready=True):
         for name in names:
-            message = spreading.Message(name, ready, same=True)
-            self.spreader.received(message, SECOND)
+            message = replication.Message(name, ready, same=True)
+            self.spreader.handle_message(message, SECOND)
 
     def test_without_the_platform_several_peers_must_agree(self):
         self._agree("b", "c")
-        self.assertIn("2 of 3", self.readiness.missing(9))
+        self.assertIn("2 of 3", self.readiness.not_ready_reason(9))
 
         self._agree("d")
 
-        self.assertIsNone(self.readiness.missing(9))
+        self.assertIsNone(self.readiness.not_ready_reason(9))
 
     def test_peers_that_are_not_ready_do_not_count(self):
         """The whole fleet restarts while the platform is unavailable.
@@ -220,7 +232,7 @@
         """
         self._agree("b", "c", "d", ready=False)
 
-        self.assertIsNotNone(self.readiness.missing(3))
+        self.assertIsNotNone(self.readiness.not_ready_reason(3))
 
     def test_complete_listing_of_the_platform_suffices(self):
         """Services have been listed, but no routes yet.
@@ -229,12 +241,12 @@
         the complete listing it needs no agreeing peers, since the platform
         loses nothing that it has acknowledged.
         """
-        self.readiness.listed("service")
-        self.assertIsNotNone(self.readiness.missing(3))
+        self.readiness.mark_listed("service")
+        self.assertIsNotNone(self.readiness.not_ready_reason(3))
 
-        self.readiness.listed("route-group")
+        self.readiness.mark_listed("route-group")
 
-        self.assertIsNone(self.readiness.missing(3))
+        self.assertIsNone(self.readiness.not_ready_reason(3))
 
 
 class WatchersTest(unittest.TestCase):
@@ -287,7 +299,9 @@
     def test_watchers_have_their_own_call_budget(self):
         members = self.members(760, tuple(f"a-{zone}" for zone in "vwxyz"))
 
-        shares = {watchers.sharers(item, members) for item in members}
+        shares = {
+            watchers.budget_sharer_count(item, members) for item in members
+        }
 
         self.assertEqual({6, 760}, shares)
 
@@ -297,7 +311,11 @@
     def test_one_node_of_each_zone_is_the_oldest(self):
         members = self.members(20, ("a-x", "a-y"))
 
-        oldest = [item for item in members if watchers.is_oldest(item, members)]
+        oldest = [
+            item
+            for item in members
+            if watchers.is_oldest_in_zone(item, members)
+        ]
 
         self.assertEqual({"a-x", "a-y"}, {item.zone for item in oldest})
         self.assertEqual(2, len(oldest))
--- a/endivewind/tests/config/settings_reloader_tests.py
+++ b/endivewind/tests/config/settings_reloader_tests.py
@@ -4,7 +4,7 @@
 import tempfile
 import unittest
 
-from endivewind.config import following
+from endivewind.config import settings_reloader
 
 _INITIAL_SETTINGS = "{name: a, region: r, zone: z, platform: 'http://p'}"
 
@@ -17,17 +17,17 @@
         self.path = pathlib.Path(folder) / "settings.yaml"
         self.path.write_text(_INITIAL_SETTINGS)
         self.reloaded = []
-        self.reloader = following.SettingsFollower(
+        self.reloader = settings_reloader.SettingsReloader(
             str(self.path), self.reloaded.append
         )
 
     def _write(self, text):
         self.path.write_text(text)
-        self.reloader.look()
+        self.reloader.check()
 
     async def test_change_is_applied_once(self):
         self._write(_INITIAL_SETTINGS.replace("name: a", "name: b"))
-        self.reloader.look()
+        self.reloader.check()
 
         self.assertEqual(["b"], [item.name for item in self.reloaded])
 
@@ -39,7 +39,7 @@
 
     async def test_missing_file_is_read_once_it_is_back(self):
         self.path.unlink()
-        self.reloader.look()
+        self.reloader.check()
 
         self._write(_INITIAL_SETTINGS.replace("name: a", "name: c"))
 
