--- a/endivewind/tests/config/store_tests.py
+++ b/endivewind/tests/config/store_tests.py
@@ -53,7 +53,7 @@
 
         self.assertEqual(False, applied.ok)
         self.assertIsNone(self.store.service("riders"))
-        self.assertEqual(6, self.store.in_force(RIDERS))
+        self.assertEqual(6, self.store.version_in_force(RIDERS))
 
     def test_deletion_without_submit_changes_nothing(self):
         self._apply(_envelope(3, version=5))
@@ -71,7 +71,7 @@
         self.assertIn("slots: ", str(rejected.error))
         self.assertIn("timeout_ms: ", str(rejected.error))
         self.assertEqual(3, self.store.service("riders").slots)
-        self.assertEqual(5, self.store.in_force(RIDERS))
+        self.assertEqual(5, self.store.version_in_force(RIDERS))
 
     def test_object_of_a_newer_release_is_stored_for_replication(self):
         """A newer release adds a field that this node does not know.
@@ -83,7 +83,7 @@
 
         rejected = self._apply(value)
 
-        self.assertTrue(rejected.error.kept)
+        self.assertTrue(rejected.error.is_retained)
         self.assertEqual(value, self.store.value(RIDERS))
         self.assertEqual(6, self.store.stamp(RIDERS).version)
 
@@ -93,7 +93,7 @@
         applied = self._apply(_envelope(4, version=7))
 
         self.assertEqual(True, applied.ok)
-        self.assertEqual(7, self.store.in_force(RIDERS))
+        self.assertEqual(7, self.store.version_in_force(RIDERS))
 
     def test_two_values_of_one_version_converge_in_any_order(self):
         other = store.ConfigurationStore()
@@ -104,7 +104,7 @@
             other.apply(*RIDERS, 1, value)
 
         self.assertEqual(other.stamp(RIDERS), self.store.stamp(RIDERS))
-        self.assertEqual(other.buckets, self.store.buckets)
+        self.assertEqual(other.bucket_hashes, self.store.bucket_hashes)
 
     def test_invalid_envelopes_are_not_stored(self):
         cases = (
@@ -116,7 +116,7 @@
         for name, value in cases:
             with self.subTest(name):
                 self.assertTrue(self._apply(value).is_error())
-                self.assertEqual(store.ABSENT, self.store.stamp(RIDERS))
+                self.assertEqual(store.ABSENT_STAMP, self.store.stamp(RIDERS))
 
     def test_unknown_kind_is_rejected(self):
         rejected = self.store.apply("wallet", "a", 1, _envelope(3))
@@ -136,7 +136,7 @@
 
         other.apply_packed(RIDERS, 6, self.store.packed(RIDERS))
 
-        self.assertEqual(self.store.buckets, other.buckets)
+        self.assertEqual(self.store.bucket_hashes, other.bucket_hashes)
         self.assertEqual(3, other.service("riders").slots)
 
     def test_equal_workspaces_share_one_instance(self):
--- a/endivewind/tests/decisions/admission_tests.py
+++ b/endivewind/tests/decisions/admission_tests.py
@@ -21,7 +21,7 @@
     """A service with a queue and a number of slots, in virtual time."""
 
     def __init__(self, slots, limit=64):
-        self.queue = admission.ServiceQueue(limit)
+        self.queue = admission.AdmissionQueue(limit)
         self.now = datetime.timedelta()
         self.served = []
         self.refused = []
@@ -159,7 +159,7 @@
     )
     def test_is_bounded_and_loses_no_request(self, steps, limit):
         """Each request is waiting, served once, or reported as rejected."""
-        queue = admission.ServiceQueue(limit)
+        queue = admission.AdmissionQueue(limit)
         waiting = set()
         for workspace, priority, serve in steps:
             waiter = _waiter(workspace, 1, priority)
@@ -180,7 +180,7 @@
             self.assertLessEqual(len(queue), limit)
 
     def test_waiter_that_gives_up_frees_its_place(self):
-        queue = admission.ServiceQueue(1)
+        queue = admission.AdmissionQueue(1)
         cancelled = _waiter()
         queue.offer(cancelled, datetime.timedelta())
         queue.remove(cancelled)
--- a/endivewind/tests/decisions/cross_region_tests.py
+++ b/endivewind/tests/decisions/cross_region_tests.py
@@ -37,7 +37,7 @@
                 budget.spend("caribe", size, now)
                 sent += size
 
-        bound = RATE * (now + cross_region.BURST_DURATION).total_seconds()
+        bound = RATE * (now + cross_region.BUCKET_FILL_TIME).total_seconds()
         self.assertLessEqual(sent, bound + 20_000)
 
     def test_regions_have_separate_budgets(self):
--- a/endivewind/tests/decisions/load_balancing_tests.py
+++ b/endivewind/tests/decisions/load_balancing_tests.py
@@ -11,7 +11,7 @@
 LOCALITY = load_balancing.Locality("node-a", "andina", "andina-a")
 
 
-class _TargetInfo(load_balancing.Load):
+class _TargetInfo(load_balancing.TargetInfo):
     """Load set by a test; all other targets are idle and reachable."""
 
     def __init__(self):
@@ -48,7 +48,7 @@
     def is_reachable(self, home):
         return home not in self.unreachable
 
-    def slots(self, item):
+    def usable_slots(self, item):
         return item.slots
 
     def has_traffic_budget(self, region):
@@ -75,7 +75,7 @@
     ):
         """Counts how often each target is chosen."""
         pool = load_balancing.Pool.from_candidates(candidates, 0, LOCALITY)
-        constraints = load_balancing.Demand(
+        constraints = load_balancing.RequestConstraints(
             is_idempotent, frozenset(excluded), **constraints
         )
         return collections.Counter(
@@ -188,7 +188,7 @@
         )
         self.assertEqual({"zone": 9}, self.count_choices(both, 9))
         self.assertEqual(
-            {"region": 9}, self.count_choices(both, 9, is_last=True)
+            {"region": 9}, self.count_choices(both, 9, is_last_attempt=True)
         )
 
     def test_leaves_the_region_only_if_loss_is_more_likely_than_not(self):
--- a/endivewind/tests/decisions/outlier_detection_tests.py
+++ b/endivewind/tests/decisions/outlier_detection_tests.py
@@ -72,7 +72,7 @@
         end = self.now + span
         while self.now < end:
             self.now += datetime.timedelta(milliseconds=100)
-            self.changes.extend(self.detector.advance(self.now))
+            self.changes.extend(self.detector.run_periodic_checks(self.now))
 
     def ejected(self):
         return [
@@ -88,7 +88,9 @@
 
 class _DetectorTest(unittest.TestCase):
     def simulation(
-        self, settings=ejection_settings.DETECTION, target_ids=TARGETS
+        self,
+        settings=ejection_settings.FAST_DETECTION_PRESET,
+        target_ids=TARGETS,
     ):
         simulation = _Simulation(settings, target_ids)
         simulation.rounds(60)
@@ -109,7 +111,7 @@
         Latencies are evaluated only after 200 requests. Errors must be counted
         from the start; otherwise callers would see every failure until then.
         """
-        simulation = _Simulation(ejection_settings.DETECTION)
+        simulation = _Simulation(ejection_settings.FAST_DETECTION_PRESET)
         simulation.rounds(20, riders_2={"result": FAILED})
 
         self.assertLess(simulation.request_count, baseline.MIN_HISTORY_REQUESTS)
@@ -163,7 +165,7 @@
         self.assertEqual(["riders-2"], simulation.ejected())
 
     def test_capacity_profile_requires_more_evidence(self):
-        simulation = self.simulation(ejection_settings.CAPACITY)
+        simulation = self.simulation(ejection_settings.KEEP_CAPACITY_PRESET)
 
         simulation.rounds(4, riders_2={"result": FAILED})
         ejected_early = simulation.ejected()
@@ -220,7 +222,9 @@
     """
 
     def simulation(
-        self, settings=ejection_settings.DETECTION, target_ids=("riders-2",)
+        self,
+        settings=ejection_settings.FAST_DETECTION_PRESET,
+        target_ids=("riders-2",),
     ):
         simulation = _Simulation(settings, target_ids)
         for _ in range(250):
@@ -313,9 +317,11 @@
         simulation = self.simulation()
         simulation.rounds(4, riders_2={"result": FAILED})
 
-        simulation.wait(ejection_settings.DETECTION.base_ejection_time)
+        simulation.wait(
+            ejection_settings.FAST_DETECTION_PRESET.base_ejection_time
+        )
         status_in_trial = simulation.detector.status("riders-2")
-        for _ in range(ejection_settings.DETECTION.trial_successes):
+        for _ in range(ejection_settings.FAST_DETECTION_PRESET.trial_successes):
             simulation.request("riders-2")
 
         self.assertIs(ejection.Status.TRIAL, status_in_trial)
@@ -327,8 +333,10 @@
         simulation = self.simulation()
         simulation.rounds(4, riders_2={"result": FAILED})
 
-        simulation.wait(ejection_settings.DETECTION.base_ejection_time)
-        for _ in range(ejection_settings.DETECTION.trial_failures):
+        simulation.wait(
+            ejection_settings.FAST_DETECTION_PRESET.base_ejection_time
+        )
+        for _ in range(ejection_settings.FAST_DETECTION_PRESET.trial_failures):
             simulation.request("riders-2", FAILED)
 
         self.assertIs(
@@ -336,7 +344,7 @@
         )
 
     def test_recovered_target_may_be_slow_occasionally(self):
-        settings = ejection_settings.DETECTION
+        settings = ejection_settings.FAST_DETECTION_PRESET
         state = ejection.EjectionState(settings)
         state.eject(datetime.timedelta())
         state.advance(settings.base_ejection_time)
@@ -350,14 +358,14 @@
         self.assertIs(ejection.Status.NORMAL, state.status)
 
     def test_ejection_time_of_flapping_target_grows_and_expires(self):
-        settings = ejection_settings.DETECTION
+        settings = ejection_settings.FAST_DETECTION_PRESET
         state = ejection.EjectionState(settings)
         now = datetime.timedelta()
         ejection_times = []
         for _ in range(4):
             state.eject(now)
-            ejection_times.append(state.ejection_time())
-            now += state.ejection_time()
+            ejection_times.append(state.ejection_duration())
+            now += state.ejection_duration()
             state.advance(now)
             for _ in range(settings.trial_successes):
                 state.record_trial(True, now)
@@ -367,7 +375,7 @@
             [settings.base_ejection_time * 2**n for n in range(4)],
             ejection_times,
         )
-        self.assertEqual(settings.base_ejection_time, state.ejection_time())
+        self.assertEqual(settings.base_ejection_time, state.ejection_duration())
 
     def test_request_from_before_the_change_does_not_count(self):
         """A trial request hangs; the target recovers and is normal again.
@@ -377,10 +385,12 @@
         """
         simulation = self.simulation()
         simulation.rounds(4, riders_2={"result": FAILED})
-        simulation.wait(ejection_settings.DETECTION.base_ejection_time)
+        simulation.wait(
+            ejection_settings.FAST_DETECTION_PRESET.base_ejection_time
+        )
         for _ in range(3):
             simulation.start("riders-2")
-        for _ in range(ejection_settings.DETECTION.trial_successes):
+        for _ in range(ejection_settings.FAST_DETECTION_PRESET.trial_successes):
             simulation.request("riders-2")
         simulation.wait(datetime.timedelta(seconds=2))
 
--- a/endivewind/tests/decisions/peer_updates_tests.py
+++ b/endivewind/tests/decisions/peer_updates_tests.py
@@ -22,41 +22,41 @@
         self.now += duration
 
     def due_updates(self):
-        status = exchange.TargetStatus(0, self.suspicion.probability(self.now))
+        status = exchange.TargetReport(0, self.suspicion.probability(self.now))
         update = peer_updates.TargetUpdate("t1", status)
         snapshot = peer_updates.TargetSnapshot(
             update, self.suspicion.signal_count
         )
-        return self.publisher.due_updates([snapshot], self.now)
+        return self.publisher.take_due_updates([snapshot], self.now)
 
     def observe(self, signal):
         self.suspicion.observe(signal, self.now)
 
     def test_healthy_target_causes_no_updates(self):
         for _ in range(100):
-            self.observe(suspicion.HealthSignal.SUCCESS)
+            self.observe(suspicion.SuspicionSignal.SUCCESS)
             self.advance()
             self.assertEqual((), self.due_updates())
 
     def test_failure_is_pushed_at_once_and_recovery_once(self):
-        self.observe(suspicion.HealthSignal.FAILURE)
+        self.observe(suspicion.SuspicionSignal.FAILURE)
         self.assertEqual(1, len(self.due_updates()))
         updates = []
         for _ in range(20):
             self.advance()
-            self.observe(suspicion.HealthSignal.SUCCESS)
+            self.observe(suspicion.SuspicionSignal.SUCCESS)
             updates += self.due_updates()
 
         self.assertLess(
-            updates[-1].status.suspicion, suspicion.SUSPECT_THRESHOLD
+            updates[-1].report.suspicion, suspicion.SUSPECT_THRESHOLD
         )
         self.assertEqual(
-            [], [item for item in updates[:-1] if item.status.suspicion < 0.11]
+            [], [item for item in updates[:-1] if item.report.suspicion < 0.11]
         )
 
     def test_no_update_without_new_signals(self):
         """Sender and receivers decay the suspicion in the same way."""
-        self.observe(suspicion.HealthSignal.FAILURE)
+        self.observe(suspicion.SuspicionSignal.FAILURE)
         self.due_updates()
         self.advance(10 * SECOND)
 
@@ -66,7 +66,7 @@
         count = 0
         for _ in range(1000):
             self.advance(SECOND / 100)
-            self.observe(suspicion.HealthSignal.FAILURE)
+            self.observe(suspicion.SuspicionSignal.FAILURE)
             count += len(self.due_updates())
 
         self.assertLessEqual(
@@ -75,13 +75,13 @@
         self.assertGreater(count, 20)
 
     def test_removed_target_is_pushed_again_when_it_is_back(self):
-        self.observe(suspicion.HealthSignal.FAILURE)
+        self.observe(suspicion.SuspicionSignal.FAILURE)
         self.due_updates()
         self.advance()
         other = peer_updates.TargetSnapshot(
-            peer_updates.TargetUpdate("t2", exchange.TargetStatus(0, 0.9)), 1
+            peer_updates.TargetUpdate("t2", exchange.TargetReport(0, 0.9)), 1
         )
-        self.publisher.due_updates([other], self.now)
+        self.publisher.take_due_updates([other], self.now)
         self.advance()
 
         self.assertEqual(1, len(self.due_updates()))
--- a/endivewind/tests/decisions/quotas_tests.py
+++ b/endivewind/tests/decisions/quotas_tests.py
@@ -15,7 +15,7 @@
 
 class TokenBucketTest(unittest.TestCase):
     def setUp(self):
-        self.limit = quotas.Limit(rate=2, capacity=3)
+        self.limit = quotas.BucketLimits(rate=2, capacity=3)
         self.bucket = quotas.TokenBucket(self.limit, 3, 0 * SECOND)
 
     def test_burst_then_rate(self):
@@ -37,7 +37,7 @@
         self.assertEqual(3, self.bucket.take(50, 0 * SECOND))
 
     def test_lower_limit_applies_at_once(self):
-        self.bucket.configure(quotas.Limit(0.1, 1), 0 * SECOND)
+        self.bucket.configure(quotas.BucketLimits(0.1, 1), 0 * SECOND)
 
         self.assertEqual(1, self.bucket.take(5, 0 * SECOND))
 
@@ -68,7 +68,7 @@
     ):
         """Checks the tolerated bound in every window of five seconds."""
         tolerance = quotas.Tolerance(5 * SECOND, 0.1, 20)
-        limit = quotas.Limit.for_zone(rate, burst, zones, tolerance)
+        limit = quotas.BucketLimits.for_zone(rate, burst, zones, tolerance)
         now = 0 * SECOND
         buckets = [
             quotas.TokenBucket(limit, limit.capacity, now) for _ in range(zones)
--- a/endivewind/tests/decisions/retries_tests.py
+++ b/endivewind/tests/decisions/retry_budget_tests.py
@@ -7,7 +7,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from endivewind.decisions import retries
+from endivewind.decisions import retry_budget
 
 _NOW = datetime.timedelta(seconds=100)
 _SECOND = datetime.timedelta(seconds=1)
@@ -26,36 +26,38 @@
         strategies.integers(0, 100), strategies.lists(strategies.booleans())
     )
     def test_retries_stay_within_the_share(self, percent, wants):
-        budget = retries.RetryBudget(retries.RetryLimits(percent / 100))
+        budget = retry_budget.RetryBudget(
+            retry_budget.RetryLimits(percent / 100)
+        )
         taken = 0
         for want in wants:
             budget.record_request(_NOW)
             taken += want and budget.take(_NOW)
 
         share = len(wants) * percent / 100
-        self.assertLessEqual(taken, share + retries.DEFAULT_RESERVE)
+        self.assertLessEqual(taken, share + retry_budget.DEFAULT_RESERVE)
 
     def test_quiet_hour_saves_up_no_retries(self):
         """Everything fails at once after an hour without a failure.
 
         The budget is a share of the requests of the last window only.
         """
-        budget = retries.RetryBudget(retries.RetryLimits(0.2))
+        budget = retry_budget.RetryBudget(retry_budget.RetryLimits(0.2))
         for second in range(3600):
             budget.record_request(second * _SECOND)
 
         taken = sum(budget.take(3600 * _SECOND) for _ in range(1_000))
 
-        share = 0.2 * (retries.DEFAULT_WINDOW / _SECOND)
-        self.assertLessEqual(taken, share + retries.DEFAULT_RESERVE)
+        share = 0.2 * (retry_budget.DEFAULT_WINDOW / _SECOND)
+        self.assertLessEqual(taken, share + retry_budget.DEFAULT_RESERVE)
         self.assertGreater(taken, share)
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=50)
     @hypothesis.given(strategies.randoms(use_true_random=False))
     def test_every_window_stays_within_the_bound(self, rng):
         """Traffic of varying rate in which every request needs a retry."""
-        limits = retries.RetryLimits(0.2, reserve=2)
-        budget = retries.RetryBudget(limits)
+        limits = retry_budget.RetryLimits(0.2, reserve=2)
+        budget = retry_budget.RetryBudget(limits)
         asked, taken = [], []
         now = _NOW
         for _ in range(600):
@@ -79,13 +81,15 @@
         although the other nodes have ten shared retries left. Before its
         counts can have reached the others, it uses at most a sixth of them.
         """
-        limits = retries.RetryLimits(0.2, reserve=0.5)
-        budget = retries.RetryBudget(limits)
+        limits = retry_budget.RetryLimits(0.2, reserve=0.5)
+        budget = retry_budget.RetryBudget(limits)
         for _ in range(10):
             budget.record_request(_NOW)
         alone = sum(budget.take(_NOW, may_borrow=True) for _ in range(20))
         for number in range(5):
-            budget.update_peer(f"n{number}", retries.RequestCounts(10, 0), _NOW)
+            budget.update_peer(
+                f"n{number}", retry_budget.RequestCounts(10, 0), _NOW
+            )
 
         refused = sum(budget.take(_NOW) for _ in range(20))
         at_once = sum(budget.take(_NOW, may_borrow=True) for _ in range(20))
@@ -101,8 +105,8 @@
 
         Its own limit is less than one retry; the zone shares two and a half.
         """
-        limits = retries.RetryLimits(0.2, reserve=0.6, neighbour_count=4)
-        budget = retries.RetryBudget(limits)
+        limits = retry_budget.RetryLimits(0.2, reserve=0.6, neighbour_count=4)
+        budget = retry_budget.RetryBudget(limits)
         budget.record_request(_NOW)
 
         self.assertFalse(budget.take(_NOW))
@@ -115,17 +119,17 @@
 
     def test_retries_used_by_others_are_not_shared_until_the_window_ends(self):
         """The shared retries are spent; a node still has its own fifth."""
-        limits = retries.RetryLimits(0.2, reserve=0.5)
-        budget = retries.RetryBudget(limits)
+        limits = retry_budget.RetryLimits(0.2, reserve=0.5)
+        budget = retry_budget.RetryBudget(limits)
         for _ in range(25):
             budget.record_request(_NOW)
-        budget.update_peer("n1", retries.RequestCounts(25, 10), _NOW)
+        budget.update_peer("n1", retry_budget.RequestCounts(25, 10), _NOW)
 
         self.assertTrue(budget.take(_NOW, may_borrow=True))
         self.assertFalse(budget.take(_NOW, may_borrow=True))
         self.assertEqual(1.0, budget.spent_share(_NOW))
 
-        later = _NOW + retries.DEFAULT_WINDOW
+        later = _NOW + retry_budget.DEFAULT_WINDOW
         for _ in range(10):
             budget.record_request(later)
         self.assertEqual(0.0, budget.spent_share(later))
@@ -148,8 +152,10 @@
         A node may use what others have left, and each keeps a fifth for
         itself. No retry may be spent twice, as a shared one and a kept one.
         """
-        limits = retries.RetryLimits(0.2, 0.5, neighbour_count=len(wants) - 1)
-        nodes = [retries.RetryBudget(limits) for _ in wants]
+        limits = retry_budget.RetryLimits(
+            0.2, 0.5, neighbour_count=len(wants) - 1
+        )
+        nodes = [retry_budget.RetryBudget(limits) for _ in wants]
         bound, taken = 0.0, 0
         for number, (requests, _) in enumerate(wants):
             bound += 0.2 * requests + 0.5
@@ -170,7 +176,9 @@
 
     def test_charged_retries_reduce_later_ones(self):
         """Calls made by a retried request are charged, but never refused."""
-        budget = retries.RetryBudget(retries.RetryLimits(0.2, reserve=3))
+        budget = retry_budget.RetryBudget(
+            retry_budget.RetryLimits(0.2, reserve=3)
+        )
         for _ in range(4):
             budget.charge(_NOW)
 
@@ -192,8 +200,8 @@
 
     def _run_outage(self, rng):
         """Returns requests and retries of sixteen nodes in one window."""
-        limits = retries.RetryLimits(0.16, reserve=1.6)
-        nodes = [retries.RetryBudget(limits) for _ in range(16)]
+        limits = retry_budget.RetryLimits(0.16, reserve=1.6)
+        nodes = [retry_budget.RetryBudget(limits) for _ in range(16)]
         taken, asked = 0, 0
         for step in range(100):
             now = _NOW + step * _SECOND / 10
@@ -211,6 +219,6 @@
         return asked, taken
 
     def test_share_of_zero_disables_retries(self):
-        budget = retries.RetryBudget(retries.RetryLimits(0))
+        budget = retry_budget.RetryBudget(retry_budget.RetryLimits(0))
 
         self.assertFalse(budget.take(_NOW))
--- a/endivewind/tests/decisions/suspicion_tests.py
+++ b/endivewind/tests/decisions/suspicion_tests.py
@@ -9,7 +9,7 @@
 from endivewind.decisions import suspicion
 
 SECOND = datetime.timedelta(seconds=1)
-Signal = suspicion.HealthSignal
+Signal = suspicion.SuspicionSignal
 
 
 class SuspicionTest(unittest.TestCase):
--- a/endivewind/tests/deploy_tests.py
+++ b/endivewind/tests/deploy_tests.py
@@ -93,7 +93,7 @@
         text = (style.ROOT / "deploy/settings.yaml").read_text()
         loaded = base.load_text(_render(text), "f", settings.NodeSettings)
 
-        defaults = loaded.ok.model.defaults
+        defaults = loaded.ok.model.effective_defaults
 
         self.assertEqual(15, defaults.retry_percent)
         self.assertEqual(153, defaults.retry_reserve)
--- a/endivewind/tests/docs_tests.py
+++ b/endivewind/tests/docs_tests.py
@@ -46,9 +46,9 @@
     def test_page_is_up_to_date(self):
         text = reference.PAGE.read_text()
 
-        self.assertIn(reference.MARK, text)
+        self.assertIn(reference.GENERATED_MARKER, text)
         self.assertEqual(
-            reference.page(text),
+            reference.update_page(text),
             text,
             "run python -m endivewind.config.reference",
         )
--- a/endivewind/tests/durable/audit_recorder_tests.py
+++ b/endivewind/tests/durable/audit_recorder_tests.py
@@ -6,7 +6,7 @@
 import unittest.mock
 
 from endivewind.durable import audit
-from endivewind.durable import auditor
+from endivewind.durable import audit_recorder
 from endivewind.standins import faults
 from endivewind.targets import records
 from endivewind.tests.platform import platforms
@@ -22,7 +22,7 @@
     3,
     1,
     records.State.READY,
-    records.Health.NORMAL,
+    records.EjectionStatus.NORMAL,
 )
 
 
@@ -30,7 +30,7 @@
     async def asyncSetUp(self):
         self.platform = platforms.Platform()
         await self.enterAsyncContext(self.platform)
-        self.auditor = auditor.Auditor(
+        self.auditor = audit_recorder.AuditRecorder(
             "node-a",
             7,
             self.platform.client,
@@ -40,19 +40,19 @@
 
     def _change_target(self, **fields):
         changed = dataclasses.replace(TARGET, **fields)
-        self.auditor.targets([changed], {"riders-1": "errors"})
+        self.auditor.record_targets([changed], {"riders-1": "errors"})
 
     async def _trail(self):
         trail = await audit.read(self.platform.client)
         return [item.action.value for item in trail.ok]
 
     async def test_ejections_drains_and_membership_are_recorded_once(self):
-        self.auditor.membership(audit.Action.JOIN)
+        self.auditor.record_membership(audit.Action.JOIN)
         for _ in range(2):
             self._change_target()
-            self._change_target(health=records.Health.EJECTED)
-            self._change_target(health=records.Health.EJECTED)
-            self._change_target(health=records.Health.TRIAL)
+            self._change_target(health=records.EjectionStatus.EJECTED)
+            self._change_target(health=records.EjectionStatus.EJECTED)
+            self._change_target(health=records.EjectionStatus.TRIAL)
         self._change_target(state=records.State.DRAINING)
 
         await self.auditor.flush()
@@ -76,21 +76,21 @@
 
         The record must not be lost, and the ejection must not wait for it.
         """
-        self._change_target(health=records.Health.EJECTED)
+        self._change_target(health=records.EjectionStatus.EJECTED)
         self.platform.standin.set_faults(
-            faults.Fault(mode=faults.Mode.RATE_LIMIT, per_second=0)
+            faults.Fault(mode=faults.FaultMode.RATE_LIMIT, per_second=0)
         )
         with (
-            unittest.mock.patch.object(audit, "ATTEMPTS", 1),
+            unittest.mock.patch.object(audit, "MAX_ATTEMPTS", 1),
             unittest.mock.patch.object(
-                auditor.retries.Backoff, "next_seconds", return_value=0
+                audit_recorder.retries.Backoff, "next_seconds", return_value=0
             ),
         ):
             await self.auditor.flush()
-        self.assertEqual(1, len(self.auditor.waiting))
+        self.assertEqual(1, len(self.auditor.pending))
 
         self.platform.standin.set_faults()
         await self.auditor.flush()
 
-        self.assertEqual((), self.auditor.waiting)
+        self.assertEqual((), self.auditor.pending)
         self.assertEqual(["eject"], await self._trail())
--- a/endivewind/tests/durable/audit_tests.py
+++ b/endivewind/tests/durable/audit_tests.py
@@ -51,7 +51,9 @@
     async def test_a_lost_response_adds_no_second_record(self):
         self.platform.standin.set_faults(
             faults.Fault(
-                mode=faults.Mode.ANSWER_LOST, count=1, methods=("POST", "PUT")
+                mode=faults.FaultMode.ANSWER_LOST,
+                count=1,
+                methods=("POST", "PUT"),
             )
         )
 
--- a/endivewind/tests/durable/membership_tests.py
+++ b/endivewind/tests/durable/membership_tests.py
@@ -21,8 +21,8 @@
         self.directory = membership.Directory(self.platform.client, self.zones)
 
     async def registered_incarnation(self):
-        listing = await self.directory.listed_at_start("z")
-        return membership.earlier_incarnation(listing, "node-a")
+        listing = await self.directory.list_zone_at_start("z")
+        return membership.registered_incarnation(listing, "node-a")
 
 
 class EarlierIncarnationTest(_DirectoryCase):
@@ -41,7 +41,7 @@
         self.assertEqual(0, await self.registered_incarnation())
 
     async def test_an_unavailable_platform_does_not_block_the_start(self):
-        for mode in (faults.Mode.OUTAGE, faults.Mode.BUSY):
+        for mode in (faults.FaultMode.OUTAGE, faults.FaultMode.BUSY):
             self.platform.standin.set_faults(faults.Fault(mode=mode))
             self.assertEqual(0, await self.registered_incarnation())
 
@@ -55,17 +55,19 @@
 
     async def test_a_known_version_saves_a_call(self):
         first = await self.directory.register(_record(700))
-        before = sum(self.platform.client.calls.values())
+        before = sum(self.platform.client.call_counts.values())
 
         await self.directory.register(_record(701), first.ok)
 
-        self.assertEqual(1, sum(self.platform.client.calls.values()) - before)
+        self.assertEqual(
+            1, sum(self.platform.client.call_counts.values()) - before
+        )
         self.assertEqual(701, await self.registered_incarnation())
 
     async def test_a_removed_object_is_created_again(self):
         first = await self.directory.register(_record(700))
-        listing = await self.directory.listed_at_start("z")
-        await self.directory.remove(listing.found["node-a"])
+        listing = await self.directory.list_zone_at_start("z")
+        await self.directory.remove(listing.registrations["node-a"])
 
         await self.directory.register(_record(701), first.ok)
 
@@ -73,10 +75,10 @@
 
     async def test_a_removal_keeps_a_later_incarnation(self):
         await self.directory.register(_record(700))
-        listing = await self.directory.listed_at_start("z")
+        listing = await self.directory.list_zone_at_start("z")
         await self.directory.register(_record(701))
 
-        await self.directory.remove(listing.found["node-a"])
+        await self.directory.remove(listing.registrations["node-a"])
 
         self.assertEqual(701, await self.registered_incarnation())
 
@@ -90,26 +92,28 @@
         await self.directory.register(_record(1))
         await self.directory.register(_record(2, "node-b", "y"))
 
-        listed = (await self.directory.listed("z")).ok
+        listed = (await self.directory.list_zone("z")).ok
 
-        self.assertEqual(["node-a"], list(listed.found))
+        self.assertEqual(["node-a"], list(listed.registrations))
         self.assertEqual(("10.0.0.1:1",), listed.addresses)
         self.assertEqual(("y",), self.directory.other_zones("z"))
 
     async def test_nodes_of_unknown_zones_share_a_list(self):
         await self.directory.register(_record(1, zone="x"))
 
-        listed = (await self.directory.listed("w")).ok
+        listed = (await self.directory.list_zone("w")).ok
 
-        self.assertEqual(["node-a"], list(listed.found))
+        self.assertEqual(["node-a"], list(listed.registrations))
         self.assertEqual(("y", "z"), self.directory.other_zones("x"))
 
     async def test_a_stale_listing_has_an_older_revision(self):
         """Recent writes may be missing; the revision shows that."""
-        self.platform.standin.set_faults(faults.Fault(mode=faults.Mode.STALE))
+        self.platform.standin.set_faults(
+            faults.Fault(mode=faults.FaultMode.STALE)
+        )
         written = await self.directory.register(_record(1))
 
-        listed = (await self.directory.listed("z")).ok
+        listed = (await self.directory.list_zone("z")).ok
 
-        self.assertEqual({}, listed.found)
+        self.assertEqual({}, listed.registrations)
         self.assertLess(listed.revision, written.ok)
--- a/endivewind/tests/durable/watcher_tests.py
+++ b/endivewind/tests/durable/watcher_tests.py
@@ -8,7 +8,7 @@
 
 from endivewind.durable import watcher
 from endivewind.platform import messages
-from endivewind.standins import virtual
+from endivewind.standins import virtual_loop
 
 COMPACTED = messages.PlatformError(messages.Failure.COMPACTED)
 WATCH_SECONDS = 30
@@ -46,10 +46,10 @@
 
 class WatcherTest(unittest.TestCase):
     def setUp(self):
-        self.loop = virtual.VirtualLoop()
+        self.loop = virtual_loop.VirtualLoop()
         self.addCleanup(self.loop.close)
         self.platform = _Platform()
-        self.read_mode = watcher.Role.NOTHING
+        self.read_mode = watcher.ReadMode.NONE
         self.versions = []
         self.watcher = watcher.Watcher(
             self.platform,
@@ -79,7 +79,7 @@
         Callers wait for the first configuration, so that the node lists soon
         again. The intervals grow, as the platform bills each listing.
         """
-        self.read_mode = watcher.Role.ONCE
+        self.read_mode = watcher.ReadMode.LIST
         self.run_for(4)
         self.assertGreaterEqual(len(self.platform.calls), 2)
 
@@ -90,7 +90,7 @@
 
     def test_a_watch_reports_what_a_stale_listing_missed(self):
         self.platform.stale_lag = 4
-        self.read_mode = watcher.Role.ALWAYS
+        self.read_mode = watcher.ReadMode.WATCH
 
         self.run_for(1)
 
@@ -107,7 +107,7 @@
         """
         self.platform.stale_lag = 4
         self.platform.compacted_before = 8
-        self.read_mode = watcher.Role.ALWAYS
+        self.read_mode = watcher.ReadMode.WATCH
 
         self.run_for(1)
 
--- a/endivewind/tests/loads/fleet.py
+++ b/endivewind/tests/loads/fleet.py
@@ -16,34 +16,34 @@
 from endivewind import exchange
 from endivewind.callers import gateway
 from endivewind.callers import placement
-from endivewind.callers import waiting
+from endivewind.callers import request_queues
 from endivewind.config import objects
 from endivewind.config import store
 from endivewind.decisions import load_balancing
 from endivewind.decisions import peer_updates
 from endivewind.nodes import view
-from endivewind.standins import virtual
+from endivewind.standins import virtual_loop
+from endivewind.targets import attempt_log
 from endivewind.targets import dispatch
-from endivewind.targets import handover
 from endivewind.targets import registry
 from endivewind.tests import samples
 
 SERVICE = "riders"
 ZONES = tuple(f"{region}-{part}" for region in "abc" for part in "xy")
 TARGETS_PER_ZONE = 2
-SLOTS = 3
+SLOTS_PER_TARGET = 3
 # One-way delay between zones of a region and between regions, as measured by
 # the users.
-ZONE_SECONDS = 0.0014
-REGION_SECONDS = 0.030
+SAME_REGION_DELAY_SECONDS = 0.0014
+CROSS_REGION_DELAY_SECONDS = 0.030
 # A failing target responds at once, without doing the work.
-FAILURE_SECONDS = 0.001
-LOOK_SECONDS = 0.1
-OLD = datetime.timedelta(seconds=10)
+FAILURE_LATENCY_SECONDS = 0.001
+CHECK_INTERVAL_SECONDS = 0.1
+INITIAL_UPTIME = datetime.timedelta(seconds=10)
 
 
 @dataclasses.dataclass(frozen=True)
-class Kind:
+class RequestKind:
     """One kind of request.
 
     Attributes:
@@ -59,34 +59,38 @@
 
     name: str
     per_second: float
-    work: float
-    spread: float
-    aim: float
+    mean_work: float
+    work_sigma: float
+    latency_objective: float
     timeout: float
-    once: bool = False
+    is_non_idempotent: bool = False
     rank: int = 1
 
     @property
     def route(self) -> objects.Route:
         """The configured route of these requests."""
-        repeat = objects.Repeat.NEVER if self.once else objects.Repeat.ALWAYS
+        repeat = (
+            objects.RepeatPolicy.NEVER
+            if self.is_non_idempotent
+            else objects.RepeatPolicy.ALWAYS
+        )
         return objects.Route(
             service=SERVICE,
             repeat=repeat,
             rank=self.rank,
             timeout_ms=round(1000 * self.timeout),
-            aim_ms=round(1000 * self.aim),
+            aim_ms=round(1000 * self.latency_objective),
             attempts=2,
         )
 
 
 # Non-idempotent and idempotent requests of one service of the users, at their
 # usual rates.
-ORDER = Kind("order", 48.4, 0.26, 0.3, 1.0, 2.0, once=True)
-LOOKUP = Kind("lookup", 16.1, 0.19, 0.8, 1.0, 1.5, rank=2)
+ORDER = RequestKind("order", 48.4, 0.26, 0.3, 1.0, 2.0, is_non_idempotent=True)
+LOOKUP = RequestKind("lookup", 16.1, 0.19, 0.8, 1.0, 1.5, rank=2)
 
 
-class Target:
+class FakeTarget:
     """A fake target, whose behavior a test changes during a run.
 
     Attributes:
@@ -97,23 +101,23 @@
     """
 
     def __init__(self, rng: random.Random) -> None:
-        self.fails = 0.012
-        self.factor = 1.0
-        self.hangs = 0.0
-        self.served = 0
+        self.failure_share = 0.012
+        self.slowdown = 1.0
+        self.hang_share = 0.0
+        self.served_count = 0
         self._rng = rng
 
     async def request(self, method, url, *, headers, trace_request_ctx, **_):
         """Stands in for `aiohttp.ClientSession.request`."""
-        trace_request_ctx.connected = True
+        trace_request_ctx.has_connection = True
         draw = self._rng.random()
-        if draw < self.hangs:
+        if draw < self.hang_share:
             await asyncio.Event().wait()
-        if draw < self.hangs + self.fails:
-            await asyncio.sleep(FAILURE_SECONDS)
+        if draw < self.hang_share + self.failure_share:
+            await asyncio.sleep(FAILURE_LATENCY_SECONDS)
             return _Response(500)
-        await asyncio.sleep(float(headers["Work"]) * self.factor)
-        self.served += 1
+        await asyncio.sleep(float(headers["Work"]) * self.slowdown)
+        self.served_count += 1
         return _Response(200)
 
 
@@ -133,7 +137,7 @@
 
 
 @dataclasses.dataclass
-class Outcome:
+class RequestStats:
     """Results of one kind of requests.
 
     Attributes:
@@ -146,23 +150,23 @@
       latencies: seconds of each request.
     """
 
-    asked: int = 0
-    in_aim: int = 0
+    request_count: int = 0
+    on_time: int = 0
     late: int = 0
     failed: int = 0
     refused: int = 0
-    unsure_refusals: int = 0
-    waits: list = dataclasses.field(default_factory=list)
+    refused_without_retry_after: int = 0
+    latencies: list = dataclasses.field(default_factory=list)
 
     @property
-    def lost(self) -> float:
+    def lost_share(self) -> float:
         """Share of requests that failed or were refused."""
-        return (self.failed + self.refused) / max(1, self.asked)
+        return (self.failed + self.refused) / max(1, self.request_count)
 
     @property
-    def in_time(self) -> float:
+    def on_time_share(self) -> float:
         """Share of requests with a response within the latency objective."""
-        return self.in_aim / max(1, self.asked)
+        return self.on_time / max(1, self.request_count)
 
 
 class Fleet:
@@ -174,7 +178,7 @@
         targets_per_zone: int = TARGETS_PER_ZONE,
         entries_per_zone: int = 1,
         sends_updates: bool = True,
-        slots: int = SLOTS,
+        slots: int = SLOTS_PER_TARGET,
         retries: tuple[int, int] = (20, 60),
     ) -> None:
         """Builds the fleet.
@@ -197,12 +201,12 @@
         self._publishers = collections.defaultdict(
             peer_updates.TargetUpdatePublisher
         )
-        self.loop = virtual.VirtualLoop()
-        self.clock = virtual.LoopClock(self.loop)
+        self.loop = virtual_loop.VirtualLoop()
+        self.clock = virtual_loop.LoopClock(self.loop)
         self.rng = random.Random(seed)
-        self.outcomes = collections.defaultdict(Outcome)
-        self.crossings = collections.Counter()
-        self.targets: dict[str, Target] = {}
+        self.stats = collections.defaultdict(RequestStats)
+        self.forwards_by_distance = collections.Counter()
+        self.targets: dict[str, FakeTarget] = {}
         self._dispatchers = {}
         self._registries = {}
         self._view = view.FleetView()
@@ -216,12 +220,12 @@
         if targets_per_zone:
             # With targets present at the start, entry nodes must have run for at
             # least one retry window.
-            self.loop.jump(OLD)
+            self.loop.advance(INITIAL_UPTIME)
         for zone in ZONES:
             for number in range(targets_per_zone):
                 self._add_target(f"{zone}-{number}", zone)
 
-    def draw(self, share):
+    def sample_targets(self, share):
         """Samples targets; each is included with probability `share`."""
         return [
             target
@@ -229,13 +233,13 @@
             if self.rng.random() < share
         ]
 
-    def join(self, name, zone):
+    def join_target(self, name, zone):
         """Adds a target without any history; returns it."""
         self._add_target(name, zone)
         self._announce(name)
         return self.targets[name]
 
-    def join_later(self, name, zone, seconds):
+    def schedule_join(self, name, zone, seconds):
         """Adds such a target during the next run, after `seconds`."""
         self._scheduled_joins.append((seconds, name, zone))
 
@@ -244,24 +248,24 @@
         for seconds, name, zone in sorted(self._scheduled_joins):
             await asyncio.sleep(seconds - now)
             now = seconds
-            self.join(name, zone)
+            self.join_target(name, zone)
 
     def _add_target(self, name, zone):
-        target = self.targets[name] = Target(self.rng)
+        target = self.targets[name] = FakeTarget(self.rng)
         home = registry.HomeIdentity(name, 1, zone[0], zone)
-        held = self._registries[name] = registry.TargetRegistry(
+        targets = self._registries[name] = registry.TargetRegistry(
             home, self.clock
         )
         self._dispatchers[name] = dispatch.Dispatcher(
-            held,
+            targets,
             target,
             target,
             self.clock,
-            dispatch.Unobserved(),
-            handover.HandOverLedger(),
+            dispatch.NullObserver(),
+            attempt_log.AttemptLog(),
         )
         self._view.put_node(view.NodeRecord(name, 1, name, zone[0], zone))
-        record = samples.target(
+        record = samples.make_target_record(
             name,
             home=name,
             region=zone[0],
@@ -272,10 +276,10 @@
 
     def _make_gateway(self, zone, number):
         place = load_balancing.Locality(f"entry-{zone}-{number}", zone[0], zone)
-        placed = placement.Placement(
+        entry_placement = placement.Placement(
             place, self._view, lambda _: 0, self.clock, self.rng
         )
-        self._placements[zone].append(placed)
+        self._placements[zone].append(entry_placement)
         configuration = store.ConfigurationStore()
         configuration.apply(
             store.SERVICE,
@@ -291,7 +295,7 @@
         )
         return gateway.Gateway(
             place.node,
-            placed,
+            entry_placement,
             configuration,
             self._view,
             None,
@@ -303,7 +307,7 @@
 
     async def forward(self, zone, home, target, head, body):
         """Delivers a request to a home node and returns its result."""
-        self.crossings[_distance(zone, home.zone)] += 1
+        self.forwards_by_distance[_distance(zone, home.zone)] += 1
         seconds = _delay_seconds(zone, home.zone)
         await asyncio.sleep(seconds)
         result = await self._dispatchers[home.name].run_forwarded(
@@ -312,7 +316,7 @@
         await asyncio.sleep(seconds)
         return result
 
-    def play(self, seconds, kinds, zones=ZONES, scale=1.0):
+    def run(self, seconds, kinds, zones=ZONES, scale=1.0):
         """Sends requests from callers of some zones.
 
         Args:
@@ -321,8 +325,8 @@
           zones: zones of the callers, which share the rates evenly.
           scale: factor of the rates.
         """
-        for name, held in self._registries.items():
-            held.announce(name, self._announcement, self._announcement.slots)
+        for name, targets in self._registries.items():
+            targets.announce(name, self._announcement, self._announcement.slots)
         self.loop.run_until_complete(self._run(seconds, kinds, zones, scale))
 
     def _announce(self, name):
@@ -357,20 +361,20 @@
 
     async def _check_periodically(self):
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             for dispatcher in self._dispatchers.values():
-                dispatcher.look()
+                dispatcher.check_overdue()
             if self._sends_updates:
                 self._send_updates()
 
     def _send_updates(self):
         now = self.clock.monotonic()
-        for name, held in self._registries.items():
+        for name, targets in self._registries.items():
             zone = name.rpartition("-")[0]
-            states = [item.state(now) for item in held.held()]
-            for update in self._publishers[name].due_updates(states, now):
-                for placed in self._placements[zone]:
-                    placed.hear(update)
+            states = [item.snapshot(now) for item in targets.home_targets()]
+            for update in self._publishers[name].take_due_updates(states, now):
+                for entry_placement in self._placements[zone]:
+                    entry_placement.apply_update(update)
         self._send_retry_usages()
 
     def _send_retry_usages(self):
@@ -380,10 +384,10 @@
             for number, entry in enumerate(self._entries[zone])
         ]
         for name, zone, entry in entries:
-            for usage in entry.budgets.due():
+            for usage in entry.budgets.due_updates():
                 for other, other_zone, receiver in entries:
                     if other != name and self._share_retries(zone, other_zone):
-                        receiver.budgets.hear(name, usage)
+                        receiver.budgets.update_peer(name, usage)
 
     def _share_retries(self, zone, other):
         """Returns whether the entry nodes of two zones share retry budgets."""
@@ -393,8 +397,8 @@
 
     async def _send_request(self, kind, zone):
         route = kind.route
-        mean = math.log(kind.work) - kind.spread**2 / 2
-        work = self.rng.lognormvariate(mean, kind.spread)
+        mean = math.log(kind.mean_work) - kind.work_sigma**2 / 2
+        work = self.rng.lognormvariate(mean, kind.work_sigma)
         request_id = f"{self.rng.getrandbits(64):x}"
         head = exchange.RequestHead(
             request_id,
@@ -404,30 +408,32 @@
             SERVICE,
             "",
             datetime.timedelta(seconds=kind.timeout),
-            ticket=request_id if kind.once else "",
-            latency_objective=datetime.timedelta(seconds=kind.aim),
-            queue_priority=waiting.level(route),
+            ticket=request_id if kind.is_non_idempotent else "",
+            latency_objective=datetime.timedelta(
+                seconds=kind.latency_objective
+            ),
+            queue_priority=request_queues.queue_priority(route),
         )
         started = self.loop.time()
         entry = self.rng.choice(self._entries[zone])
         result = await entry.serve(route, head, exchange.RequestBody())
-        self._count(self.outcomes[kind.name], kind, result, started)
+        self._count(self.stats[kind.name], kind, result, started)
 
     def _count(self, outcome, kind, result, started):
         latency = self.loop.time() - started
-        outcome.asked += 1
-        outcome.waits.append(latency)
+        outcome.request_count += 1
+        outcome.latencies.append(latency)
         if result.is_error():
-            not_run = result.error.outcome is exchange.Outcome.NOT_RUN
+            not_run = result.error.outcome is exchange.ExecutionOutcome.NOT_RUN
             outcome.refused += not_run
             outcome.failed += not not_run
-            outcome.unsure_refusals += (
+            outcome.refused_without_retry_after += (
                 not_run and result.error.retry_after is None
             )
         elif result.ok.status != 200:
             outcome.failed += 1
-        elif latency <= kind.aim:
-            outcome.in_aim += 1
+        elif latency <= kind.latency_objective:
+            outcome.on_time += 1
         else:
             outcome.late += 1
 
@@ -450,5 +456,9 @@
 
 
 def _delay_seconds(zone, other):
-    delays = {"zone": 0.0001, "region": ZONE_SECONDS, "far": REGION_SECONDS}
+    delays = {
+        "zone": 0.0001,
+        "region": SAME_REGION_DELAY_SECONDS,
+        "far": CROSS_REGION_DELAY_SECONDS,
+    }
     return delays[_distance(zone, other)]
--- a/endivewind/tests/loads/spells_tests.py
+++ b/endivewind/tests/loads/gray_failure_tests.py
@@ -24,13 +24,13 @@
     """Simulates a series of gray failures; returns the fleet with its counts."""
     simulated = fleet.Fleet(seed, **fleet_options)
     for _ in range(FAULT_COUNT):
-        unhealthy = simulated.draw(UNHEALTHY_SHARE)
+        unhealthy = simulated.sample_targets(UNHEALTHY_SHARE)
         for target in unhealthy:
-            target.fails = FAILURE_SHARE
-        simulated.play(FAULT_SECONDS, kinds)
+            target.failure_share = FAILURE_SHARE
+        simulated.run(FAULT_SECONDS, kinds)
         for target in unhealthy:
-            target.fails = 0.012
-        simulated.play(FAULT_INTERVAL_SECONDS - FAULT_SECONDS, kinds)
+            target.failure_share = 0.012
+        simulated.run(FAULT_INTERVAL_SECONDS - FAULT_SECONDS, kinds)
     return simulated
 
 
@@ -50,11 +50,11 @@
         for seed in (1, 2):
             after = _run(seed)
             with self.subTest(seed):
-                self.assertGreater(before.outcomes["order"].lost, 0.08)
-                self.assertLess(after.outcomes["order"].lost, 0.03)
-                self.assertLess(after.outcomes["lookup"].lost, 0.025)
-                self.assertGreater(after.outcomes["order"].in_time, 0.95)
-                self._check_cross_region_traffic(after.crossings)
+                self.assertGreater(before.stats["order"].lost_share, 0.08)
+                self.assertLess(after.stats["order"].lost_share, 0.03)
+                self.assertLess(after.stats["lookup"].lost_share, 0.025)
+                self.assertGreater(after.stats["order"].on_time_share, 0.95)
+                self._check_cross_region_traffic(after.forwards_by_distance)
 
     def _check_cross_region_traffic(self, forwards_by_distance):
         """Traffic to other regions costs money and must be the last resort."""
@@ -66,11 +66,11 @@
         """A target that was unhealthy must be used again after it recovered."""
         simulated = _run(seed=3)
         for target in simulated.targets.values():
-            target.served = 0
+            target.served_count = 0
 
-        simulated.play(20, (fleet.ORDER, fleet.LOOKUP))
+        simulated.run(20, (fleet.ORDER, fleet.LOOKUP))
 
-        served = [target.served for target in simulated.targets.values()]
+        served = [target.served_count for target in simulated.targets.values()]
         mean = sum(served) / len(served)
         self.assertGreater(min(served), mean / 3)
 
@@ -97,9 +97,10 @@
         after = _run(2, kinds, **size)
 
         self.assertLess(
-            after.outcomes["lookup"].lost, 0.7 * before.outcomes["lookup"].lost
+            after.stats["lookup"].lost_share,
+            0.7 * before.stats["lookup"].lost_share,
         )
-        self.assertLess(after.outcomes["order"].lost, 0.035)
+        self.assertLess(after.stats["order"].lost_share, 0.035)
 
 
 class HangTest(unittest.TestCase):
@@ -112,11 +113,11 @@
         the hanging target must get no orders once a few are overdue.
         """
         simulated = fleet.Fleet()
-        simulated.play(5, (fleet.ORDER, fleet.LOOKUP))
-        next(iter(simulated.targets.values())).hangs = 0.6
-        simulated.outcomes.clear()
+        simulated.run(5, (fleet.ORDER, fleet.LOOKUP))
+        next(iter(simulated.targets.values())).hang_share = 0.6
+        simulated.stats.clear()
 
-        simulated.play(10, (fleet.ORDER, fleet.LOOKUP))
+        simulated.run(10, (fleet.ORDER, fleet.LOOKUP))
 
-        self.assertLess(simulated.outcomes["lookup"].lost, 0.03)
-        self.assertLess(simulated.outcomes["order"].lost, 0.05)
+        self.assertLess(simulated.stats["lookup"].lost_share, 0.03)
+        self.assertLess(simulated.stats["order"].lost_share, 0.05)
--- a/endivewind/tests/loads/joining_tests.py
+++ b/endivewind/tests/loads/joining_tests.py
@@ -29,8 +29,8 @@
         for seed in (1, 2, 3):
             with self.subTest(seed):
                 simulated = fleet.Fleet(seed, slots=SLOTS)
-                simulated.play(20, REQUEST_KINDS, scale=RATE_FACTOR)
-                joined = simulated.join("a-x-new", "a-x")
+                simulated.run(20, REQUEST_KINDS, scale=RATE_FACTOR)
+                joined = simulated.join_target("a-x-new", "a-x")
                 self._check_share(simulated, joined)
 
     def test_target_that_was_idle_for_long_gets_requests_again(self):
@@ -41,20 +41,20 @@
         for seed in (1, 2, 3):
             with self.subTest(seed):
                 simulated = fleet.Fleet(seed, slots=SLOTS)
-                simulated.play(10, REQUEST_KINDS, scale=RATE_FACTOR)
+                simulated.run(10, REQUEST_KINDS, scale=RATE_FACTOR)
                 idle = simulated.targets["a-x-0"]
-                idle.fails = 1.0
-                simulated.play(3, REQUEST_KINDS, scale=RATE_FACTOR)
-                idle.fails = 0.0
-                simulated.play(
+                idle.failure_share = 1.0
+                simulated.run(3, REQUEST_KINDS, scale=RATE_FACTOR)
+                idle.failure_share = 0.0
+                simulated.run(
                     40, REQUEST_KINDS, zones=fleet.ZONES[1:], scale=RATE_FACTOR
                 )
                 self._check_share(simulated, idle)
 
     def _check_share(self, simulated, target):
         for item in simulated.targets.values():
-            item.served = 0
-        simulated.play(30, REQUEST_KINDS, scale=RATE_FACTOR)
-        served = [item.served for item in simulated.targets.values()]
+            item.served_count = 0
+        simulated.run(30, REQUEST_KINDS, scale=RATE_FACTOR)
+        served = [item.served_count for item in simulated.targets.values()]
         mean = sum(served) / len(served)
-        self.assertGreater(target.served, MIN_SHARE_OF_MEAN * mean)
+        self.assertGreater(target.served_count, MIN_SHARE_OF_MEAN * mean)
--- a/endivewind/tests/loads/pressure_tests.py
+++ b/endivewind/tests/loads/load_pattern_tests.py
@@ -10,8 +10,8 @@
 
 from endivewind.tests.loads import fleet
 
-VENUE = fleet.Kind("venue", 18.8, 0.48, 0.5, 1.5, 3.0, rank=2)
-SCHEDULE = fleet.Kind("schedule", 12.6, 0.077, 0.3, 0.5, 2.0)
+VENUE = fleet.RequestKind("venue", 18.8, 0.48, 0.5, 1.5, 3.0, rank=2)
+SCHEDULE = fleet.RequestKind("schedule", 12.6, 0.077, 0.3, 0.5, 2.0)
 USUAL_KINDS = (fleet.ORDER, fleet.LOOKUP)
 
 
@@ -22,15 +22,15 @@
         Hardly any request is lost, and latencies are as before once it ends.
         """
         simulated = fleet.Fleet()
-        simulated.play(10, USUAL_KINDS)
-        simulated.play(3, USUAL_KINDS, scale=1.7)
-        burst = simulated.outcomes["order"]
-        self.assertLess(burst.lost, 0.03)
-        simulated.outcomes.clear()
+        simulated.run(10, USUAL_KINDS)
+        simulated.run(3, USUAL_KINDS, scale=1.7)
+        burst = simulated.stats["order"]
+        self.assertLess(burst.lost_share, 0.03)
+        simulated.stats.clear()
 
-        simulated.play(10, USUAL_KINDS)
+        simulated.run(10, USUAL_KINDS)
 
-        self.assertGreater(simulated.outcomes["order"].in_time, 0.96)
+        self.assertGreater(simulated.stats["order"].on_time_share, 0.96)
 
 
 class SkewTest(unittest.TestCase):
@@ -43,10 +43,10 @@
         """
         simulated = fleet.Fleet()
 
-        simulated.play(20, USUAL_KINDS, zones=fleet.ZONES[:1], scale=0.3)
+        simulated.run(20, USUAL_KINDS, zones=fleet.ZONES[:1], scale=0.3)
 
-        crossings = simulated.crossings
-        self.assertGreater(simulated.outcomes["order"].in_time, 0.95)
+        crossings = simulated.forwards_by_distance
+        self.assertGreater(simulated.stats["order"].on_time_share, 0.95)
         self.assertGreater(crossings["region"], 5 * crossings["far"])
         self.assertLess(crossings["far"] / crossings.total(), 0.05)
 
@@ -58,17 +58,17 @@
         With an equal share of the requests it would delay one order in twelve.
         """
         simulated = fleet.Fleet()
-        simulated.play(5, USUAL_KINDS)
+        simulated.run(5, USUAL_KINDS)
         slow_target = next(iter(simulated.targets.values()))
-        slow_target.factor = 5.0
-        slow_target.served = 0
-        simulated.outcomes.clear()
+        slow_target.slowdown = 5.0
+        slow_target.served_count = 0
+        simulated.stats.clear()
 
-        simulated.play(20, USUAL_KINDS)
+        simulated.run(20, USUAL_KINDS)
 
-        mean = simulated.outcomes["order"].asked / len(simulated.targets)
-        self.assertLess(slow_target.served, mean / 2)
-        self.assertGreater(simulated.outcomes["order"].in_time, 0.93)
+        mean = simulated.stats["order"].request_count / len(simulated.targets)
+        self.assertLess(slow_target.served_count, mean / 2)
+        self.assertGreater(simulated.stats["order"].on_time_share, 0.93)
 
 
 class PriorityTest(unittest.TestCase):
@@ -79,10 +79,10 @@
         """
         simulated = fleet.Fleet()
 
-        simulated.play(20, (VENUE, SCHEDULE), scale=2.0)
+        simulated.run(20, (VENUE, SCHEDULE), scale=2.0)
 
-        self.assertGreater(simulated.outcomes["schedule"].in_time, 0.93)
-        self.assertGreater(simulated.outcomes["venue"].in_time, 0.85)
+        self.assertGreater(simulated.stats["schedule"].on_time_share, 0.93)
+        self.assertGreater(simulated.stats["venue"].on_time_share, 0.85)
 
 
 class SaturationTest(unittest.TestCase):
@@ -94,22 +94,31 @@
         """
         simulated = fleet.Fleet()
 
-        simulated.play(20, USUAL_KINDS, scale=3.0)
-
-        orders = simulated.outcomes["order"]
-        lookups = simulated.outcomes["lookup"]
-        self.assertGreater(1 - orders.lost, 1 - lookups.lost)
-        self.assertGreater(1 - orders.lost, 0.7)
-        self.assertEqual(0, orders.unsure_refusals + lookups.unsure_refusals)
-        done = sum(target.served for target in simulated.targets.values())
-        capacity = len(simulated.targets) * fleet.SLOTS * 20 / fleet.ORDER.work
+        simulated.run(20, USUAL_KINDS, scale=3.0)
+
+        orders = simulated.stats["order"]
+        lookups = simulated.stats["lookup"]
+        self.assertGreater(1 - orders.lost_share, 1 - lookups.lost_share)
+        self.assertGreater(1 - orders.lost_share, 0.7)
+        self.assertEqual(
+            0,
+            orders.refused_without_retry_after
+            + lookups.refused_without_retry_after,
+        )
+        done = sum(target.served_count for target in simulated.targets.values())
+        capacity = (
+            len(simulated.targets)
+            * fleet.SLOTS_PER_TARGET
+            * 20
+            / fleet.ORDER.mean_work
+        )
         self.assertGreater(done, 0.75 * capacity)
 
     def test_saturation_ends_with_the_load(self):
         simulated = fleet.Fleet()
-        simulated.play(10, USUAL_KINDS, scale=3.0)
-        simulated.outcomes.clear()
+        simulated.run(10, USUAL_KINDS, scale=3.0)
+        simulated.stats.clear()
 
-        simulated.play(10, USUAL_KINDS)
+        simulated.run(10, USUAL_KINDS)
 
-        self.assertGreater(simulated.outcomes["order"].in_time, 0.95)
+        self.assertGreater(simulated.stats["order"].on_time_share, 0.95)
--- a/endivewind/tests/loads/overflow_tests.py
+++ b/endivewind/tests/loads/overload_tests.py
@@ -13,9 +13,11 @@
 from endivewind.callers import placement
 from endivewind.tests.loads import fleet
 
-ORDER = fleet.Kind("order", 48.7, 0.66, 0.3, 3.0, 10.0, once=True)
+ORDER = fleet.RequestKind(
+    "order", 48.7, 0.66, 0.3, 3.0, 10.0, is_non_idempotent=True
+)
 # Short requests of a higher priority.
-CALL = fleet.Kind("call", 20, 0.16, 0.5, 0.6, 2.0, rank=0)
+CALL = fleet.RequestKind("call", 20, 0.16, 0.5, 0.6, 2.0, rank=0)
 SLOTS_PER_TARGET = 7
 ENTRIES_PER_ZONE = 6
 UNHEALTHY_TARGETS = 3
@@ -31,19 +33,19 @@
         simulated = fleet.Fleet(
             seed, slots=SLOTS_PER_TARGET, entries_per_zone=ENTRIES_PER_ZONE
         )
-        simulated.play(4, (ORDER, CALL))
+        simulated.run(4, (ORDER, CALL))
         for name in simulated.rng.sample(
             list(simulated.targets), UNHEALTHY_TARGETS
         ):
-            simulated.targets[name].fails = FAILURE_SHARE
-        simulated.play(1.5, (ORDER, CALL))
-        simulated.outcomes.clear()
-        simulated.play(5, (ORDER, CALL), scale=scale)
-        orders = simulated.outcomes["order"]
-        total["asked"] += orders.asked
+            simulated.targets[name].failure_share = FAILURE_SHARE
+        simulated.run(1.5, (ORDER, CALL))
+        simulated.stats.clear()
+        simulated.run(5, (ORDER, CALL), scale=scale)
+        orders = simulated.stats["order"]
+        total["asked"] += orders.request_count
         total["failed"] += orders.failed
         total["refused"] += orders.refused
-        total["unsure"] += orders.unsure_refusals
+        total["unsure"] += orders.refused_without_retry_after
     return {name: total[name] / total["asked"] for name in total}
 
 
@@ -56,7 +58,7 @@
         could wait for seconds.
         """
         with mock.patch.object(
-            placement._TargetLoad, "others_now", _peer_load_for_300_ms
+            placement._TargetLoad, "remaining_peer_load", _peer_load_for_300_ms
         ):
             before = _run()
         after = _run()
@@ -76,7 +78,11 @@
 
 
 def _peer_load_for_300_ms(load, usual, now):
-    return load.others if now - load.told < placement._GLANCE_LIFE else 0
+    return (
+        load.peer_load
+        if now - load.reported_at < placement._STATUS_LIFETIME
+        else 0
+    )
 
 
 if __name__ == "__main__":
--- a/endivewind/tests/loads/power_tests.py
+++ b/endivewind/tests/loads/power_tests.py
@@ -24,8 +24,8 @@
             seconds = simulated.rng.uniform(
                 FIRST_TARGET_SECONDS, LAST_TARGET_SECONDS
             )
-            simulated.join_later(f"{zone}-{number}", zone, seconds)
-    simulated.play(DURATION_SECONDS, REQUEST_KINDS)
+            simulated.schedule_join(f"{zone}-{number}", zone, seconds)
+    simulated.run(DURATION_SECONDS, REQUEST_KINDS)
     return simulated
 
 
@@ -39,23 +39,23 @@
         for seed in (1, 2, 3):
             with self.subTest(seed):
                 with mock.patch.object(
-                    placement, "SETTLING", datetime.timedelta()
+                    placement, "DISCOVERY_TIME", datetime.timedelta()
                 ):
-                    without_wait = _simulate(seed).outcomes["order"]
-                with_wait = _simulate(seed).outcomes["order"]
+                    without_wait = _simulate(seed).stats["order"]
+                with_wait = _simulate(seed).stats["order"]
                 self.assertGreater(without_wait.refused, 10)
                 self.assertEqual(0, with_wait.refused)
-                self.assertGreater(with_wait.in_time, 0.9)
+                self.assertGreater(with_wait.on_time_share, 0.9)
 
     def test_service_without_targets_is_refused_before_the_deadline(self):
         """Requests wait only while targets may still announce themselves."""
         simulated = _simulate(1, has_targets=False)
 
-        for outcome in simulated.outcomes.values():
-            self.assertEqual(outcome.asked, outcome.refused)
-            self.assertEqual(0, outcome.unsure_refusals)
-            max_wait = placement.SETTLING.total_seconds() + 0.2
-            self.assertLess(max(outcome.waits), max_wait)
+        for outcome in simulated.stats.values():
+            self.assertEqual(outcome.request_count, outcome.refused)
+            self.assertEqual(0, outcome.refused_without_retry_after)
+            max_wait = placement.DISCOVERY_TIME.total_seconds() + 0.2
+            self.assertLess(max(outcome.latencies), max_wait)
 
 
 if __name__ == "__main__":
--- a/endivewind/tests/loads/proofs_tests.py
+++ b/endivewind/tests/loads/proofs_tests.py
@@ -13,7 +13,7 @@
 from endivewind.config import freshness
 from endivewind.nodes import proofs
 from endivewind.nodes import view
-from endivewind.standins import virtual
+from endivewind.standins import virtual_loop
 
 BOUND = datetime.timedelta(seconds=5)
 REGIONS = 3
@@ -34,8 +34,8 @@
         )
         self.is_alive = True
         self.is_rejected = False
-        clock = virtual.LoopClock(fleet.loop)
-        self.proof = freshness.Freshness(lambda: 1, BOUND)
+        clock = virtual_loop.LoopClock(fleet.loop)
+        self.proof = freshness.FreshnessTracker(lambda: 1, BOUND)
         self.peer = proofs.ProofPeer(
             self.record,
             self.proof,
@@ -50,8 +50,8 @@
 
     def start(self):
         self.tasks = [
-            asyncio.create_task(self.peer.run_reading()),
-            asyncio.create_task(self.peer.run_asking()),
+            asyncio.create_task(self.peer.run_platform_reads()),
+            asyncio.create_task(self.peer.run_peer_queries()),
         ]
 
     def kill(self):
@@ -67,10 +67,10 @@
             await asyncio.sleep(timeout.total_seconds())
             return False
         await asyncio.sleep(PLATFORM_READ_SECONDS)
-        self.proof.proved(1, started_at)
+        self.proof.record_proof(1, started_at)
         return True
 
-    async def ask(self, address, query, timeout):
+    async def query(self, address, query, timeout):
         """Sends a query; stands in for the link pool."""
         self.fleet.query_count += 1
         other = self.fleet.by_name[address]
@@ -81,7 +81,7 @@
         await asyncio.sleep(
             CROSS_REGION_RTT_SECONDS if is_cross_region else REGION_RTT_SECONDS
         )
-        return other.peer.answer()
+        return other.peer.response_frame()
 
 
 class _Fleet:
@@ -109,13 +109,13 @@
         now = datetime.timedelta(seconds=self.loop.time())
         alive = [item for item in self.by_name.values() if item.is_alive]
         ages = [item.proof.age(now) or BOUND * 9 for item in alive]
-        unproved = sum(not item.proof.is_proved(now) for item in alive)
+        unproved = sum(not item.proof.is_fresh(now) for item in alive)
         return max(ages), unproved / len(alive)
 
 
 class ProofAgeTest(unittest.TestCase):
     def setUp(self):
-        self.loop = virtual.VirtualLoop()
+        self.loop = virtual_loop.VirtualLoop()
         self.addCleanup(self.loop.close)
 
     def simulate(self, size, seconds, events=()):
--- a/endivewind/tests/loads/quotas.py
+++ b/endivewind/tests/loads/quotas.py
@@ -10,11 +10,11 @@
 import dataclasses
 import random
 
-from endivewind.callers import allowances
+from endivewind.callers import quota_client
 from endivewind.decisions import quotas
 from endivewind.nodes import quotas as peers
 from endivewind.nodes import view
-from endivewind.standins import virtual
+from endivewind.standins import virtual_loop
 
 REGION_COUNT = 3
 ZONE_COUNT = 6
@@ -105,7 +105,7 @@
 
     def start(self):
         """Starts the node without any state."""
-        clock = virtual.LoopClock(self.fleet.loop)
+        clock = virtual_loop.LoopClock(self.fleet.loop)
         self.peer = peers.QuotaPeer(
             self.record,
             self.fleet.zone_count,
@@ -115,9 +115,11 @@
             clock,
             TOLERANCE,
         )
-        self.allowances = allowances.Allowances(self.peer.grant, clock)
+        self.allowances = quota_client.QuotaClient(
+            self.peer.request_tokens, clock
+        )
 
-    async def ask(self, address, question, limit):
+    async def query(self, address, question, limit):
         """Sends a message; stands in for the pool of links."""
         self.fleet.message_count += 1
         other = self.fleet.by_name[address]
@@ -126,7 +128,7 @@
             return None
         seconds = self.fleet.rtt_seconds(self, other)
         await asyncio.sleep(seconds / 2)
-        answer = await other.peer.answer(question.quota_ask)
+        answer = await other.peer.handle_query(question.quota_ask)
         await asyncio.sleep(seconds / 2)
         return answer
 
@@ -144,7 +146,7 @@
           zones: returns the zone by which a node shares quotas, from its
             number; None takes its own zone.
         """
-        self.loop = virtual.VirtualLoop()
+        self.loop = virtual_loop.VirtualLoop()
         self.rng = random.Random(seed)
         self.traffic = {item.workspace: item for item in traffic}
         self.quotas = {item.workspace: item.quota for item in traffic}
--- a/endivewind/tests/loads/sharing_tests.py
+++ b/endivewind/tests/loads/retry_sharing_tests.py
@@ -11,10 +11,10 @@
 from unittest import mock
 
 from endivewind.decisions import peer_updates
-from endivewind.decisions import retries
+from endivewind.decisions import retry_budget
 from endivewind.tests.loads import fleet
 
-LOOKUP = fleet.Kind("lookup", 26, 0.5, 0.6, 2.0, 8.0)
+LOOKUP = fleet.RequestKind("lookup", 26, 0.5, 0.6, 2.0, 8.0)
 SLOTS_PER_TARGET = 7
 ENTRIES_PER_ZONE = 6
 RETRY_LIMITS = (6, 12)
@@ -32,8 +32,8 @@
         entries_per_zone=ENTRIES_PER_ZONE,
         retries=RETRY_LIMITS,
     )
-    simulated.play(3, (LOOKUP,))
-    simulated.outcomes.clear()
+    simulated.run(3, (LOOKUP,))
+    simulated.stats.clear()
     return simulated
 
 
@@ -47,13 +47,13 @@
                 list(simulated.targets.values()), UNHEALTHY_TARGETS
             )
             for target in unhealthy:
-                target.fails = FAILURE_SHARE
-            simulated.play(5, (LOOKUP,))
+                target.failure_share = FAILURE_SHARE
+            simulated.run(5, (LOOKUP,))
             for target in unhealthy:
-                target.fails = 0.012
-            simulated.play(2, (LOOKUP,))
-        outcome = simulated.outcomes["lookup"]
-        total["asked"] += outcome.asked
+                target.failure_share = 0.012
+            simulated.run(2, (LOOKUP,))
+        outcome = simulated.stats["lookup"]
+        total["asked"] += outcome.request_count
         total["lost"] += outcome.failed + outcome.refused
     return total["lost"] / total["asked"]
 
@@ -80,10 +80,10 @@
         simulated = _warmed_up_fleet(seed)
         targets = list(simulated.targets.values())
         for target in simulated.rng.sample(targets, len(targets) // 2):
-            target.fails = FAILURE_SHARE
-        simulated.play(8, (LOOKUP,))
-        outcome = simulated.outcomes["lookup"]
-        total["asked"] += outcome.asked
+            target.failure_share = FAILURE_SHARE
+        simulated.run(8, (LOOKUP,))
+        outcome = simulated.stats["lookup"]
+        total["asked"] += outcome.request_count
         total["failed"] += outcome.failed
     return total["failed"] / total["asked"]
 
@@ -97,7 +97,9 @@
         retries run out they must be placed with the suspicion limits of
         non-idempotent requests.
         """
-        with mock.patch.object(retries.RetryBudget, "has_any", False):
+        with mock.patch.object(
+            retry_budget.RetryBudget, "allows_retries", False
+        ):
             before = _failed_share()
 
         self.assertLess(_failed_share(), 0.75 * before)
--- a/endivewind/tests/loads/silence_tests.py
+++ b/endivewind/tests/loads/silence_tests.py
@@ -12,8 +12,10 @@
 from endivewind.decisions import response_times
 from endivewind.tests.loads import fleet
 
-LOOKUP = fleet.Kind("lookup", 48, 0.66, 0.3, 2.15, 4.0, rank=2)
-ORDER = fleet.Kind("order", 48, 0.85, 0.8, 2.2, 4.0, once=True)
+LOOKUP = fleet.RequestKind("lookup", 48, 0.66, 0.3, 2.15, 4.0, rank=2)
+ORDER = fleet.RequestKind(
+    "order", 48, 0.85, 0.8, 2.2, 4.0, is_non_idempotent=True
+)
 UNHEALTHY_SHARE = 0.3
 HANG_SHARE = 0.75
 FAULT_PERIODS = 3
@@ -24,14 +26,14 @@
         seed, targets_per_zone=4, entries_per_zone=4, slots=8, retries=retries
     )
     for _ in range(FAULT_PERIODS):
-        unhealthy = simulation.draw(UNHEALTHY_SHARE)
+        unhealthy = simulation.sample_targets(UNHEALTHY_SHARE)
         for target in unhealthy:
-            target.hangs = HANG_SHARE
-        simulation.play(3, (LOOKUP, ORDER))
+            target.hang_share = HANG_SHARE
+        simulation.run(3, (LOOKUP, ORDER))
         for target in unhealthy:
-            target.hangs = 0.0
-        simulation.play(6, (LOOKUP, ORDER))
-    return simulation.outcomes
+            target.hang_share = 0.0
+        simulation.run(6, (LOOKUP, ORDER))
+    return simulation.stats
 
 
 class HangingTargetsTest(unittest.TestCase):
@@ -58,7 +60,7 @@
         """
         outcomes = _simulate(3, retries=(10, 24))
 
-        self.assertLess(outcomes["lookup"].lost, 0.03)
+        self.assertLess(outcomes["lookup"].lost_share, 0.03)
 
 
 class ResponseTimesTest(unittest.TestCase):
--- a/endivewind/tests/logs_tests.py
+++ b/endivewind/tests/logs_tests.py
@@ -41,21 +41,23 @@
 
     async def test_refusal_is_logged_with_request_id_without_secrets(self):
         async with processes.Fleet() as fleet:
-            node = await fleet.node("node-a", gossip_key="GOSSIP-KEY-7" * 4)
-            await fleet.target("riders-1", "riders", [node])
+            node = await fleet.start_node(
+                "node-a", gossip_key="GOSSIP-KEY-7" * 4
+            )
+            await fleet.start_target("riders-1", "riders", [node])
             await fleet.submit(path_tests.CONFIGURATION)
-            await node.message("in force", object="camerino")
+            await node.wait_for_message("in force", object="camerino")
             await _send(
                 node, "/riders/1", "kept-id", {"Standin-Fault": "close"}
             )
             await _send(node, "/nowhere", "lost-id")
-            refusal = await node.message(
+            refusal = await node.wait_for_message(
                 "refused", request_id="lost-id", reason="no-route"
             )
             await node.stop()
 
         self.assertEqual("not-run", refusal["outcome"])
-        log_text = json.dumps(node.seen)
+        log_text = json.dumps(node.lines)
         self.assertIn("kept-id", log_text)
         for secret in _SECRETS:
             self.assertNotIn(secret, log_text)
@@ -71,7 +73,7 @@
         "Cookie": "COOKIE-7",
         **(extra_headers or {}),
     }
-    url = f"http://{node.listening['callers']}{path}"
+    url = f"http://{node.listening_line['callers']}{path}"
     reason = "not-ready"
     async with aiohttp.ClientSession() as session:
         while reason == "not-ready":
--- a/endivewind/tests/metrics_tests.py
+++ b/endivewind/tests/metrics_tests.py
@@ -10,7 +10,7 @@
 from endivewind import clock as clocks
 from endivewind import exchange
 from endivewind import metrics
-from endivewind.callers import counts
+from endivewind.callers import request_metrics
 from endivewind.nodes import traffic
 from endivewind.platform import client
 from endivewind.targets import records
@@ -21,7 +21,7 @@
 _ROW = re.compile(r"^\| `([a-z_]+)` \| (\w+) \| ([^|]+) \|", re.MULTILINE)
 
 
-def _target(health: records.Health) -> records.TargetRecord:
+def _target(health: records.EjectionStatus) -> records.TargetRecord:
     return records.TargetRecord(
         "riders-1",
         "riders",
@@ -39,23 +39,25 @@
 
 def _scrape() -> str:
     clock = clocks.ManualClock()
-    requests = counts.RequestCounts(clock)
-    started_at = requests.started()
-    requests.placed("riders", 1)
-    requests.placed("riders", 2)
+    requests = request_metrics.RequestMetrics(clock)
+    started_at = requests.record_start()
+    requests.record_attempt("riders", 1)
+    requests.record_attempt("riders", 2)
     clock.advance(datetime.timedelta(milliseconds=3))
-    requests.ended(
+    requests.record_end(
         started_at, "riders", expression.Ok(exchange.Response(200, ()))
     )
     sources = metrics.Sources(
         requests=requests,
         health_changes={("riders", "ejected"): 2},
-        targets=lambda: [_target(records.Health.EJECTED)],
+        targets=lambda: [_target(records.EjectionStatus.EJECTED)],
         nodes=lambda: 5,
         idle_links=lambda: 4,
         version=lambda: 17,
-        sent_bytes={(traffic.Kind.NEWS, traffic.Distance.FAR): 90},
-        platform_calls={client.Call("watch", "config"): 6},
+        sent_bytes={
+            (traffic.Kind.PEER_UPDATES, traffic.Distance.OTHER_REGION): 90
+        },
+        platform_calls={client.CallLabels("watch", "config"): 6},
     )
     return metrics.NodeMetrics(sources).render().decode()
 
@@ -92,7 +94,7 @@
         scraped = re.findall(r"^# TYPE (\S+)", _scrape(), re.MULTILINE)
 
         self.assertEqual(
-            sorted(item.scraped_name for item in metrics.INSTRUMENTS),
+            sorted(item.prometheus_name for item in metrics.INSTRUMENTS),
             sorted(scraped),
         )
 
@@ -108,7 +110,7 @@
 
         self.assertEqual(
             {
-                (item.scraped_name, item.kind.value, item.unit.strip("{}"))
+                (item.prometheus_name, item.kind.value, item.unit.strip("{}"))
                 for item in metrics.INSTRUMENTS
             },
             listed,
--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -37,7 +37,7 @@
 
 
 _AT_MOST_ONCE = "proofs.at_most_once_tests"
-_TRUNCATION = "proofs.whole_answer_tests"
+_TRUNCATION = "proofs.truncation_tests"
 _ATTEMPT_LOG = "targets.attempt_log_tests"
 _FUZZ = "proofs.at_most_once_fuzz_tests"
 _LINKS = "nodes.links_tests"
@@ -56,22 +56,22 @@
     Mutant(
         "a caller's key is forwarded to the target",
         "callers/listener.py",
-        "                drop_key=call.is_keyed,\n",
+        "                drop_key=call.has_key_workspace,\n",
         "                drop_key=False,\n",
         "callers.workspaces_tests",
     ),
     Mutant(
         "requests with keys are served while the configuration may be outdated",
         "callers/authorization.py",
-        "    if status.is_proved():\n",
+        "    if status.is_fresh():\n",
         "    if True:\n",
         "callers.workspaces_tests",
     ),
     Mutant(
         "the age of another node's freshness proof is ignored",
         "config/freshness.py",
-        "        return self.proved(answer.version, asked - age)\n",
-        "        return self.proved(answer.version, asked)\n",
+        "        return self.record_proof(answer.version, asked - age)\n",
+        "        return self.record_proof(answer.version, asked)\n",
         "config.freshness_tests",
     ),
     Mutant(
@@ -93,15 +93,16 @@
     Mutant(
         "pending requests do not change the suspicion of their target",
         "targets/registry.py",
-        "        return math.prod("
-        "request.silence(now) for request in self.pending)\n",
+        "        return math.prod(\n"
+        "            request.pending_ratio(now) for request in self.pending_requests\n"
+        "        )\n",
         "        return 1.0\n",
         "loads.silence_tests",
     ),
     Mutant(
         "a pipelined non-idempotent request starts before its turn",
         "callers/listener.py",
-        "        if not routed.may_repeat(route, request.method):\n"
+        "        if not routed_request.is_idempotent(route, request.method):\n"
         "            return None\n",
         "",
         "callers.pipelining_tests",
@@ -109,14 +110,14 @@
     Mutant(
         "a stopping node closes a connection that has other active requests",
         "callers/listener.py",
-        "        if is_stopping and not _connection(call.request).has_begun:\n",
+        "        if is_stopping and not _connection(call.request).has_early_requests:\n",
         "        if is_stopping:\n",
         "callers.pipelining_tests",
     ),
     Mutant(
         "a request at a target is reported as not run when the node stops",
-        "callers/routed.py",
-        "        if self.is_open:\n",
+        "callers/routed_request.py",
+        "        if self.has_cancelled_attempt:\n",
         "        if False:\n",
         "callers.gateway_tests",
     ),
@@ -144,13 +145,13 @@
     Mutant(
         "a request is retried without a sealed not-run outcome",
         "exchange.py",
-        "        return self.outcome is Outcome.NOT_RUN\n",
-        "        return self.outcome is not Outcome.RAN\n",
+        "        return self.outcome is ExecutionOutcome.NOT_RUN\n",
+        "        return self.outcome is not ExecutionOutcome.RAN\n",
         _FUZZ,
     ),
     Mutant(
         "a late duplicate of a sealed attempt is accepted",
-        "targets/handover.py",
+        "targets/attempt_log.py",
         "    if number > known.number and known.is_sealed:\n",
         "    if number >= known.number and known.is_sealed:\n",
         _ATTEMPT_LOG,
@@ -172,7 +173,7 @@
     ),
     Mutant(
         "a silent connection counts as a failure of its target",
-        "targets/doubts.py",
+        "targets/silent_connections.py",
         "        if now < until:\n            return True\n",
         "        if now < until:\n            return False\n",
         _DISPATCH,
@@ -187,15 +188,14 @@
     Mutant(
         "an exceeded deadline is reported as not run",
         "targets/dispatch.py",
-        "    return expression.Error("
-        "exchange.unknown(exchange.Reason.DEADLINE, detail))\n",
-        "    return expression.Error("
-        "exchange.not_run(exchange.Reason.DEADLINE, detail))\n",
+        "        exchange.unknown_outcome_refusal("
+        "exchange.Reason.DEADLINE, detail)\n",
+        "        exchange.not_run_refusal(exchange.Reason.DEADLINE, detail)\n",
         _FUZZ,
     ),
     Mutant(
         "a ticket that was reported as not run can still start",
-        "callers/ticket_book.py",
+        "callers/ticket_store.py",
         "            self._refused_until = now\n",
         "",
         _TICKETS,
@@ -223,8 +223,8 @@
     ),
     Mutant(
         "a response that breaks off is taken as complete",
-        "targets/answers.py",
-        "            raise exchange.TruncatedAnswerError(detail) from error\n",
+        "targets/responses.py",
+        "            raise exchange.TruncatedResponseError(detail) from error\n",
         "            raise StopAsyncIteration from error\n",
         _TRUNCATION,
     ),
@@ -238,8 +238,8 @@
     Mutant(
         "a request body that breaks off is forwarded as complete",
         "targets/dispatch.py",
-        "        progress.broken_body = error\n        raise\n",
-        "        progress.broken_body = error\n",
+        "        progress.body_error = error\n        raise\n",
+        "        progress.body_error = error\n",
         _TRUNCATION,
     ),
     Mutant(
@@ -275,7 +275,7 @@
         "a late announcement restores a target that has left",
         "targets/registry.py",
         "            if announcement.incarnation:\n"
-        "                return Refused.LEFT\n",
+        "                return AnnouncementRefusal.DEPARTED\n",
         "",
         _HEARTBEATS,
     ),
@@ -295,14 +295,14 @@
     ),
     Mutant(
         "retries that neighbours have used are not counted",
-        "decisions/retries.py",
+        "decisions/retry_budget.py",
         "            left += (1 - KEPT_SHARE) * limit - used\n",
         "            left += (1 - KEPT_SHARE) * limit\n",
-        "decisions.retries_tests",
+        "decisions.retry_budget_tests",
     ),
     Mutant(
         "every node may use all remaining shared retries at once",
-        "decisions/retries.py",
+        "decisions/retry_budget.py",
         "        return self._allowance >= 1\n",
         "        return True\n",
         "callers.budgets_tests",
@@ -310,7 +310,7 @@
     Mutant(
         "after the loss of half the fleet the other nodes retry twice as much",
         "callers/budgets.py",
-        "            reserve = service.retry_reserve / max(1, self._size.most(nodes))\n",
+        "            reserve = service.retry_reserve / max(1, self._size.peak(nodes))\n",
         "            reserve = service.retry_reserve / max(1, nodes)\n",
         "callers.budgets_tests",
     ),
@@ -338,10 +338,10 @@
     ),
     Mutant(
         "the retry budget is unlimited",
-        "decisions/retries.py",
+        "decisions/retry_budget.py",
         "            if not self._has_allowance(now):\n",
         "            if not self._limits.share:\n",
-        "decisions.retries_tests",
+        "decisions.retry_budget_tests",
     ),
     Mutant(
         "a late departure removes the object of a later start",
--- a/endivewind/tests/node_tests.py
+++ b/endivewind/tests/node_tests.py
@@ -11,7 +11,7 @@
 from endivewind import node
 from endivewind.config import settings
 from endivewind.nodes import configuration
-from endivewind.nodes import service
+from endivewind.nodes import gossip_service
 
 # Nothing listens there, and a connection is refused at once.
 NO_PLATFORM = "http://127.0.0.1:9"
@@ -28,14 +28,16 @@
         """
         accepted = []
 
-        async def start(gossip: service.GossipService, address: str) -> None:
+        async def start(
+            gossip: gossip_service.GossipService, address: str
+        ) -> None:
             host, _, port = address.rpartition(":")
             _, writer = await asyncio.open_connection(host, int(port))
             writer.close()
             accepted.append(address)
 
         tested_node = self._make_node()
-        with mock.patch.object(service.GossipService, "start", start):
+        with mock.patch.object(gossip_service.GossipService, "start", start):
             addresses = await tested_node.start()
         self.addAsyncCleanup(self._stop, tested_node)
 
@@ -48,10 +50,15 @@
         retry: the same request would fail again.
         """
         tested_node = self._make_node()
-        peer, gossip = configuration.ConfigurationPeer, service.GossipService
+        peer, gossip = (
+            configuration.ConfigurationPeer,
+            gossip_service.GossipService,
+        )
         with (
             mock.patch.object(gossip, "start", mock.AsyncMock()),
-            mock.patch.object(gossip, "not_ready", lambda _: "no list yet"),
+            mock.patch.object(
+                gossip, "not_ready_reason", lambda _: "no list yet"
+            ),
             mock.patch.object(peer, "missing", lambda _: None),
         ):
             addresses = await tested_node.start()
@@ -69,7 +76,7 @@
             region="andina",
             zone="andina-a",
             platform=NO_PLATFORM,
-            audit=settings.Trail.LOG,
+            audit=settings.AuditDestination.LOG,
         )
         return node.Node.from_settings(
             config, clocks.SystemClock(), random.Random(1)
@@ -77,7 +84,9 @@
 
     async def _stop(self, tested_node: node.Node) -> None:
         """Stops the node; its gossip has never started."""
-        with mock.patch.object(service.GossipService, "stop", mock.AsyncMock()):
+        with mock.patch.object(
+            gossip_service.GossipService, "stop", mock.AsyncMock()
+        ):
             await tested_node.stop()
 
 
--- a/endivewind/tests/nodes/discovery_tests.py
+++ b/endivewind/tests/nodes/discovery_tests.py
@@ -12,7 +12,7 @@
 from endivewind.nodes import membership
 from endivewind.nodes import view
 from endivewind.platform import messages
-from endivewind.standins import virtual
+from endivewind.standins import virtual_loop
 
 ZONES = ("z", "y", "x")
 UNAVAILABLE = messages.PlatformError(messages.Failure.UNAVAILABLE)
@@ -38,7 +38,9 @@
         """Registers a node; returns the version."""
         self._revision += 1
         found = dict(self._history[-1][2])
-        found[record.name] = directories.Registered(record, self._revision)
+        found[record.name] = directories.NodeRegistration(
+            record, self._revision
+        )
         self._append(found)
         return self._revision
 
@@ -48,7 +50,7 @@
             return expression.Error(UNAVAILABLE)
         return expression.Ok(self.put(record))
 
-    async def listed(self, zone):
+    async def list_zone(self, zone):
         self.calls.append(("list", zone))
         if self.is_failing:
             return expression.Error(UNAVAILABLE)
@@ -83,9 +85,9 @@
 
 class _TestCase(unittest.TestCase):
     def setUp(self):
-        self.loop = virtual.VirtualLoop()
+        self.loop = virtual_loop.VirtualLoop()
         self.addCleanup(self.loop.close)
-        self.clock = virtual.LoopClock(self.loop)
+        self.clock = virtual_loop.LoopClock(self.loop)
         self.registered_names = []
 
     def start_node(self, directory, record, *, seeds=(), initial_listing=None):
@@ -136,11 +138,15 @@
         first, _ = self.start_node(directory, _node("a"))
         second, members = self.start_node(directory, _node("b", incarnation=2))
         self.run_for(1)
-        self.assertFalse(first.is_settled or second.is_settled)
+        self.assertFalse(
+            first.has_complete_listing or second.has_complete_listing
+        )
 
         self.run_for(6)
 
-        self.assertTrue(first.is_settled and second.is_settled)
+        self.assertTrue(
+            first.has_complete_listing and second.has_complete_listing
+        )
         self.assertIn("a:1", members._contacts)
 
     def test_no_frequent_calls_once_the_fleet_is_known(self):
@@ -182,7 +188,7 @@
         self.assertFalse(found.has_listed)
         directory.is_failing = False
         self.run_for(12)
-        self.assertTrue(found.is_settled)
+        self.assertTrue(found.has_complete_listing)
 
 
 class RestartTest(_TestCase):
@@ -210,13 +216,13 @@
         found, _ = self.start_node(directory, _node("a"))
         self.run_for(5)
         self.loop.run_until_complete(
-            directory.remove(directory.listing_of("z").found["a"])
+            directory.remove(directory.listing_of("z").registrations["a"])
         )
 
         self.run_for(2000)
 
-        self.assertIn("a", directory.listing_of("z").found)
-        self.assertTrue(found.is_settled)
+        self.assertIn("a", directory.listing_of("z").registrations)
+        self.assertTrue(found.has_complete_listing)
 
 
 class StaleRegistrationTest(_TestCase):
--- a/endivewind/tests/nodes/fleet_fuzz_tests.py
+++ b/endivewind/tests/nodes/fleet_fuzz_tests.py
@@ -128,7 +128,7 @@
         for node in self.net.nodes.values():
             for target in TARGETS:
                 item = node.targets.get(target)
-                assert item is None or item.expires > now
+                assert item is None or item.lease_expires_at > now
 
     def teardown(self):
         """Ends all faults, and checks every node's view against the targets."""
--- a/endivewind/tests/nodes/gossip_tests.py
+++ b/endivewind/tests/nodes/gossip_tests.py
@@ -4,18 +4,18 @@
 
 from endivewind import exchange
 from endivewind.decisions import peer_updates
-from endivewind.decisions import retries
+from endivewind.decisions import retry_budget
+from endivewind.nodes import change_queue
 from endivewind.nodes import codec
 from endivewind.nodes import datagrams
 from endivewind.nodes import gossip_messages
 from endivewind.nodes import repair
-from endivewind.nodes import transmission
 from endivewind.targets import records
 from endivewind.targets import registry
 from endivewind.tests.nodes import network
 
 NAMES = [f"n{number}" for number in range(40)]
-EJECTED = records.Health.EJECTED
+EJECTED = records.EjectionStatus.EJECTED
 
 
 class DisseminationTest(unittest.TestCase):
@@ -36,7 +36,7 @@
         )
 
     def _eject(self) -> None:
-        self.home.targets.set_health("t1", EJECTED)
+        self.home.targets.set_ejection_status("t1", EJECTED)
         self.home.publish_changes()
 
     def test_ejection_is_known_everywhere_within_a_second(self):
@@ -104,9 +104,11 @@
                 for number in range(16):
                     if node.name in NAMES[:13]:
                         node.announce(f"{node.name}-{number}")
-                self.assertLessEqual(node.core.queued, transmission.MAX_QUEUED)
+                self.assertLessEqual(
+                    node.core.queued_changes, change_queue.MAX_QUEUED_CHANGES
+                )
         self.assertLessEqual(
-            self.net.largest_datagram_bytes, repair.MAX_DATAGRAM
+            self.net.largest_datagram_bytes, repair.MAX_DATAGRAM_BYTES
         )
         self.assertTrue(self.net.has_converged())
         target_counts = {
@@ -158,7 +160,7 @@
     def test_target_that_stays_is_accepted_after_the_retention(self):
         self.home.targets.depart("t1", 5)
         self.restart_home()
-        self.net.run(registry.DEPARTED_FOR.total_seconds())
+        self.net.run(registry.DEPARTURE_RETENTION.total_seconds())
 
         self.assertTrue(self.home.announce("t1", incarnation=5))
 
@@ -205,26 +207,26 @@
     """Order and number of transmissions of changes."""
 
     def test_least_often_sent_change_is_first(self):
-        queue = transmission.ChangeQueue()
+        queue = change_queue.ChangeQueue()
         queue.put(("a", 1, 1, 1), b"a" * 100)
         queue.take(150, 760)
         queue.put(("b", 1, 1, 1), b"b" * 100)
         self.assertEqual((b"b" * 100,), queue.take(150, 760))
 
     def test_change_is_sent_a_limited_number_of_times(self):
-        queue = transmission.ChangeQueue()
+        queue = change_queue.ChangeQueue()
         queue.put(("a", 1, 1, 1), b"a")
         sent = sum(len(queue.take(100, 760)) for _ in range(50))
         self.assertEqual(10, sent)
         self.assertEqual(0, len(queue))
 
     def test_full_queue_drops_most_often_sent_change(self):
-        queue = transmission.ChangeQueue()
+        queue = change_queue.ChangeQueue()
         queue.put(("old", 1, 1, 1), b"old")
         queue.take(100, 760)
-        for number in range(transmission.MAX_QUEUED):
+        for number in range(change_queue.MAX_QUEUED_CHANGES):
             queue.put(("new", 1, number, 1), b"new")
-        self.assertEqual(transmission.MAX_QUEUED, len(queue))
+        self.assertEqual(change_queue.MAX_QUEUED_CHANGES, len(queue))
         self.assertNotIn(b"old", queue.take(10**6, 760))
 
 
@@ -235,13 +237,17 @@
         update = peer_updates.PeerUpdate(
             (
                 peer_updates.TargetUpdate(
-                    "riders-1", exchange.TargetStatus(2, 0.413)
+                    "riders-1", exchange.TargetReport(2, 0.413)
                 ),
             ),
-            (peer_updates.RetryUsage("riders", retries.RequestCounts(20, 3)),),
-            (peer_updates.IngressRoute("riders", "/orders/"),),
+            (
+                peer_updates.RetryUsage(
+                    "riders", retry_budget.RequestCounts(20, 3)
+                ),
+            ),
+            (peer_updates.EntryRoute("riders", "/orders/"),),
         )
-        datagram = gossip_messages.Datagram("n1", 7, news=update)
+        datagram = gossip_messages.Datagram("n1", 7, peer_update=update)
 
         self.assertEqual(datagram, datagrams.decode(datagrams.encode(datagram)))
 
--- a/endivewind/tests/nodes/graceful_shutdown_tests.py
+++ b/endivewind/tests/nodes/graceful_shutdown_tests.py
@@ -4,8 +4,8 @@
 import datetime
 import unittest
 
-from endivewind.nodes import leaving
-from endivewind.standins import virtual
+from endivewind.nodes import graceful_shutdown
+from endivewind.standins import virtual_loop
 
 NOTICE = datetime.timedelta(seconds=2.5)
 LIMIT = datetime.timedelta(seconds=5)
@@ -33,20 +33,20 @@
     def close(self):
         self._record("close")
 
-    def end(self):
+    def abort_all(self):
         self._record("abort")
         self._drained.set()
 
-    async def drained(self):
+    async def wait_drained(self):
         await self._drained.wait()
 
-    def kept_for(self):
+    def remaining_retention(self):
         return datetime.timedelta()
 
 
 class GracefulShutdownTest(unittest.TestCase):
     def setUp(self):
-        self.loop = virtual.VirtualLoop()
+        self.loop = virtual_loop.VirtualLoop()
         self.addCleanup(self.loop.close)
 
     def _shut_down(self, hangs, notice=NOTICE):
@@ -55,7 +55,7 @@
             _Components(self.loop, hangs),
             _Components(self.loop, False),
         )
-        shutdown = leaving.Departure(
+        shutdown = graceful_shutdown.GracefulShutdown(
             listener, other, other, other, notice, listener.announce_drain
         )
         self.loop.run_until_complete(shutdown.run(LIMIT))
--- a/endivewind/tests/nodes/links_tests.py
+++ b/endivewind/tests/nodes/links_tests.py
@@ -18,7 +18,7 @@
     headers=(),
     service="riders",
     workspace="",
-    remaining=datetime.timedelta(seconds=5),
+    remaining_time=datetime.timedelta(seconds=5),
 )
 
 
@@ -68,7 +68,9 @@
         following = await self._send(lambda number: [_response(number)])
 
         self.assertEqual(exchange.Reason.HOME_LOST, result.error.reason)
-        self.assertEqual(exchange.Outcome.UNKNOWN, result.error.outcome)
+        self.assertEqual(
+            exchange.ExecutionOutcome.UNKNOWN, result.error.outcome
+        )
         self.assertEqual(200, following.ok.status)
         self.assertEqual(2, len(self.connections))
 
@@ -137,7 +139,9 @@
         )
 
         self.assertEqual(200, first.ok.status)
-        self.assertEqual(exchange.Outcome.NOT_RUN, second.error.outcome)
+        self.assertEqual(
+            exchange.ExecutionOutcome.NOT_RUN, second.error.outcome
+        )
         self.assertEqual(1, self.request_count)
 
     async def test_dropped_connection_is_replaced_before_the_request(self):
@@ -159,7 +163,9 @@
 
         result = await self._send(lambda number: [])
 
-        self.assertEqual(exchange.Outcome.NOT_RUN, result.error.outcome)
+        self.assertEqual(
+            exchange.ExecutionOutcome.NOT_RUN, result.error.outcome
+        )
 
 
 def _response(number, body=b"", is_complete=True):
--- a/endivewind/tests/nodes/membership_tests.py
+++ b/endivewind/tests/nodes/membership_tests.py
@@ -115,7 +115,7 @@
                 break
         self.net.clock.advance(datetime.timedelta(seconds=60))
         output = core.tick()
-        spread = [i for i in output if isinstance(i, membership.Spread)]
+        spread = [i for i in output if isinstance(i, membership.Disseminate)]
         self.assertEqual([], spread)
 
     def test_isolated_node_declares_nobody_dead(self):
@@ -125,7 +125,7 @@
         self.net.blocked_paths |= {(name, "n0") for name in others}
         self.net.run(60)
         isolated_node = self.net.nodes["n0"]
-        self.assertTrue(isolated_node.members.doubtful)
+        self.assertTrue(isolated_node.members.is_probably_isolated)
         dead = [name for name in others if isolated_node.state(name) is DEAD]
         self.assertEqual([], dead)
 
@@ -169,7 +169,7 @@
         self.net.run(10)
         self.assertTrue(self.net.has_converged())
         old.members.merge(new.members.me)
-        self.assertTrue(old.members.superseded)
+        self.assertTrue(old.members.is_superseded)
 
 
 if __name__ == "__main__":
--- a/endivewind/tests/nodes/network.py
+++ b/endivewind/tests/nodes/network.py
@@ -12,9 +12,9 @@
 from endivewind.nodes import codec
 from endivewind.nodes import datagrams
 from endivewind.nodes import gossip
+from endivewind.nodes import gossip_frames
 from endivewind.nodes import gossip_messages
 from endivewind.nodes import membership
-from endivewind.nodes import states
 from endivewind.nodes import view
 from endivewind.targets import records
 from endivewind.targets import registry
@@ -170,7 +170,7 @@
             self._deliver()
             for node in list(self.nodes.values()):
                 if not node.paused:
-                    node.targets.expire()
+                    node.targets.remove_expired()
                     node.publish_changes()
                     self._send(node.name, node.core.tick())
             # Replies arrive within the same tick, as on a fast network.
@@ -196,7 +196,9 @@
                 )
                 is_link = False
             else:
-                payload = codec.encode_frame(states.frame_out(item.message))
+                payload = codec.encode_frame(
+                    gossip_frames.encode_message(item.message)
+                )
                 is_link = True
                 self.link_frames += 1
             self.sent_bytes += len(payload)
@@ -243,23 +245,25 @@
             sends = node.core.receive(f"{message.sender}:1", datagram)
             self._send(node.name, sends)
         else:
-            frame = states.frame_in(codec.decode_frame(message.payload[4:]))
+            frame = gossip_frames.decode_message(
+                codec.decode_frame(message.payload[4:])
+            )
             if isinstance(frame, gossip_messages.Pull):
                 parts = [
                     gossip_messages.Send(frame.address, part)
-                    for part in node.core.answer(frame)
+                    for part in node.core.answer_pull(frame)
                 ]
                 self._send(node.name, parts)
             else:
                 self._send(node.name, node.core.receive_state(frame))
-        for target, incarnation in node.core.take_left():
-            node.targets.remember_left(target, incarnation)
-        for record in node.core.take_heard():
-            node.targets.give_up(record)
+        for target, incarnation in node.core.take_departed_targets():
+            node.targets.record_departure(target, incarnation)
+        for record in node.core.take_received_records():
+            node.targets.release_if_moved(record)
         node.publish_changes()
 
 
-def health_of(node: Member, target: str) -> records.Health | None:
+def health_of(node: Member, target: str) -> records.EjectionStatus | None:
     """Returns the health of a target as known to a node."""
     known = node.view.find_target(target)
     return known.health if known else None
--- a/endivewind/tests/nodes/traffic_tests.py
+++ b/endivewind/tests/nodes/traffic_tests.py
@@ -19,11 +19,11 @@
             address = f"[{host}]:7" if ":" in host else f"{host}:7"
             record = view.NodeRecord(name, 1, address, region, zone)
             self.fleet.put_node(record)
-        self.traffic = traffic.Traffic("a", "a-x", self.fleet)
+        self.traffic = traffic.TrafficMeter("a", "a-x", self.fleet)
 
     def counted_distances(self, address):
         before = dict(self.traffic.counts)
-        self.traffic.sent(traffic.Kind.STATE, address, 10)
+        self.traffic.record_sent(traffic.Kind.STATE, address, 10)
         return [
             distance
             for (_, distance), size in self.traffic.counts.items()
@@ -40,7 +40,7 @@
             self.counted_distances("10.0.0.3:7"),
         )
         self.assertEqual(
-            [traffic.Distance.FAR],
+            [traffic.Distance.OTHER_REGION],
             self.counted_distances("[fd00::4]:7"),
         )
 
@@ -58,12 +58,13 @@
         self.fleet.put_node(view.NodeRecord("n", 1, "10.0.0.9:7", "b", "b-x"))
 
         self.assertEqual(
-            [traffic.Distance.FAR], self.counted_distances("10.0.0.9:7")
+            [traffic.Distance.OTHER_REGION],
+            self.counted_distances("10.0.0.9:7"),
         )
 
     def test_log_fields_are_grouped_by_kind(self):
-        self.traffic.sent(traffic.Kind.NEWS, "10.0.0.2:7", 5)
-        self.traffic.sent(traffic.Kind.NEWS, "10.0.0.3:7", 6)
+        self.traffic.record_sent(traffic.Kind.PEER_UPDATES, "10.0.0.2:7", 5)
+        self.traffic.record_sent(traffic.Kind.PEER_UPDATES, "10.0.0.3:7", 6)
 
         self.assertEqual(
             {"news": {"zone": 5, "region": 6}}, self.traffic.by_kind()
--- a/endivewind/tests/nodes/view_tests.py
+++ b/endivewind/tests/nodes/view_tests.py
@@ -18,7 +18,7 @@
         slots=3,
         weight=1,
         state=records.State.READY,
-        health=records.Health(health),
+        health=records.EjectionStatus(health),
         target_incarnation=1,
         moves=moves,
     )
--- a/endivewind/tests/operators/request_trace_tests.py
+++ b/endivewind/tests/operators/request_trace_tests.py
@@ -9,7 +9,7 @@
 
 from endivewind import logs
 from endivewind.commands import explain
-from endivewind.operators import explaining
+from endivewind.operators import request_trace
 from endivewind.targets import connections
 from endivewind.tests.loads import fleet
 
@@ -35,11 +35,13 @@
 
 def _find_trace(stream, result, first_target=""):
     """Returns the trace of the first request with a result and target."""
-    lines = list(explaining.parse(stream.getvalue().splitlines(), "entry"))
+    lines = list(
+        request_trace.parse_lines(stream.getvalue().splitlines(), "entry")
+    )
     for line in lines:
         if line.fields["result"] != result or not line.fields["tries"]:
             continue
-        trace = explaining.explain(lines, line.fields["request_id"])
+        trace = request_trace.build_trace(lines, line.fields["request_id"])
         if first_target in ("", trace.request.attempts[0].target):
             return trace
     raise AssertionError(f"no request with the result {result}")
@@ -55,34 +57,34 @@
         """
         simulated = fleet.Fleet()
         with _captured_log() as stream:
-            simulated.play(4, (fleet.ORDER, fleet.LOOKUP), scale=3)
+            simulated.run(4, (fleet.ORDER, fleet.LOOKUP), scale=3)
 
         trace = _find_trace(stream, "busy (not-run)")
 
         self.assertFalse(any(a.succeeded for a in trace.request.attempts))
-        self.assertIn("busy (not-run)", explain.text(trace))
+        self.assertIn("busy (not-run)", explain.format_trace(trace))
 
     def test_outcome_is_unknown_after_a_lost_response(self):
         """The target breaks the connection; whether it ran is unknown."""
         simulated = fleet.Fleet()
         simulated.targets["a-x-0"].request = _break_connection
         with _captured_log() as stream:
-            simulated.play(4, (fleet.ORDER,))
+            simulated.run(4, (fleet.ORDER,))
 
         trace = _find_trace(stream, "target-lost (unknown)")
 
         (attempt,) = trace.request.attempts
         self.assertEqual("a-x-0", attempt.target)
-        self.assertIn("must not repeat", explain.text(trace))
+        self.assertIn("must not repeat", explain.format_trace(trace))
         # Other callers' requests were lost at the same target.
-        self.assertIn("a-x-0", trace.others)
+        self.assertIn("a-x-0", trace.other_attempts)
 
     def test_request_is_late_after_a_target_hangs(self):
         """The first target does not respond, so a second attempt is made."""
         simulated = fleet.Fleet()
-        simulated.targets["a-x-0"].hangs = 1.0
+        simulated.targets["a-x-0"].hang_share = 1.0
         with _captured_log() as stream:
-            simulated.play(4, (fleet.LOOKUP,), zones=("a-x",))
+            simulated.run(4, (fleet.LOOKUP,), zones=("a-x",))
 
         trace = _find_trace(stream, "200", first_target="a-x-0")
 
@@ -93,8 +95,8 @@
 
 
 async def _break_connection(method, url, *, headers, trace_request_ctx, **_):
-    trace_request_ctx.connected = True
-    raise connections.HandOverLostError("the connection broke")
+    trace_request_ctx.has_connection = True
+    raise connections.ConnectionLostError("the connection broke")
 
 
 def _line(writer, second, message, **fields):
@@ -148,8 +150,8 @@
         ]
 
     def explain(self, request_id="r1"):
-        return explaining.explain(
-            explaining.parse(self.lines, "file"), request_id
+        return request_trace.build_trace(
+            request_trace.parse_lines(self.lines, "file"), request_id
         )
 
     def test_a_call_lies_within_the_attempt_that_caused_it(self):
@@ -158,10 +160,12 @@
 
         self.assertEqual("n2", call.line.node)
         self.assertEqual(datetime.timedelta(seconds=-3), call.clock_offset)
-        self.assertIn("clock moved by -3000 ms", explain.text(self.explain()))
+        self.assertIn(
+            "clock moved by -3000 ms", explain.format_trace(self.explain())
+        )
 
     def test_status_lines_are_the_latest_before_the_end(self):
-        status_fields = [line.fields for line in self.explain().beliefs]
+        status_fields = [line.fields for line in self.explain().status_lines]
 
         self.assertEqual("ejected", status_fields[0]["health"])
         self.assertEqual("suspect", status_fields[1]["state"])
--- a/endivewind/tests/outer_names.py
+++ b/endivewind/tests/outer_names.py
@@ -19,10 +19,10 @@
 import pydantic
 
 from endivewind import node
-from endivewind.callers import counts
+from endivewind.callers import request_metrics
 from endivewind.commands import demo
-from endivewind.nodes import asking
 from endivewind.nodes import codec
+from endivewind.nodes import version_queries
 from endivewind.platform import client
 from endivewind.targets import records
 from endivewind.tests import style
@@ -30,11 +30,11 @@
 FILE = pathlib.Path(__file__).with_name("outer_names.txt")
 # Data classes whose fields are written out under their own names.
 _WRITTEN_OUT = (
-    client.Call,
-    counts.Ending,
-    demo.Keyed,
+    client.CallLabels,
+    request_metrics.RequestOutcome,
+    demo.WorkspaceResults,
     records.TargetRecord,
-    asking.State,
+    version_queries.ObjectVersions,
     node.Addresses,
 )
 # Packages whose names never reach a caller, a target, a peer or an operator.
--- a/endivewind/tests/path_tests.py
+++ b/endivewind/tests/path_tests.py
@@ -28,12 +28,12 @@
 
     async def test_request_reaches_target_of_other_node(self):
         async with processes.Fleet() as fleet:
-            entry = await fleet.node("node-a", "andina-a")
-            home = await fleet.node("node-b", "andina-b")
-            await fleet.target("riders-1", "riders", [home])
+            entry = await fleet.start_node("node-a", "andina-a")
+            home = await fleet.start_node("node-b", "andina-b")
+            await fleet.start_target("riders-1", "riders", [home])
             await fleet.submit(CONFIGURATION)
-            await entry.message("in force", object="camerino")
-            await entry.message(
+            await entry.wait_for_message("in force", object="camerino")
+            await entry.wait_for_message(
                 "home heard", home="node-b", targets=["riders-1"]
             )
 
@@ -47,8 +47,8 @@
 
     async def test_unknown_route_is_refused_as_not_run(self):
         async with processes.Fleet() as fleet:
-            entry = await fleet.node("node-a")
-            async with asyncio.timeout(processes.WAIT_SECONDS):
+            entry = await fleet.start_node("node-a")
+            async with asyncio.timeout(processes.TIMEOUT_SECONDS):
                 response = await _get(entry, "/nowhere")
                 while response.headers["Endivewind-Reason"] == "not-ready":
                     response = await _get(entry, "/nowhere")
@@ -64,7 +64,7 @@
         """
         async with processes.Fleet() as fleet:
             fleet.platform.kill()
-            entry = await fleet.node("node-a")
+            entry = await fleet.start_node("node-a")
 
             response = await _get(entry, "/riders/42")
 
@@ -87,7 +87,7 @@
 
 
 async def _get(node: processes.Process, path: str) -> _Response:
-    url = f"http://{node.listening['callers']}{path}"
+    url = f"http://{node.listening_line['callers']}{path}"
     async with (
         aiohttp.ClientSession() as session,
         session.get(url, headers={"Host": "camerino.example"}) as response,
--- a/endivewind/tests/platform/client_tests.py
+++ b/endivewind/tests/platform/client_tests.py
@@ -4,15 +4,15 @@
 import random
 import unittest
 
+from endivewind.durable import conditional_writes
 from endivewind.durable import retries
-from endivewind.durable import writing
 from endivewind.platform import client
 from endivewind.platform import messages
 from endivewind.platform import wire
 from endivewind.standins import faults
 from endivewind.tests.platform import platforms
 
-Mode = faults.Mode
+Mode = faults.FaultMode
 # aiohttp itself repeats a call of an idempotent method once if the connection
 # breaks, so a fault must occur twice to reach the project's own retry.
 FAULTS_PER_VISIBLE_FAILURE = 2
@@ -47,10 +47,10 @@
 
         self.assertEqual(
             {
-                client.Call(word, "service"): 1
+                client.CallLabels(word, "service"): 1
                 for word in ("get", "list", "watch", "put")
             },
-            self.client.calls,
+            self.client.call_counts,
         )
 
 
@@ -151,15 +151,15 @@
         """Another writer stores an object whose value is not a mapping."""
         self.platform.put("riders", {"a": 1})
         stored = self.platform.store.get("service", "riders")
-        body = wire.bytes_out(wire.object_out("odd", [1, 2], 5))
+        body = wire.encode_json(wire.encode_object("odd", [1, 2], 5))
 
         self.assertEqual({"a": 1}, stored.value)
-        self.assertEqual({}, wire.object_in("service", body).value)
+        self.assertEqual({}, wire.decode_object("service", body).value)
 
 
 class WriteTest(_PlatformCase):
     async def _write(self, value, expected=0, sleep=None):
-        return await writing.write(
+        return await conditional_writes.write(
             self.client,
             "service",
             "riders",
@@ -183,7 +183,7 @@
 
         result = await self._write(_value("mine"))
 
-        self.assertIs(writing.Ending.WRITTEN, result.ending)
+        self.assertIs(conditional_writes.WriteOutcome.WRITTEN, result.outcome)
         self.assertEqual(1, self.platform.store.revision)
 
     async def test_lost_response_and_another_write_followed(self):
@@ -198,8 +198,8 @@
 
         result = await self._write(_value("mine"), sleep=sleep)
 
-        self.assertIs(writing.Ending.WRITTEN, result.ending)
-        self.assertTrue(result.followed)
+        self.assertIs(conditional_writes.WriteOutcome.WRITTEN, result.outcome)
+        self.assertTrue(result.is_superseded)
 
     async def test_lost_before_the_write_and_another_came_first(self):
         self.fault(
@@ -211,7 +211,7 @@
 
         result = await self._write(_value("mine"), sleep=sleep)
 
-        self.assertIs(writing.Ending.CONFLICT, result.ending)
+        self.assertIs(conditional_writes.WriteOutcome.CONFLICT, result.outcome)
 
     async def test_outcome_is_unknown_after_several_other_writes(self):
         self.fault(
@@ -226,7 +226,7 @@
 
         result = await self._write(_value("mine"), sleep=sleep)
 
-        self.assertIs(writing.Ending.UNKNOWN, result.ending)
+        self.assertIs(conditional_writes.WriteOutcome.UNKNOWN, result.outcome)
 
     async def test_outcome_is_unknown_after_a_long_outage(self):
         self.platform.standin.set_faults(
@@ -236,15 +236,19 @@
 
         result = await self._write(_value("mine"))
 
-        self.assertIs(writing.Ending.UNKNOWN, result.ending)
-        self.assertEqual(writing.ATTEMPTS, len(self.platform.sleeps))
+        self.assertIs(conditional_writes.WriteOutcome.UNKNOWN, result.outcome)
+        self.assertEqual(
+            conditional_writes.MAX_ATTEMPTS, len(self.platform.sleeps)
+        )
 
     async def test_rate_limited_write_is_not_written(self):
         self.fault(Mode.RATE_LIMIT, per_second=0)
 
         result = await self._write(_value("mine"))
 
-        self.assertIs(writing.Ending.UNWRITTEN, result.ending)
+        self.assertIs(
+            conditional_writes.WriteOutcome.NOT_WRITTEN, result.outcome
+        )
         self.assertGreater(min(self.platform.sleeps), 1)
 
     async def test_truncated_response_after_the_write_writes_once(self):
@@ -252,7 +256,7 @@
 
         result = await self._write(_value("mine"))
 
-        self.assertIs(writing.Ending.WRITTEN, result.ending)
+        self.assertIs(conditional_writes.WriteOutcome.WRITTEN, result.outcome)
         self.assertEqual(1, self.platform.store.revision)
 
 
@@ -264,10 +268,10 @@
         rate limits must still leave room for operators' writes.
         """
         budget = retries.CallBudget()
-        budget.set_nodes(760)
+        budget.set_node_count(760)
         calls = 0
         for tenth in range(600):
-            if not budget.start(SECOND * (tenth / 10)):
+            if not budget.try_start(SECOND * (tenth / 10)):
                 calls += 1
                 budget.end()
 
@@ -276,18 +280,18 @@
 
     def test_a_waiting_watch_is_a_call_in_progress(self):
         budget = retries.CallBudget()
-        for _ in range(budget.MAX_AT_ONCE):
-            self.assertFalse(budget.start(SECOND))
+        for _ in range(budget.MAX_CONCURRENT_CALLS):
+            self.assertFalse(budget.try_start(SECOND))
 
-        self.assertTrue(budget.start(SECOND))
+        self.assertTrue(budget.try_start(SECOND))
         budget.end()
-        self.assertFalse(budget.start(SECOND))
+        self.assertFalse(budget.try_start(SECOND))
 
     def test_backoff_grows_with_jitter_up_to_a_limit(self):
         backoff = retries.Backoff(random.Random(1))
         waits = [backoff.next_seconds() for _ in range(20)]
 
-        self.assertLessEqual(max(waits), retries.LAST_BACKOFF.total_seconds())
+        self.assertLessEqual(max(waits), retries.MAX_BACKOFF.total_seconds())
         self.assertGreater(waits[5], waits[0])
         self.assertEqual(len(waits), len(set(waits)))
         backoff.reset()
--- a/endivewind/tests/platform/configuration_tests.py
+++ b/endivewind/tests/platform/configuration_tests.py
@@ -90,8 +90,8 @@
         document = self._apply(OPERATOR_CONFIGURATION)
         orders, views = document.routes
 
-        self.assertIs(objects.Repeat.NEVER, orders.repeat)
-        self.assertIs(objects.Repeat.ALWAYS, views.repeat)
+        self.assertIs(objects.RepeatPolicy.NEVER, orders.repeat)
+        self.assertIs(objects.RepeatPolicy.ALWAYS, views.repeat)
         self.assertEqual(
             (2000, 800, 1, 2),
             (orders.timeout_ms, orders.aim_ms, orders.rank, orders.attempts),
@@ -118,8 +118,8 @@
 
         orders, downloads = self._apply(changed).routes
 
-        self.assertIs(objects.Repeat.NEVER, orders.repeat)
-        self.assertIs(objects.Repeat.ALWAYS, downloads.repeat)
+        self.assertIs(objects.RepeatPolicy.NEVER, orders.repeat)
+        self.assertIs(objects.RepeatPolicy.ALWAYS, downloads.repeat)
 
     def test_an_older_version_of_the_operators_is_not_applied(self):
         """An older object arrives late, at a higher revision of the store."""
--- a/endivewind/tests/platform/heartbeats_tests.py
+++ b/endivewind/tests/platform/heartbeats_tests.py
@@ -43,7 +43,7 @@
             target_registration, lambda: 1500, clock
         )
         self.client = test_utils.TestClient(
-            test_utils.TestServer(heartbeat_api.application())
+            test_utils.TestServer(heartbeat_api.make_application())
         )
         await self.client.start_server()
         self.addAsyncCleanup(self.client.close)
@@ -67,12 +67,14 @@
             return response.status
 
     def states(self):
-        return {item.id: item.state.value for item in self.targets.announced()}
+        return {
+            item.id: item.state.value for item in self.targets.target_records()
+        }
 
     async def test_a_heartbeat_announces_the_target(self):
         self.assertEqual(200, await self.beat())
 
-        (record,) = self.targets.announced()
+        (record,) = self.targets.target_records()
         self.assertEqual(
             ("i-1", "riders", 3, 1000),
             (
@@ -186,7 +188,7 @@
 
         self.assertEqual(409, forged)
         self.assertEqual(
-            ["riders"], [item.service for item in self.targets.announced()]
+            ["riders"], [item.service for item in self.targets.target_records()]
         )
 
     async def test_only_changes_are_published(self):
@@ -194,4 +196,7 @@
             await self.beat(sequence=sequence)
 
         self.assertEqual(1, self.changes)
-        self.assertIs(records.Health.NORMAL, self.targets.announced()[0].health)
+        self.assertIs(
+            records.EjectionStatus.NORMAL,
+            self.targets.target_records()[0].health,
+        )
--- a/endivewind/tests/platform/platforms.py
+++ b/endivewind/tests/platform/platforms.py
@@ -24,7 +24,7 @@
         self.url = ""
         self._session: aiohttp.ClientSession
         self._runner = web.AppRunner(
-            self.standin.application(), access_log=None, shutdown_timeout=0
+            self.standin.make_application(), access_log=None, shutdown_timeout=0
         )
 
     async def __aenter__(self) -> "Platform":
--- a/endivewind/tests/processes.py
+++ b/endivewind/tests/processes.py
@@ -16,13 +16,13 @@
 
 from endivewind.commands import children
 
-WAIT_SECONDS = 20
+TIMEOUT_SECONDS = 20
 # Last log lines shown when an expected line does not appear.
-LINES_NOTED = 40
+MAX_NOTED_LINES = 40
 # Outgoing connections use 127.0.0.1 and may occupy the port of a process that
 # is being restarted. Listening on a separate address avoids such conflicts.
-ADDRESS = "127.0.0.2"
-_ANY_PORT = f"{ADDRESS}:0"
+LISTEN_ADDRESS = "127.0.0.2"
+_ANY_PORT = f"{LISTEN_ADDRESS}:0"
 
 
 class Process:
@@ -35,22 +35,22 @@
     def __init__(self, name: str, child: asyncio.subprocess.Process) -> None:
         self.name = name
         self.child = child
-        self.listening: dict[str, Any] = {}
+        self.listening_line: dict[str, Any] = {}
         self._lines: list[dict[str, Any]] = []
         self._changed = asyncio.Event()
         self._is_closed = False
         self._read_task = asyncio.create_task(self._read())
 
     @property
-    def seen(self) -> list[dict[str, Any]]:
+    def lines(self) -> list[dict[str, Any]]:
         """The log lines read so far."""
         return self._lines
 
-    def mark(self) -> int:
+    def line_count(self) -> int:
         """Returns the number of lines read so far, as a start for a search."""
         return len(self._lines)
 
-    async def line(
+    async def wait_for_line(
         self,
         matches: collections.abc.Callable[[dict[str, Any]], bool],
         start: int = 0,
@@ -68,7 +68,9 @@
         try:
             return await self._find_line(matches, start)
         except TimeoutError as error:
-            last = "\n".join(str(line) for line in self._lines[-LINES_NOTED:])
+            last = "\n".join(
+                str(line) for line in self._lines[-MAX_NOTED_LINES:]
+            )
             error.add_note(f"last lines of {self.name}:\n{last}")
             raise
 
@@ -78,7 +80,7 @@
         start: int,
     ) -> dict[str, Any]:
         checked = start
-        async with asyncio.timeout(WAIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while True:
                 changed = self._changed
                 for line in self._lines[checked:]:
@@ -91,9 +93,11 @@
                     )
                 await changed.wait()
 
-    async def message(self, message: str, **fields: Any) -> dict[str, Any]:
+    async def wait_for_message(
+        self, message: str, **fields: Any
+    ) -> dict[str, Any]:
         """Waits for a log line with the given message and fields."""
-        return await self.line(
+        return await self.wait_for_line(
             lambda line: (
                 line.get("message") == message
                 and all(line.get(key) == value for key, value in fields.items())
@@ -116,11 +120,11 @@
         """Requests a graceful shutdown; returns the exit code."""
         if self.child.returncode is None:
             self.child.terminate()
-        async with asyncio.timeout(WAIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await self._read_task
             return await self.child.wait()
 
-    async def end(self) -> None:
+    async def kill_and_wait(self) -> None:
         """Kills the process if it is still running, and waits for its end."""
         if self.child.returncode is None:
             self.child.kill()
@@ -157,7 +161,7 @@
 
     async def __aenter__(self) -> "Fleet":
         self.platform = await self._start_process(
-            "platform", "standin", "platform", f"--address={ADDRESS}"
+            "platform", "standin", "platform", f"--address={LISTEN_ADDRESS}"
         )
         return self
 
@@ -167,9 +171,9 @@
     @property
     def platform_url(self) -> str:
         """URL of the platform stand-in."""
-        return "http://" + self.platform.listening["address"]
+        return "http://" + self.platform.listening_line["address"]
 
-    async def node(
+    async def start_node(
         self, name: str, zone: str = "andina-a", **settings: Any
     ) -> Process:
         """Starts a node."""
@@ -190,11 +194,11 @@
         self.nodes[name] = process
         return process
 
-    async def target(
+    async def start_target(
         self, name: str, service: str, nodes: list[Process]
     ) -> Process:
         """Starts a target and waits until the first node has registered it."""
-        addresses = ",".join(node.listening["targets"] for node in nodes)
+        addresses = ",".join(node.listening_line["targets"] for node in nodes)
         process = await self._start_process(
             name,
             "standin",
@@ -204,18 +208,20 @@
             f"--nodes={addresses}",
         )
         self.targets[name] = process
-        await nodes[0].line(lambda line: name in line.get("targets", ()))
+        await nodes[0].wait_for_line(
+            lambda line: name in line.get("targets", ())
+        )
         return process
 
     async def submit(self, configuration: dict[str, Any]) -> dict[str, Any]:
         """Submits a configuration with `endivewind submit`."""
         file = self._directory / "configuration.yaml"
         file.write_text(yaml.safe_dump(configuration))
-        return await self.command(
+        return await self.run_command(
             "submit", str(file), f"--platform={self.platform_url}"
         )
 
-    async def command(self, *arguments: str) -> Any:
+    async def run_command(self, *arguments: str) -> Any:
         """Runs `endivewind` and returns its JSON output."""
         child = await children.spawn("main", *arguments, "--format=json")
         output, _ = await child.communicate()
@@ -225,7 +231,7 @@
 
     async def _start_process(self, name: str, *arguments: str) -> Process:
         process = Process(name, await children.spawn(*arguments))
-        self._stack.push_async_callback(process.end)
-        line = await process.message("listening")
-        process.listening = line
+        self._stack.push_async_callback(process.kill_and_wait)
+        line = await process.wait_for_message("listening")
+        process.listening_line = line
         return process
--- a/endivewind/tests/proofs/at_most_once_fuzz_tests.py
+++ b/endivewind/tests/proofs/at_most_once_fuzz_tests.py
@@ -11,16 +11,18 @@
 from hypothesis import stateful
 from hypothesis import strategies
 
-from endivewind.standins import matrix
-from endivewind.standins import virtual
-from endivewind.standins import world
+from endivewind.standins import fault_matrix
+from endivewind.standins import simulated_cluster
+from endivewind.standins import virtual_loop
 
 EXAMPLE_COUNT = 40
 STEPS_PER_EXAMPLE = 25
 
-STEP = strategies.sampled_from(world.Step)
-FAULT = strategies.sampled_from(world.Fault)
-NODE = strategies.sampled_from([*world.ENTRIES, *world.HOMES])
+STEP = strategies.sampled_from(simulated_cluster.ExchangeStep)
+FAULT = strategies.sampled_from(simulated_cluster.Fault)
+NODE = strategies.sampled_from(
+    [*simulated_cluster.ENTRY_NODES, *simulated_cluster.HOME_NODES]
+)
 
 
 class AtMostOnceMachine(stateful.RuleBasedStateMachine):
@@ -34,12 +36,14 @@
 
     def __init__(self):
         super().__init__()
-        self.world = world.World(virtual.VirtualLoop())
+        self.world = simulated_cluster.SimulatedCluster(
+            virtual_loop.VirtualLoop()
+        )
         self.tasks = []
 
     @stateful.rule(target=keys, node=NODE)
     def ask_for_key(self, node):
-        return self.world.issue(node)
+        return self.world.issue_key(node)
 
     @stateful.rule(key=keys, node=NODE)
     def send(self, key, node):
@@ -60,7 +64,7 @@
 
     @stateful.rule(node=NODE)
     def deliver_announcement(self, node):
-        self.world.announce(node)
+        self.world.announce_node(node)
 
     @stateful.rule(node=NODE)
     def drain_node(self, node):
@@ -68,20 +72,20 @@
 
     @stateful.rule(seconds=strategies.sampled_from([0.05, 0.3, 1.5, 7, 65]))
     def wait(self, seconds):
-        self.world.wait(seconds)
+        self.world.advance(seconds)
 
     @stateful.invariant()
     def guarantees_hold(self):
-        self.world.check()
+        self.world.check_guarantees()
 
     def teardown(self):
         try:
             self.world.settle()
-            for key in list(self.world.told):
-                for node in self.world.names:
+            for key in list(self.world.work_by_key):
+                for node in self.world.node_names:
                     self.tasks.append(self.world.send(node, key))
             self.world.settle()
-            self.world.check()
+            self.world.check_guarantees()
             for task in self.tasks:
                 if not task.cancelled():
                     task.result()
@@ -106,8 +110,11 @@
     """Guarantees hold for each single fault at each step of an exchange."""
 
     def test_single_faults(self):
-        outcome = matrix.run(matrix.singles())
+        outcome = fault_matrix.run_matrix(fault_matrix.single_faults())
 
         self.assertEqual((), outcome.red)
         self.assertEqual(0, outcome.unreached)
-        self.assertEqual(len(world.Step) * len(world.Fault), outcome.cells)
+        self.assertEqual(
+            len(simulated_cluster.ExchangeStep) * len(simulated_cluster.Fault),
+            outcome.cells,
+        )
--- a/endivewind/tests/proofs/at_most_once_tests.py
+++ b/endivewind/tests/proofs/at_most_once_tests.py
@@ -86,7 +86,9 @@
         left = asyncio.create_task(
             caller.send(entry, key=key, work="left", fault="delay")
         )
-        await fleet.targets["ledger-1"].message("work runs", work="left")
+        await fleet.targets["ledger-1"].wait_for_message(
+            "work runs", work="left"
+        )
         left.cancel()
 
         again = await caller.send(entry, key=key, work="left", fault="delay")
@@ -154,7 +156,8 @@
     async def _check_client_library(self, fleet, caller):
         """The client library skips an unreachable first node in its list."""
         urls = [
-            f"http://{n.listening['callers']}" for n in fleet.nodes.values()
+            f"http://{n.listening_line['callers']}"
+            for n in fleet.nodes.values()
         ]
         async with aiohttp.ClientSession(headers={"Work-Id": "py"}) as session:
             library = client.Caller(session, ["http://127.0.0.1:9", *urls])
@@ -181,13 +184,15 @@
             cut = asyncio.create_task(
                 caller.send(entry, key=key, work="cut", fault="delay")
             )
-            await fleet.targets["ledger-1"].message("work runs", work="cut")
+            await fleet.targets["ledger-1"].wait_for_message(
+                "work runs", work="cut"
+            )
             entry.kill()
             lost = await cut
 
             while_gone = await caller.send(home, key=key, work="cut")
-            restarted = await fleet.node("entry", "north-a")
-            await restarted.message("in force", object="saltline")
+            restarted = await fleet.start_node("entry", "north-a")
+            await restarted.wait_for_message("in force", object="saltline")
             after = await caller.send(restarted, key=key, work="cut")
 
             self.assertEqual(0, lost.status)
@@ -203,11 +208,11 @@
 async def _fleet():
     """An entry node, a home node with the target ledger-1, and a caller."""
     async with processes.Fleet() as fleet, aiohttp.ClientSession() as session:
-        entry = await fleet.node("entry", "north-a")
-        home = await fleet.node("home", "north-b")
-        await fleet.target("ledger-1", "ledger", [home])
+        entry = await fleet.start_node("entry", "north-a")
+        home = await fleet.start_node("home", "north-b")
+        await fleet.start_target("ledger-1", "ledger", [home])
         await fleet.submit(CONFIGURATION)
         for node in (entry, home):
-            await node.message("in force", object="saltline")
-        await entry.message("home heard", targets=["ledger-1"])
+            await node.wait_for_message("in force", object="saltline")
+        await entry.wait_for_message("home heard", targets=["ledger-1"])
         yield fleet, calls.Caller(session)
--- a/endivewind/tests/proofs/calls.py
+++ b/endivewind/tests/proofs/calls.py
@@ -81,7 +81,7 @@
             request_headers["Work-Id"] = work
         if fault:
             request_headers[standin.FAULT_HEADER] = fault
-        url = f"http://{node.listening['callers']}{path}"
+        url = f"http://{node.listening_line['callers']}{path}"
         try:
             async with (
                 asyncio.timeout(TIMEOUT_SECONDS),
@@ -90,7 +90,7 @@
                     url,
                     headers=request_headers,
                     data=body,
-                    middlewares=(callers.never_resend,),
+                    middlewares=(callers.prevent_resend,),
                 ) as response,
             ):
                 content = await response.read()
@@ -99,7 +99,7 @@
                 )
         except aiohttp.ClientConnectorError:
             return CallerResponse(0)
-        except (aiohttp.ClientError, callers.CutError):
+        except (aiohttp.ClientError, callers.ConnectionCutError):
             return CallerResponse(0, was_cut=True)
 
     async def request_key(
@@ -134,18 +134,18 @@
 
     async def target_states(self, node: processes.Process) -> dict[str, str]:
         """Reads the state of each target from one node."""
-        url = f"http://{node.listening['operators']}/v1/status"
+        url = f"http://{node.listening_line['operators']}/v1/status"
         async with self._session.get(url) as response:
             targets = (await response.json())["targets"]
             return {item["id"]: item["state"] for item in targets}
 
     async def start_draining(self, target: processes.Process) -> None:
         """Makes a target announce that it is draining."""
-        url = f"http://{target.listening['address']}{standin.FAULT_PATH}"
+        url = f"http://{target.listening_line['address']}{standin.FAULT_PATH}"
         async with self._session.put(url, json={"draining": True}) as response:
             response.raise_for_status()
 
     async def _read(self, target: processes.Process, path: str) -> Any:
-        url = f"http://{target.listening['address']}{path}"
+        url = f"http://{target.listening_line['address']}{path}"
         async with self._session.get(url) as response:
             return await response.json()
--- a/endivewind/tests/proofs/storm_tests.py
+++ b/endivewind/tests/proofs/concurrent_fault_tests.py
@@ -52,7 +52,7 @@
         fleet.platform.kill()
         fleet.nodes["home-2"].pause()
         await workload.wait_for_requests(REQUESTS_BETWEEN_FAULTS)
-        await fleet.node("home-1", "andina-b")
+        await fleet.start_node("home-1", "andina-b")
         await workload.wait_for_requests(REQUESTS_BETWEEN_FAULTS)
         fleet.nodes["home-2"].resume()
         await workload.wait_for_requests(REQUESTS_BETWEEN_FAULTS)
@@ -89,7 +89,7 @@
 
     async def wait_for_requests(self, count):
         """Waits until `count` more requests have ended."""
-        async with asyncio.timeout(processes.WAIT_SECONDS), self._progress:
+        async with asyncio.timeout(processes.TIMEOUT_SECONDS), self._progress:
             goal = self._finished + count
             await self._progress.wait_for(lambda: self._finished >= goal)
 
@@ -128,16 +128,16 @@
 async def _fleet():
     async with processes.Fleet() as fleet, aiohttp.ClientSession() as session:
         entry, *_ = await asyncio.gather(
-            fleet.node("entry-1", "andina-a"),
-            fleet.node("entry-2", "andina-c"),
-            fleet.node("home-1", "andina-b"),
-            fleet.node("home-2", "andina-a"),
-            fleet.node("home-3", "andina-c"),
+            fleet.start_node("entry-1", "andina-a"),
+            fleet.start_node("entry-2", "andina-c"),
+            fleet.start_node("home-1", "andina-b"),
+            fleet.start_node("home-2", "andina-a"),
+            fleet.start_node("home-3", "andina-c"),
         )
         homes = [fleet.nodes[f"home-{number}"] for number in (1, 2, 3)]
         await asyncio.gather(
             *(
-                fleet.target(
+                fleet.start_target(
                     f"ledger-{number}",
                     "ledger",
                     [*homes[number % 3 :], *homes[: number % 3]],
@@ -148,9 +148,9 @@
         await fleet.submit(CONFIGURATION)
         for name in ("entry-1", "entry-2"):
             node = fleet.nodes[name]
-            await node.message("in force", object="saltline")
+            await node.wait_for_message("in force", object="saltline")
             for home in homes:
-                await node.line(
+                await node.wait_for_line(
                     lambda line, home=home: (
                         line.get("home") == home.name
                         and len(line.get("targets", ())) == 2
--- a/endivewind/tests/proofs/configuration_tests.py
+++ b/endivewind/tests/proofs/configuration_tests.py
@@ -8,7 +8,7 @@
 class ConfigurationInForceTest(fleets.FleetTestCase):
     async def test_submit_waits_until_every_node_has_the_configuration(self):
         await self.start_nodes("node-a", "node-b", "node-c")
-        operators = self.fleet.nodes["node-a"].listening["operators"]
+        operators = self.fleet.nodes["node-a"].listening_line["operators"]
 
         code, found = await self.submit(
             fleets.FIRST_CONFIGURATION, "--wait", f"--operators={operators}"
@@ -30,7 +30,7 @@
         """
         await self.start_nodes("node-a", "node-b")
         self.fleet.nodes["node-b"].pause()
-        operators = self.fleet.nodes["node-a"].listening["operators"]
+        operators = self.fleet.nodes["node-a"].listening_line["operators"]
 
         code, found = await self.submit(
             fleets.FIRST_CONFIGURATION,
@@ -56,7 +56,7 @@
         _, found = await self.submit(fleets.FIRST_CONFIGURATION)
         version = found["versions"][fleets.RIDERS_OBJECT]
         for name in ("node-a", "node-b"):
-            await self.fleet.nodes[name].message("in force")
+            await self.fleet.nodes[name].wait_for_message("in force")
         await self.call_platform_control("fault", [{"mode": "outage"}])
 
         await self.start_nodes("node-c", seeds=self.seed_addresses())
@@ -66,12 +66,12 @@
 
     async def test_node_without_peers_is_not_ready_during_platform_outage(self):
         await self.call_platform_control("fault", [{"mode": "outage"}])
-        node = await self.fleet.node("node-a")
-        await node.line(
+        node = await self.fleet.start_node("node-a")
+        await node.wait_for_line(
             lambda line: str(line.get("message")).startswith("platform:")
         )
 
-        url = f"http://{node.listening['operators']}/readyz"
+        url = f"http://{node.listening_line['operators']}/readyz"
         async with (
             aiohttp.ClientSession() as session,
             session.get(url) as response,
--- a/endivewind/tests/proofs/ejection_tests.py
+++ b/endivewind/tests/proofs/ejection_tests.py
@@ -44,13 +44,13 @@
         self._targets = targets
 
     async def set_fault(self, target, **fault):
-        address = self._targets[target].listening["address"]
+        address = self._targets[target].listening_line["address"]
         url = f"http://{address}/standin/fault"
         async with self._session.put(url, json=fault) as response:
             assert response.status == 204
 
     async def send(self):
-        url = f"http://{self._node.listening['callers']}/riders/1"
+        url = f"http://{self._node.listening_line['callers']}/riders/1"
         async with self._session.get(url) as response:
             if response.status != 200:
                 return f"status {response.status}"
@@ -71,7 +71,9 @@
             await self.send()
 
     async def wait_until_judged(self, target, health):
-        await self._node.message("target judged", target=target, health=health)
+        await self._node.wait_for_message(
+            "target judged", target=target, health=health
+        )
 
     async def send_until_judged(self, target, health):
         """Sends requests until the node logs a judgment; counts results."""
@@ -88,11 +90,11 @@
         self.fleet = await self.enterAsyncContext(processes.Fleet())
 
     async def make_fixture(self, floor_slots):
-        node = await self.fleet.node("node-a")
+        node = await self.fleet.start_node("node-a")
         for name in TARGETS:
-            await self.fleet.target(name, "riders", [node])
+            await self.fleet.start_target(name, "riders", [node])
         await self.fleet.submit(_configuration(floor_slots))
-        await node.message("in force", object="camerino")
+        await node.wait_for_message("in force", object="camerino")
         session = await self.enterAsyncContext(aiohttp.ClientSession())
         fixture = _Fixture(session, node, self.fleet.targets)
         await fixture.send_many(WARM_UP_REQUESTS)
--- a/endivewind/tests/proofs/fleets.py
+++ b/endivewind/tests/proofs/fleets.py
@@ -29,11 +29,11 @@
     async def start_nodes(self, *names, **settings):
         """Starts nodes and waits until all are ready."""
         started = (
-            self.fleet.node(name, ZONES_BY_NODE[name], **settings)
+            self.fleet.start_node(name, ZONES_BY_NODE[name], **settings)
             for name in names
         )
         for node in await asyncio.gather(*started):
-            await node.message("ready")
+            await node.wait_for_message("ready")
 
     async def run_command(self, *arguments):
         """Runs the `endivewind` command; returns exit code and JSON output."""
@@ -55,7 +55,7 @@
         return await self.run_command("submit", file, *flags)
 
     def write_file(self, name, configuration):
-        path = pathlib.Path(self.fleet._folder) / name
+        path = pathlib.Path(self.fleet._directory) / name
         path.write_text(yaml.safe_dump(configuration))
         return str(path)
 
@@ -72,7 +72,7 @@
 
     async def versions_in_force(self, name):
         """Returns the version in force on each node, as one node reports it."""
-        operators = self.fleet.nodes[name].listening["operators"]
+        operators = self.fleet.nodes[name].listening_line["operators"]
         url = f"http://{operators}/v1/configuration?object={RIDERS_OBJECT}"
         async with (
             aiohttp.ClientSession() as session,
@@ -85,7 +85,7 @@
         }
 
     def seed_addresses(self):
-        return [self.fleet.nodes["node-a"].listening["nodes"]]
+        return [self.fleet.nodes["node-a"].listening_line["nodes"]]
 
 
 def slots_of(found):
--- a/endivewind/tests/proofs/membership_tests.py
+++ b/endivewind/tests/proofs/membership_tests.py
@@ -45,11 +45,11 @@
             self.assertEqual("200 riders-1", await _send(entry))
 
             # A node is declared dead after more than the lease of 2 s.
-            await entry.message("member", node="first", state="dead")
+            await entry.wait_for_message("member", node="first", state="dead")
             first.resume()
 
-            await entry.message("member", node="first", state="alive")
-            await first.message(
+            await entry.wait_for_message("member", node="first", state="alive")
+            await first.wait_for_message(
                 "home heard", home="second", targets=["riders-1"]
             )
             self.assertEqual("200 riders-1", await _send(first))
@@ -80,15 +80,18 @@
         """
         async with _fleet() as (fleet, entry, first, second):
             fleet.platform.kill()
-            seeds = [entry.listening["nodes"], second.listening["nodes"]]
-
-            fresh = await fleet.node("fresh", "caribe-a", seeds=seeds)
-            await fresh.message("in force", object="camerino")
-            await fresh.message("ready")
+            seeds = [
+                entry.listening_line["nodes"],
+                second.listening_line["nodes"],
+            ]
+
+            fresh = await fleet.start_node("fresh", "caribe-a", seeds=seeds)
+            await fresh.wait_for_message("in force", object="camerino")
+            await fresh.wait_for_message("ready")
             self.assertEqual("200 riders-1", await _send(fresh))
 
-            await fleet.target("riders-2", "riders", [fresh])
-            await entry.message("home heard", home="fresh")
+            await fleet.start_target("riders-2", "riders", [fresh])
+            await entry.wait_for_message("home heard", home="fresh")
             first.kill()
             await _wait_until_moved(entry, second)
             responses = {await _send(entry) for _ in range(8)}
@@ -103,14 +106,14 @@
         async with _fleet() as (fleet, entry, first, second):
             first.kill()
             second.kill()
-            await entry.message("targets held", targets=["riders-1"])
+            await entry.wait_for_message("targets held", targets=["riders-1"])
             self.assertEqual("200 riders-1", await _send(entry))
 
-            third = await fleet.node("third", "andina-b")
-            await third.message("home heard", home="entry")
-            await third.message("ready")
-            await fleet.target("riders-2", "riders", [third])
-            await entry.message(
+            third = await fleet.start_node("third", "andina-b")
+            await third.wait_for_message("home heard", home="entry")
+            await third.wait_for_message("ready")
+            await fleet.start_target("riders-2", "riders", [third])
+            await entry.wait_for_message(
                 "home heard", home="third", targets=["riders-2"]
             )
             self.assertEqual("200", (await _send(third))[:3])
@@ -125,17 +128,21 @@
         async with processes.Fleet() as fleet:
             await fleet.submit(CONFIGURATION)
             await _set_platform_faults(fleet, [{"mode": "outage"}])
-            home = await fleet.node("home", "andina-a", seeds=["127.0.0.1:9"])
-            entry = await fleet.node(
-                "entry", "andina-b", seeds=[home.listening["nodes"]]
+            home = await fleet.start_node(
+                "home", "andina-a", seeds=["127.0.0.1:9"]
+            )
+            entry = await fleet.start_node(
+                "entry", "andina-b", seeds=[home.listening_line["nodes"]]
+            )
+            await fleet.start_target("riders-1", "riders", [home])
+            await entry.wait_for_message(
+                "home heard", home="home", targets=["riders-1"]
             )
-            await fleet.target("riders-1", "riders", [home])
-            await entry.message("home heard", home="home", targets=["riders-1"])
             self.assertEqual("503 not-run not-ready", await _send(entry))
 
             await _set_platform_faults(fleet, [])
-            await entry.message("in force", object="camerino")
-            await entry.message("ready")
+            await entry.wait_for_message("in force", object="camerino")
+            await entry.wait_for_message("ready")
             self.assertEqual("200 riders-1", await _send(entry))
 
 
@@ -144,16 +151,18 @@
     """An entry node in one zone, and two in another, one the home node."""
     async with processes.Fleet() as fleet:
         entry, first, second = await asyncio.gather(
-            fleet.node("entry", "andina-a"),
-            fleet.node("first", "andina-b"),
-            fleet.node("second", "andina-b"),
+            fleet.start_node("entry", "andina-a"),
+            fleet.start_node("first", "andina-b"),
+            fleet.start_node("second", "andina-b"),
         )
         await fleet.submit(CONFIGURATION)
         for node in (entry, first, second):
-            await node.message("in force", object="camerino")
-            await node.message("ready")
-        await fleet.target("riders-1", "riders", [first, second, entry])
-        await entry.message("home heard", home="first", targets=["riders-1"])
+            await node.wait_for_message("in force", object="camerino")
+            await node.wait_for_message("ready")
+        await fleet.start_target("riders-1", "riders", [first, second, entry])
+        await entry.wait_for_message(
+            "home heard", home="first", targets=["riders-1"]
+        )
         yield fleet, entry, first, second
 
 
@@ -170,12 +179,14 @@
     entry: processes.Process, home: processes.Process
 ) -> None:
     async with asyncio.timeout(RECOVERY_SECONDS):
-        await entry.message("home heard", home=home.name, targets=["riders-1"])
+        await entry.wait_for_message(
+            "home heard", home=home.name, targets=["riders-1"]
+        )
 
 
 async def _send(node: processes.Process) -> str:
     """Returns the status with the target, or the refusal's outcome and reason."""
-    url = f"http://{node.listening['callers']}/work"
+    url = f"http://{node.listening_line['callers']}/work"
     async with (
         asyncio.timeout(RECOVERY_SECONDS),
         aiohttp.ClientSession() as session,
--- a/endivewind/tests/proofs/partition_tests.py
+++ b/endivewind/tests/proofs/partition_tests.py
@@ -30,7 +30,7 @@
         of that home node, and retries at the target of another one.
         """
         async with fleet() as (_, entry, broken_link):
-            broken_link.back = relay.Mode.DROP
+            broken_link.from_upstream = relay.DirectionMode.DROP
 
             status, text = await _send(entry, "GET")
 
@@ -47,8 +47,8 @@
         async with fleet() as (process_fleet, entry, broken_link):
             sent = asyncio.create_task(_send(entry, "POST", slow=True))
             near = process_fleet.targets["riders-near"]
-            await near.message("work runs")
-            broken_link.back = relay.Mode.DROP
+            await near.wait_for_message("work runs")
+            broken_link.from_upstream = relay.DirectionMode.DROP
 
             status, text = await sent
 
@@ -63,14 +63,14 @@
         there whose outcome it couldn't learn.
         """
         async with fleet() as (process_fleet, entry, broken_link):
-            broken_link.back = relay.Mode.DROP
+            broken_link.from_upstream = relay.DirectionMode.DROP
 
             status, text = await _send(entry, "POST")
 
             self.assertEqual(200, status, text)
             self.assertIn("riders-far", text)
             near = process_fleet.targets["riders-near"]
-            runs = [line for line in near.seen if _is_run(line)]
+            runs = [line for line in near.lines if _is_run(line)]
             self.assertEqual([], runs)
 
     async def test_silent_connection_does_not_open_the_circuit_breaker(self):
@@ -81,9 +81,9 @@
         """
         async with fleet() as (_, entry, broken_link):
             await _send(entry, "GET")
-            broken_link.back = relay.Mode.DROP
+            broken_link.from_upstream = relay.DirectionMode.DROP
             await _send(entry, "GET")
-            broken_link.back = relay.Mode.PASS
+            broken_link.from_upstream = relay.DirectionMode.PASS
 
             status, text = await _send(entry, "GET")
 
@@ -95,18 +95,18 @@
 async def fleet():
     """An entry node, a near home node behind a relay, and a far home node."""
     async with processes.Fleet() as process_fleet, relay.Relay() as broken_link:
-        entry = await process_fleet.node("entry", "andina-a")
-        near = await process_fleet.node(
+        entry = await process_fleet.start_node("entry", "andina-a")
+        near = await process_fleet.start_node(
             "near", "andina-a", nodes_advertised=broken_link.address
         )
-        broken_link.upstream = near.listening["nodes"]
-        far = await process_fleet.node("far", "caribe-a")
-        await process_fleet.target("riders-near", "riders", [near])
-        await process_fleet.target("riders-far", "riders", [far])
+        broken_link.upstream = near.listening_line["nodes"]
+        far = await process_fleet.start_node("far", "caribe-a")
+        await process_fleet.start_target("riders-near", "riders", [near])
+        await process_fleet.start_target("riders-far", "riders", [far])
         await process_fleet.submit(CONFIGURATION)
-        await entry.message("in force", object="camerino")
-        await entry.message("home heard", targets=["riders-near"])
-        await entry.message("home heard", targets=["riders-far"])
+        await entry.wait_for_message("in force", object="camerino")
+        await entry.wait_for_message("home heard", targets=["riders-near"])
+        await entry.wait_for_message("home heard", targets=["riders-far"])
         yield process_fleet, entry, broken_link
 
 
@@ -118,7 +118,7 @@
     node: processes.Process, method: str, slow: bool = False
 ) -> tuple[int, str]:
     """Sends a request; for a POST, first gets its idempotency key."""
-    url = f"http://{node.listening['callers']}/work"
+    url = f"http://{node.listening_line['callers']}/work"
     request_headers = {"Endivewind-Timeout-Ms": DEADLINE_MS}
     async with (
         asyncio.timeout(RESPONSE_SECONDS),
@@ -130,7 +130,7 @@
                     "Idempotency-Key"
                 ]
         if slow:
-            request_headers[standin.FAULT_HEADER] = standin.Fault.DELAY
+            request_headers[standin.FAULT_HEADER] = standin.RequestFault.DELAY
         async with session.request(
             method, url, headers=request_headers
         ) as response:
--- a/endivewind/tests/proofs/platform_tests.py
+++ b/endivewind/tests/proofs/platform_tests.py
@@ -75,7 +75,7 @@
 
     async def start(self):
         await self._runner.setup()
-        await web.TCPSite(self._runner, processes.ADDRESS, 0).start()
+        await web.TCPSite(self._runner, processes.LISTEN_ADDRESS, 0).start()
         host, port = self._runner.addresses[0][:2]
         self.address = f"{host}:{port}"
 
@@ -91,7 +91,7 @@
             "info": {"service": "riders", "slots": 3},
             "status": {"state": state, "sequence": self._sequence},
         }
-        url = f"http://{node.listening['targets']}/Instances.Heartbeat/"
+        url = f"http://{node.listening_line['targets']}/Instances.Heartbeat/"
         async with self._session.post(
             url + self.name, json=heartbeat
         ) as response:
@@ -131,7 +131,7 @@
             self.targets[name] = target
 
     async def start_node(self, name):
-        node = await self.fleet.node(
+        node = await self.fleet.start_node(
             f"node-{name}",
             interface="platform",
             once="request-id",
@@ -162,14 +162,14 @@
         await self.write_configuration(1)
         await asyncio.gather(self.start_node("a"), self.start_node("b"))
         for name, node in self.nodes.items():
-            await node.message("in force", version=1)
-            await node.message("ready")
+            await node.wait_for_message("in force", version=1)
+            await node.wait_for_message("ready")
             self.assertEqual(200, await self.targets[name].send_heartbeat(node))
-        await self.nodes["a"].message("home heard", targets=["i-b"])
-        await self.nodes["b"].message("home heard", targets=["i-a"])
+        await self.nodes["a"].wait_for_message("home heard", targets=["i-b"])
+        await self.nodes["b"].wait_for_message("home heard", targets=["i-a"])
 
     async def send(self, node, path="/views/1", method="GET", request_id="r-1"):
-        url = f"http://{node.listening['callers']}{path}"
+        url = f"http://{node.listening_line['callers']}{path}"
         request_headers = {
             "Host": HOST,
             names.HEADERS.request_id: request_id,
@@ -209,7 +209,7 @@
         self.assertEqual(503, status)
         self.assertIn("Retry-After", response_headers)
         await self.write_configuration(1)
-        await node.message("in force", version=1)
+        await node.wait_for_message("in force", version=1)
         status, _, _ = await self.send(node, path="/nowhere/1")
         self.assertEqual(404, status)
 
@@ -219,7 +219,7 @@
         await self.start_fleet()
         await self.write_configuration(7, service="venues")
         for node in self.nodes.values():
-            await node.message("in force", version=7)
+            await node.wait_for_message("in force", version=7)
 
         await self.write_configuration(3)
         status, _, _ = await self.send(self.nodes["a"])
@@ -264,7 +264,7 @@
         )
 
         stopping = asyncio.create_task(node.stop())
-        await node.message("stopping")
+        await node.wait_for_message("stopping")
         for target in self.targets.values():
             target.release.set()
         status, _, _ = await order
--- a/endivewind/tests/proofs/poison_tests.py
+++ b/endivewind/tests/proofs/poison_tests.py
@@ -60,13 +60,13 @@
 @contextlib.asynccontextmanager
 async def _fleet():
     async with processes.Fleet() as fleet, aiohttp.ClientSession() as session:
-        entry = await fleet.node("entry")
+        entry = await fleet.start_node("entry")
         await asyncio.gather(
             *(
-                fleet.target(f"riders-{number}", "riders", [entry])
+                fleet.start_target(f"riders-{number}", "riders", [entry])
                 for number in range(TARGET_COUNT)
             )
         )
         await fleet.submit(CONFIGURATION)
-        await entry.message("in force", object="camerino")
+        await entry.wait_for_message("in force", object="camerino")
         yield fleet, entry, calls.Caller(session)
--- a/endivewind/tests/proofs/stop_tests.py
+++ b/endivewind/tests/proofs/stop_tests.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from endivewind.standins import load
+from endivewind.standins import load_generator
 from endivewind.standins import target as standin
 from endivewind.tests import processes
 from endivewind.tests.proofs import calls
@@ -50,23 +50,23 @@
             key = await caller.request_key(node, path="/once")
             request = {"key": key, "work": "slow", "path": "/once"}
             slow = asyncio.create_task(
-                caller.send(node, fault=standin.Fault.DELAY, **request)
+                caller.send(node, fault=standin.RequestFault.DELAY, **request)
             )
             streamed = asyncio.create_task(
-                caller.send(node, "GET", fault=standin.Fault.SLOW_STREAM)
+                caller.send(node, "GET", fault=standin.RequestFault.SLOW_STREAM)
             )
             await _first_message(fleet.targets.values(), "work runs", "slow")
             stopping = asyncio.create_task(node.stop())
-            await node.message("drained")
+            await node.wait_for_message("drained")
             refusal = await caller.send(node, "GET")
             again = await caller.send(
-                other, fault=standin.Fault.DELAY, **request
+                other, fault=standin.RequestFault.DELAY, **request
             )
 
             self.assertEqual(200, (await slow).status)
             whole = await streamed
             self.assertEqual(200, whole.status)
-            self.assertEqual(standin.WHOLE_BYTES // 20, len(whole.body))
+            self.assertEqual(standin.LARGE_BODY_BYTES // 20, len(whole.body))
             self.assertEqual(
                 (503, "not-run"), (refusal.status, refusal.outcome)
             )
@@ -116,7 +116,7 @@
                 code = await fleet.nodes[name].stop()
                 self.assertEqual(0, code)
                 restarted = await _restart_node(fleet, name)
-                await restarted.message("in force", object="saltline")
+                await restarted.wait_for_message("in force", object="saltline")
                 load_run.stopping_nodes.discard(name)
             load_run.is_stopped = True
             await sending
@@ -169,7 +169,7 @@
 async def _first_message(targets, message: str, work: str) -> processes.Process:
     """Waits until one target logs a message about a Work-Id; returns it."""
     waits = {
-        asyncio.create_task(target.message(message, work=work)): target
+        asyncio.create_task(target.wait_for_message(message, work=work)): target
         for target in targets
     }
     done, pending = await asyncio.wait(
@@ -183,10 +183,10 @@
 
 async def _restart_node(fleet, name: str) -> processes.Process:
     """Restarts a node at its former addresses."""
-    previous = fleet.nodes[name].listening
+    previous = fleet.nodes[name].listening_line
     addresses = {key: previous[key] for key in ("callers", "targets", "nodes")}
     limits = {"stop_seconds": STOP_SECONDS}
-    return await fleet.node(name, "north-a", limits=limits, **addresses)
+    return await fleet.start_node(name, "north-a", limits=limits, **addresses)
 
 
 class _Load:
@@ -203,7 +203,7 @@
     async def run(self) -> None:
         """Sends requests until stopped, then waits for all responses."""
         async with asyncio.TaskGroup() as group:
-            async for number in load.paced(REQUESTS_PER_SECOND):
+            async for number in load_generator.pace(REQUESTS_PER_SECOND):
                 if self.is_stopped:
                     return
                 group.create_task(self._send_until_answered(number))
@@ -247,15 +247,18 @@
     async with processes.Fleet() as fleet, aiohttp.ClientSession() as session:
         limits = {"stop_seconds": stop_seconds}
         nodes = await asyncio.gather(
-            *(fleet.node(name, "north-a", limits=limits) for name in NODE_NAMES)
+            *(
+                fleet.start_node(name, "north-a", limits=limits)
+                for name in NODE_NAMES
+            )
         )
         for index in range(3):
             homes = nodes[index:] + nodes[:index]
-            await fleet.target(f"ledger-{index + 1}", "ledger", homes)
+            await fleet.start_target(f"ledger-{index + 1}", "ledger", homes)
         await fleet.submit(CONFIGURATION)
         caller = calls.Caller(session)
         for node in nodes:
-            await node.message("in force", object="saltline")
+            await node.wait_for_message("in force", object="saltline")
             async with asyncio.timeout(calls.TIMEOUT_SECONDS):
                 while len(await caller.target_states(node)) < len(
                     fleet.targets
--- a/endivewind/tests/proofs/submission_tests.py
+++ b/endivewind/tests/proofs/submission_tests.py
@@ -87,7 +87,7 @@
 
         await self.submit({}, f"--remove={fleets.RIDERS_OBJECT}")
 
-        await self.fleet.nodes["node-a"].message("in force")
+        await self.fleet.nodes["node-a"].wait_for_message("in force")
         _, found_object = await self.run_command("get", "service", "riders")
         self.assertIsNone(found_object["value"]["spec"])
 
--- a/endivewind/tests/proofs/whole_answer_tests.py
+++ b/endivewind/tests/proofs/truncation_tests.py
@@ -52,8 +52,8 @@
         looks complete.
         """
         for fault in (
-            standin.Fault.TRUNCATE_LENGTH,
-            standin.Fault.TRUNCATE_CHUNKED,
+            standin.RequestFault.TRUNCATE_LENGTH,
+            standin.RequestFault.TRUNCATE_CHUNKED,
         ):
             with self.subTest(fault=fault):
                 response = await caller.send(node, "GET", fault=fault)
@@ -64,8 +64,8 @@
 
     async def _check_streamed_response(self, fleet, caller, node):
         for fault, length in (
-            (standin.Fault.LARGE, standin.WHOLE_BYTES),
-            (standin.Fault.SLOW_STREAM, standin.WHOLE_BYTES // 20),
+            (standin.RequestFault.LARGE, standin.LARGE_BODY_BYTES),
+            (standin.RequestFault.SLOW_STREAM, standin.LARGE_BODY_BYTES // 20),
         ):
             with self.subTest(fault=fault):
                 response = await caller.send(node, "GET", fault=fault)
@@ -138,13 +138,17 @@
         far_off = {"Endivewind_Timeout_Ms": "300000"}
         left = asyncio.create_task(
             caller.send(
-                node, "GET", work=work, fault=standin.Fault.HANG, **far_off
+                node,
+                "GET",
+                work=work,
+                fault=standin.RequestFault.HANG,
+                **far_off,
             )
         )
-        await target.message("work runs", work=work)
+        await target.wait_for_message("work runs", work=work)
         left.cancel()
 
-        await target.message("work cancelled", work=work)
+        await target.wait_for_message("work cancelled", work=work)
 
     async def _check_malformed_requests(self, node):
         """Malformed requests are refused with 400 and outcome not-run."""
@@ -177,7 +181,7 @@
 
 
 async def _open(node):
-    host, _, port = node.listening["callers"].rpartition(":")
+    host, _, port = node.listening_line["callers"].rpartition(":")
     return await asyncio.open_connection(host, int(port))
 
 
@@ -219,11 +223,11 @@
     """An entry node, a home node with the target riders-1, and a caller."""
     async with processes.Fleet() as fleet, aiohttp.ClientSession() as session:
         limits = {"body_bytes": MAX_BODY_BYTES}
-        entry = await fleet.node("entry", "andina-a", limits=limits)
-        home = await fleet.node("home", "andina-b", limits=limits)
-        await fleet.target("riders-1", "riders", [home])
+        entry = await fleet.start_node("entry", "andina-a", limits=limits)
+        home = await fleet.start_node("home", "andina-b", limits=limits)
+        await fleet.start_target("riders-1", "riders", [home])
         await fleet.submit(CONFIGURATION)
         for node in (entry, home):
-            await node.message("in force", object="camerino")
-        await entry.message("home heard", targets=["riders-1"])
+            await node.wait_for_message("in force", object="camerino")
+        await entry.wait_for_message("home heard", targets=["riders-1"])
         yield fleet, calls.Caller(session)
--- a/endivewind/tests/samples.py
+++ b/endivewind/tests/samples.py
@@ -5,7 +5,7 @@
 from endivewind.targets import records
 
 
-def target(name: str, **changes: Any) -> records.TargetRecord:
+def make_target_record(name: str, **changes: Any) -> records.TargetRecord:
     """Returns a ready, healthy target of service riders at home node-a."""
     fields: dict[str, Any] = {
         "service": "riders",
@@ -17,6 +17,6 @@
         "slots": 3,
         "weight": 1,
         "state": records.State.READY,
-        "health": records.Health.NORMAL,
+        "health": records.EjectionStatus.NORMAL,
     }
     return records.TargetRecord(id=name, **{**fields, **changes})
--- a/endivewind/tests/soak/checks_tests.py
+++ b/endivewind/tests/soak/checks_tests.py
@@ -6,15 +6,15 @@
 
 from endivewind.soak import checks
 
-Promise = checks.Promise
-GOOD = checks.Told("w1", True, "node-0", 1.0, 2.0, 200, named="w1")
+Promise = checks.Guarantee
+GOOD = checks.RequestRecord("w1", True, "node-0", 1.0, 2.0, 200, named="w1")
 
 
 def _violations(told, runs, outages=()):
-    findings = checks.of_requests(
+    findings = checks.check_requests(
         [told], collections.Counter({"w1": runs}), outages
     )
-    return [item.promise for item in findings]
+    return [item.guarantee for item in findings]
 
 
 class RequestsTest(unittest.TestCase):
@@ -29,12 +29,16 @@
         )
         cut = dataclasses.replace(GOOD, status=0, named="", cut=True)
         cases = (
-            (GOOD, 2, Promise.ONCE),
-            (GOOD, 0, Promise.ANSWERED),
-            (refused, 1, Promise.NOT_RUN),
-            (dataclasses.replace(GOOD, named="w2"), 1, Promise.OWN),
-            (dataclasses.replace(GOOD, named=""), 1, Promise.OWN),
-            (cut, 1, Promise.STOPS),
+            (GOOD, 2, Promise.AT_MOST_ONCE),
+            (GOOD, 0, Promise.RESPONSE_IMPLIES_RUN),
+            (refused, 1, Promise.NOT_RUN_IS_TRUE),
+            (
+                dataclasses.replace(GOOD, named="w2"),
+                1,
+                Promise.MATCHING_RESPONSE,
+            ),
+            (dataclasses.replace(GOOD, named=""), 1, Promise.MATCHING_RESPONSE),
+            (cut, 1, Promise.GRACEFUL_STOP),
         )
         for told, runs, guarantee in cases:
             with self.subTest(guarantee):
@@ -62,7 +66,9 @@
             checks.Outage("node-0", 2.5, 3.0),
             checks.Outage("node-0", 0.2, 0.5),
         ):
-            self.assertEqual([Promise.STOPS], _violations(cut, 1, [outage]))
+            self.assertEqual(
+                [Promise.GRACEFUL_STOP], _violations(cut, 1, [outage])
+            )
 
     def test_broken_link_may_cut_only_streamed_responses(self):
         """A link to a home breaks while a response is streamed through it.
@@ -71,21 +77,21 @@
         closes the caller's connection. A request whose response was not
         streamed gets the outcome unknown instead.
         """
-        broken = checks.Outage(checks.ANY, 1.5, 3.0)
+        broken = checks.Outage(checks.ANY_NODE, 1.5, 3.0)
         cut = dataclasses.replace(GOOD, status=0, named="", cut=True)
         streamed = dataclasses.replace(cut, streamed=True)
 
         self.assertEqual([], _violations(streamed, 1, [broken]))
-        self.assertEqual([Promise.STOPS], _violations(cut, 1, [broken]))
-        self.assertEqual([Promise.STOPS], _violations(streamed, 1))
+        self.assertEqual([Promise.GRACEFUL_STOP], _violations(cut, 1, [broken]))
+        self.assertEqual([Promise.GRACEFUL_STOP], _violations(streamed, 1))
 
 
 class RunTest(unittest.TestCase):
     def test_decreasing_version_is_found(self):
-        findings = checks.of_versions({"a": [1, 2, 2, 3], "b": [2, 3, 2]})
+        findings = checks.check_versions({"a": [1, 2, 2, 3], "b": [2, 3, 2]})
 
         self.assertEqual(
-            [Promise.REVERTED], [item.promise for item in findings]
+            [Promise.NO_ROLLBACK], [item.guarantee for item in findings]
         )
         self.assertIn("b", findings[0].detail)
 
@@ -96,5 +102,5 @@
         ]
         twice = collections.Counter({item.work: 2 for item in told})
 
-        self.assertEqual([], checks.of_retries(told, twice, 0.2, 8))
-        self.assertEqual(1, len(checks.of_retries(told, twice, 0.2, 7)))
+        self.assertEqual([], checks.check_retries(told, twice, 0.2, 8))
+        self.assertEqual(1, len(checks.check_retries(told, twice, 0.2, 7)))
--- a/endivewind/tests/soak/runs_tests.py
+++ b/endivewind/tests/soak/runs_tests.py
@@ -7,7 +7,7 @@
 from endivewind.soak import runs
 from endivewind.soak import schedules
 
-Kind = schedules.Kind
+Kind = schedules.FaultKind
 
 
 class RunTest(unittest.IsolatedAsyncioTestCase):
@@ -29,7 +29,9 @@
         )
         schedule = schedules.Schedule(1, 2.0, faults)
         with tempfile.TemporaryDirectory() as folder:
-            outcome = await runs.Run(schedule, pathlib.Path(folder)).play()
+            outcome = await runs.SoakRun(
+                schedule, pathlib.Path(folder)
+            ).execute()
 
         self.assertEqual((), outcome.findings)
         self.assertGreater(outcome.answered, 10)
--- a/endivewind/tests/soak/schedules_tests.py
+++ b/endivewind/tests/soak/schedules_tests.py
@@ -9,29 +9,30 @@
 
 class SchedulesTest(unittest.TestCase):
     def test_seed_determines_schedule(self):
-        first = schedules.draw(7, 12)
+        first = schedules.generate(7, 12)
 
-        self.assertEqual(first, schedules.draw(7, 12))
-        self.assertNotEqual(first.faults, schedules.draw(8, 12).faults)
+        self.assertEqual(first, schedules.generate(7, 12))
+        self.assertNotEqual(first.faults, schedules.generate(8, 12).faults)
 
     def test_all_kinds_occur_and_most_faults_overlap(self):
-        generated = [schedules.draw(seed, 12) for seed in range(50)]
+        generated = [schedules.generate(seed, 12) for seed in range(50)]
         kinds = {fault.kind for item in generated for fault in item.faults}
         overlapping = sum(
             any(
-                fault_a is not other and fault_a.at <= other.at < fault_a.ends
+                fault_a is not other
+                and fault_a.at <= other.at < fault_a.ends_at
                 for other in item.faults
             )
             for item in generated
             for fault_a in item.faults
         )
 
-        self.assertEqual(set(schedules.Kind), kinds)
+        self.assertEqual(set(schedules.FaultKind), kinds)
         count = sum(len(item.faults) for item in generated)
         self.assertGreater(overlapping, count / 2)
 
     def test_json_round_trip(self):
-        generated = schedules.draw(7, 12)
+        generated = schedules.generate(7, 12)
 
         parsed = schedules.Schedule.from_json(generated.to_json())
 
@@ -49,7 +50,7 @@
 
     def test_shrinking_keeps_faults_that_fail(self):
         """The run fails only with both of two faults among many."""
-        generated = schedules.draw(7, 30)
+        generated = schedules.generate(7, 30)
         wanted = {generated.faults[2], generated.faults[-1]}
 
         async def is_red(schedule):
--- a/endivewind/tests/standins/hop_tests.py
+++ b/endivewind/tests/standins/hop_tests.py
@@ -23,7 +23,7 @@
         target = web.Application()
         target.router.add_route("*", "/{path:.*}", respond)
         async with test_utils.TestServer(target) as server:
-            served = hop.Hop(str(server.make_url("/"))).application()
+            served = hop.HopProxy(str(server.make_url("/"))).make_application()
             async with (
                 test_utils.TestClient(test_utils.TestServer(served)) as client,
                 client.put("/a%2Fb?c=1", data=b"+", headers={"X": "y"}) as got,
--- a/endivewind/tests/standins/relay_tests.py
+++ b/endivewind/tests/standins/relay_tests.py
@@ -31,11 +31,11 @@
             )
             first_writer.write(b"one")
             self.assertEqual(b"one", await received.get())
-            faulty_relay.towards = relay.Mode.DROP
+            faulty_relay.to_upstream = relay.DirectionMode.DROP
             first_writer.write(b"lost")
             await first_writer.drain()
-            await faulty_relay.has_lost.wait()
-            faulty_relay.towards = relay.Mode.PASS
+            await faulty_relay.loss_event.wait()
+            faulty_relay.to_upstream = relay.DirectionMode.PASS
             first_writer.write(b"late")
             await first_writer.drain()
             _, second_writer = await asyncio.open_connection(
--- a/endivewind/tests/style_tests.py
+++ b/endivewind/tests/style_tests.py
@@ -60,7 +60,7 @@
     """Returns whether a file uses virtual time only, so that sleeps are instant."""
     text = file.read_text()
     real = ("IsolatedAsyncioTestCase", "asyncio.run(", "new_event_loop")
-    return "virtual.VirtualLoop()" in text and not any(
+    return "virtual_loop.VirtualLoop()" in text and not any(
         word in text for word in real
     )
 
--- a/endivewind/tests/targets/connections_tests.py
+++ b/endivewind/tests/targets/connections_tests.py
@@ -23,7 +23,7 @@
         self.addCleanup(server.close)
         port = server.sockets[0].getsockname()[1]
         self.url = f"http://127.0.0.1:{port}/"
-        session = connections.session(connections.Connector(reuse=False))
+        session = connections.make_session(connections.Connector(reuse=False))
         self.session = await self.enterAsyncContext(session)
 
     async def _respond(self, reader, writer):
--- a/endivewind/tests/targets/dispatch_tests.py
+++ b/endivewind/tests/targets/dispatch_tests.py
@@ -8,10 +8,10 @@
 
 from endivewind import exchange
 from endivewind import headers
-from endivewind.standins import virtual
+from endivewind.standins import virtual_loop
+from endivewind.targets import attempt_log
 from endivewind.targets import dispatch
 from endivewind.targets import evidence
-from endivewind.targets import handover
 from endivewind.targets import registry
 
 ANNOUNCEMENT = registry.Announcement(
@@ -68,8 +68,8 @@
             raise aiohttp.ClientConnectionError("refused")
         self.request_count += 1
         self.sent_headers.append(headers)
-        trace_request_ctx.connected = True
-        trace_request_ctx.reused = self.reused
+        trace_request_ctx.has_connection = True
+        trace_request_ctx.is_reused = self.reused
         if self.is_silent:
             await asyncio.Event().wait()
         return (
@@ -85,9 +85,9 @@
     names = headers.DEFAULT_NAMES
 
     def setUp(self):
-        self.loop = virtual.VirtualLoop()
+        self.loop = virtual_loop.VirtualLoop()
         self.addCleanup(self.loop.close)
-        clock = virtual.LoopClock(self.loop)
+        clock = virtual_loop.LoopClock(self.loop)
         home = registry.HomeIdentity("home", 7, "r", "z")
         self.targets = registry.TargetRegistry(home, clock)
         self.targets.announce("t", ANNOUNCEMENT, 2)
@@ -100,15 +100,15 @@
             self.fresh,
             clock,
             self,
-            handover.HandOverLedger(),
+            attempt_log.AttemptLog(),
             self.names,
         )
 
-    def started(self, target, service):
+    def record_start(self, target, service):
         """Ignores the start of a request, as the observer."""
         return 0
 
-    def finished(self, sample):
+    def record_finish(self, sample):
         """Records how a request ended, as the observer."""
         self.kinds.append(sample.kind)
 
@@ -120,7 +120,7 @@
             headers=(),
             service="riders",
             workspace=workspace,
-            remaining=datetime.timedelta(seconds=2),
+            remaining_time=datetime.timedelta(seconds=2),
             ticket=ticket,
             attempt=attempt,
         )
@@ -145,9 +145,9 @@
         first = self.run_one()
         successes = [self.run_one().is_ok() for _ in range(5)]
 
-        self.assertEqual(exchange.Outcome.UNKNOWN, first.error.outcome)
+        self.assertEqual(exchange.ExecutionOutcome.UNKNOWN, first.error.outcome)
         self.assertEqual([True] * 5, successes)
-        self.assertNotIn(evidence.Kind.TIMEOUT, self.kinds)
+        self.assertNotIn(evidence.ResultKind.TIMEOUT, self.kinds)
         self.assertEqual(1, self.pooled.request_count)
 
     def test_later_timeouts_count_against_the_target(self):
@@ -156,7 +156,7 @@
         for _ in range(4):
             self.run_one()
 
-        self.assertEqual([evidence.Kind.TIMEOUT] * 3, self.kinds[1:])
+        self.assertEqual([evidence.ResultKind.TIMEOUT] * 3, self.kinds[1:])
 
     def test_workspace_is_sent_to_the_target(self):
         self.run_one(workspace="crew")
@@ -172,22 +172,28 @@
 
         result = self.run_one("ticket", 1)
 
-        self.assertEqual(exchange.Outcome.NOT_RUN, result.error.outcome)
-        self.assertEqual([evidence.Kind.REFUSED_CONNECTION], self.kinds)
+        self.assertEqual(
+            exchange.ExecutionOutcome.NOT_RUN, result.error.outcome
+        )
+        self.assertEqual([evidence.ResultKind.REFUSED_CONNECTION], self.kinds)
 
     def test_timeout_means_unknown_outcome(self):
         self.fresh.is_silent = True
 
         result = self.run_one("ticket", 1)
 
-        self.assertEqual(exchange.Outcome.UNKNOWN, result.error.outcome)
+        self.assertEqual(
+            exchange.ExecutionOutcome.UNKNOWN, result.error.outcome
+        )
 
     def test_request_for_an_earlier_incarnation_is_refused(self):
         """The home node has restarted and lost its log of attempts."""
         result = self.run_one("ticket", 1, incarnation=6)
 
         self.assertEqual(exchange.Reason.STALE_HOME, result.error.reason)
-        self.assertEqual(exchange.Outcome.NOT_RUN, result.error.outcome)
+        self.assertEqual(
+            exchange.ExecutionOutcome.NOT_RUN, result.error.outcome
+        )
         self.assertEqual(0, self.fresh.request_count)
 
     def test_unread_stream_releases_its_slot(self):
@@ -195,11 +201,11 @@
         self.pooled.content_length = None
 
         result = self.run_one()
-        in_use = self.targets.get("t").in_use
+        in_use = self.targets.get("t").slots_in_use
         self.loop.run_until_complete(result.ok.stream.aclose())
 
-        self.assertEqual((1, 0), (in_use, self.targets.get("t").in_use))
-        self.assertEqual([evidence.Kind.CANCELLED], self.kinds)
+        self.assertEqual((1, 0), (in_use, self.targets.get("t").slots_in_use))
+        self.assertEqual([evidence.ResultKind.CANCELLED], self.kinds)
 
 
 class ResponseMarkerTest(_Case):
@@ -224,7 +230,9 @@
 
         result = self.run_one()
 
-        self.assertEqual(exchange.Outcome.UNKNOWN, result.error.outcome)
+        self.assertEqual(
+            exchange.ExecutionOutcome.UNKNOWN, result.error.outcome
+        )
         self.assertTrue(response.closed)
 
     def test_non_idempotent_request_then_has_unknown_outcome(self):
@@ -232,7 +240,9 @@
 
         result = self.run_one("ticket", 1)
 
-        self.assertEqual(exchange.Outcome.UNKNOWN, result.error.outcome)
+        self.assertEqual(
+            exchange.ExecutionOutcome.UNKNOWN, result.error.outcome
+        )
         self.assertEqual(1, self.fresh.request_count)
 
     def test_success_without_request_id_is_rejected(self):
@@ -249,7 +259,9 @@
 
         result = self.run_one("ticket", 1)
 
-        self.assertEqual(exchange.Outcome.NOT_RUN, result.error.outcome)
+        self.assertEqual(
+            exchange.ExecutionOutcome.NOT_RUN, result.error.outcome
+        )
         self.assertIs(exchange.Reason.TARGET_FULL, result.error.reason)
 
     def test_misdirected_request_means_wrong_target(self):
@@ -270,7 +282,9 @@
 
         result = self.run_one("ticket", 1)
 
-        self.assertEqual(exchange.Outcome.UNKNOWN, result.error.outcome)
+        self.assertEqual(
+            exchange.ExecutionOutcome.UNKNOWN, result.error.outcome
+        )
 
     def test_complete_response_without_length_is_buffered(self):
         self.fresh.responses = [
@@ -298,8 +312,10 @@
         result = self.run_one("ticket", 1)
 
         self.assertIs(exchange.Reason.SUSPECT, result.error.reason)
-        self.assertEqual(exchange.Outcome.NOT_RUN, result.error.outcome)
-        self.assertGreater(result.error.target_status.suspicion, 0.5)
+        self.assertEqual(
+            exchange.ExecutionOutcome.NOT_RUN, result.error.outcome
+        )
+        self.assertGreater(result.error.target_report.suspicion, 0.5)
         self.assertEqual(count, self.fresh.request_count)
 
     def test_idempotent_requests_clear_the_suspicion(self):
@@ -312,14 +328,14 @@
 
     def test_overdue_request_counts_before_it_ends(self):
         self.pooled.is_silent = True
-        before = self.targets.get("t").glance(self._now()).suspicion
+        before = self.targets.get("t").report(self._now()).suspicion
 
         async def measure_while_pending():
             task = asyncio.ensure_future(self._run())
             await asyncio.sleep(1)
-            self.dispatcher.look()
-            self.dispatcher.look()
-            suspicion = self.targets.get("t").glance(self._now()).suspicion
+            self.dispatcher.check_overdue()
+            self.dispatcher.check_overdue()
+            suspicion = self.targets.get("t").report(self._now()).suspicion
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
             return suspicion
@@ -330,7 +346,7 @@
         self.assertLess(after, 0.9)
 
     def _now(self):
-        return virtual.LoopClock(self.loop).monotonic()
+        return virtual_loop.LoopClock(self.loop).monotonic()
 
     async def _run(self):
         head = exchange.RequestHead(
--- a/endivewind/tests/targets/registry_tests.py
+++ b/endivewind/tests/targets/registry_tests.py
@@ -34,7 +34,7 @@
     def _advance(self, seconds):
         for _ in range(int(seconds * 5)):
             self.clock.advance(SECOND / 5)
-            self.targets.expire()
+            self.targets.remove_expired()
 
     def _rival(self, moves, incarnation=1, home_incarnation=9):
         return records.TargetRecord(
@@ -48,14 +48,14 @@
             slots=3,
             weight=1,
             state=records.State.READY,
-            health=records.Health.NORMAL,
+            health=records.EjectionStatus.NORMAL,
             target_incarnation=incarnation,
             moves=moves,
         )
 
     def test_new_home_of_a_moved_target_is_known(self):
         self._announce()
-        self.targets.give_up(self._rival(moves=1))
+        self.targets.release_if_moved(self._rival(moves=1))
         self.assertEqual("n1", self.targets.moved_to("t1"))
 
         self._announce(moves=2)
@@ -80,7 +80,9 @@
         self._announce()
         self._advance(1)
         self.clock.advance(SECOND * 30)
-        self.assertEqual(registry.Refused.RESUMING, self._announce().error)
+        self.assertEqual(
+            registry.AnnouncementRefusal.RESUMING, self._announce().error
+        )
         self._advance(0.6)
         self.assertTrue(self._announce().is_ok())
 
@@ -99,7 +101,8 @@
         self.assertFalse(self.targets.depart("t1", incarnation=2))
 
         self.assertEqual(
-            registry.Refused.LEFT, self._announce(incarnation=2).error
+            registry.AnnouncementRefusal.DEPARTED,
+            self._announce(incarnation=2).error,
         )
         self.assertIsNone(self.targets.get("t1"))
         self.assertTrue(self._announce(incarnation=3).is_ok())
@@ -107,8 +110,8 @@
     def test_later_announcement_elsewhere_removes_the_target(self):
         """Two home nodes have registered a target; one must remove it."""
         self._announce(moves=1)
-        self.assertFalse(self.targets.give_up(self._rival(moves=0)))
-        self.assertTrue(self.targets.give_up(self._rival(moves=2)))
+        self.assertFalse(self.targets.release_if_moved(self._rival(moves=0)))
+        self.assertTrue(self.targets.release_if_moved(self._rival(moves=2)))
         self.assertIsNone(self.targets.get("t1"))
         change = self.targets.take_changes()[-1]
         self.assertTrue(change.is_removal)
@@ -116,26 +119,35 @@
     def test_outdated_announcement_is_refused(self):
         """An announcement arrives after a later one at another home node."""
         self.rivals["t1"] = self._rival(moves=2)
-        self.assertEqual(registry.Refused.MOVED, self._announce(1).error)
+        self.assertEqual(
+            registry.AnnouncementRefusal.MOVED, self._announce(1).error
+        )
         self.assertTrue(self._announce(moves=3).is_ok())
 
     def test_earlier_incarnation_is_refused(self):
         self._announce(incarnation=2)
-        self.assertEqual(registry.Refused.OLDER_START, self._announce().error)
+        self.assertEqual(
+            registry.AnnouncementRefusal.OLDER_INCARNATION,
+            self._announce().error,
+        )
         self.rivals["t1"] = self._rival(moves=0, incarnation=4)
         result = self._announce(incarnation=3)
-        self.assertEqual(registry.Refused.OLDER_START, result.error)
+        self.assertEqual(
+            registry.AnnouncementRefusal.OLDER_INCARNATION, result.error
+        )
 
     def test_stopping_home_keeps_its_targets_until_they_have_moved(self):
         """Guards against a loss of capacity during a planned stop."""
         self._announce()
-        self.targets.stop_taking()
-        self.assertEqual(registry.Refused.STOPPING, self._announce().error)
+        self.targets.refuse_announcements()
+        self.assertEqual(
+            registry.AnnouncementRefusal.STOPPING, self._announce().error
+        )
         self.assertIsNotNone(self.targets.get("t1"))
 
     def test_changes_are_numbered_without_gaps(self):
         self._announce()
-        self.targets.set_health("t1", records.Health.EJECTED)
+        self.targets.set_ejection_status("t1", records.EjectionStatus.EJECTED)
         self.targets.withdraw("t1")
         sequences = [
             item.record.sequence for item in self.targets.take_changes()
--- a/endivewind/tests/targets/slots_tests.py
+++ b/endivewind/tests/targets/slots_tests.py
@@ -4,7 +4,7 @@
 import datetime
 import unittest
 
-from endivewind.standins import virtual
+from endivewind.standins import virtual_loop
 from endivewind.targets import slots
 
 SECOND = datetime.timedelta(seconds=1)
@@ -13,19 +13,19 @@
 
 class SlotsTest(unittest.TestCase):
     def setUp(self):
-        self.loop = virtual.VirtualLoop()
+        self.loop = virtual_loop.VirtualLoop()
         self.addCleanup(self.loop.close)
-        self.slots = slots.Slots(virtual.LoopClock(self.loop))
+        self.slots = slots.TargetSlots(virtual_loop.LoopClock(self.loop))
         self.order = []
 
     async def _request(self, name, priority=0, seconds=1.0, deadline=60):
-        waiter = slots.waiter(priority, deadline * SECOND)
-        if not await self.slots.take(SLOTS, waiter):
+        waiter = slots.make_waiter(priority, deadline * SECOND)
+        if not await self.slots.acquire(SLOTS, waiter):
             self.order.append(f"{name} refused")
             return
         self.order.append(name)
         await asyncio.sleep(seconds)
-        self.slots.free(SLOTS)
+        self.slots.release(SLOTS)
 
     def _run(self, *requests):
         async def run():
@@ -48,7 +48,7 @@
 
     def test_full_queue_refuses_at_once(self):
         """The entry node can then try another target without delay."""
-        capacity = SLOTS * (1 + slots.QUEUE_PER_SLOT)
+        capacity = SLOTS * (1 + slots.QUEUE_LENGTH_PER_SLOT)
         self._run(
             *(self._request(f"r{number}") for number in range(capacity + 1))
         )
@@ -57,7 +57,7 @@
         self.assertEqual(0, self.slots.load)
 
     def test_request_displaced_by_higher_priority_is_refused(self):
-        capacity = SLOTS * (1 + slots.QUEUE_PER_SLOT)
+        capacity = SLOTS * (1 + slots.QUEUE_LENGTH_PER_SLOT)
         self._run(
             *(self._request(f"r{number}") for number in range(capacity)),
             self._request("payout", priority=5),
--- a/endivewind/tests/tls_tests.py
+++ b/endivewind/tests/tls_tests.py
@@ -38,15 +38,17 @@
             cafile=str(_FOLDER / "authority.pem")
         )
         async with processes.Fleet() as fleet:
-            entry = await fleet.node("node-a", "andina-a", **_TLS_SETTINGS)
-            home = await fleet.node("node-b", "andina-b", **_TLS_SETTINGS)
-            await fleet.target("riders-1", "riders", [home])
+            entry = await fleet.start_node(
+                "node-a", "andina-a", **_TLS_SETTINGS
+            )
+            home = await fleet.start_node("node-b", "andina-b", **_TLS_SETTINGS)
+            await fleet.start_target("riders-1", "riders", [home])
             await fleet.submit(path_tests.CONFIGURATION)
-            await entry.message("in force", object="camerino")
-            await entry.line(lambda line: "riders-1" in str(line))
+            await entry.wait_for_message("in force", object="camerino")
+            await entry.wait_for_line(lambda line: "riders-1" in str(line))
 
             async with aiohttp.ClientSession() as session:
-                address = entry.listening["callers"]
+                address = entry.listening_line["callers"]
                 async with session.get(
                     f"https://{address}/riders/1",
                     headers={"Host": "camerino.example"},
@@ -73,7 +75,7 @@
             _echo,
             "127.0.0.1",
             0,
-            ssl=tls.server_context(settings.Tls(**_tls("node"))),
+            ssl=tls.make_server_context(settings.Tls(**_tls("node"))),
         )
         self.addAsyncCleanup(_close, self._server)
         self._port = self._server.sockets[0].getsockname()[1]
@@ -96,13 +98,13 @@
         return answer
 
     async def test_certificate_of_the_same_authority_is_accepted(self):
-        context = tls.link_context(settings.Tls(**_tls("node")))
+        context = tls.make_link_context(settings.Tls(**_tls("node")))
 
         self.assertEqual(b"frame", await self._exchange(context))
 
     async def test_certificate_of_another_authority_is_refused(self):
         # The other end trusts the node, so only the node can refuse.
-        context = tls.link_context(settings.Tls(**_tls("stranger")))
+        context = tls.make_link_context(settings.Tls(**_tls("stranger")))
 
         self.assertEqual(b"", await self._exchange(context))
 
@@ -119,14 +121,14 @@
             _echo,
             "127.0.0.1",
             0,
-            ssl=tls.server_context(
+            ssl=tls.make_server_context(
                 settings.Tls(**_tls("stranger", "stranger-authority"))
             ),
         )
         self.addAsyncCleanup(_close, stranger)
         self._port = stranger.sockets[0].getsockname()[1]
 
-        context = tls.link_context(settings.Tls(**_tls("node")))
+        context = tls.make_link_context(settings.Tls(**_tls("node")))
         self.assertEqual(b"", await self._exchange(context))
 
     async def test_unencrypted_connection_gets_no_response(self):
@@ -134,7 +136,7 @@
 
 
 async def _metrics(node: processes.Process) -> list[str]:
-    url = f"http://{node.listening['operators']}/metrics"
+    url = f"http://{node.listening_line['operators']}/metrics"
     async with aiohttp.ClientSession() as session, session.get(url) as found:
         return (await found.text()).splitlines()
 
--- a/endivewind/tls.py
+++ b/endivewind/tls.py
@@ -6,7 +6,7 @@
 from endivewind.config import settings
 
 
-def server_context(tls: settings.Tls | None) -> ssl.SSLContext | None:
+def make_server_context(tls: settings.Tls | None) -> ssl.SSLContext | None:
     """Makes a listener's context; returns None if TLS is not configured.
 
     If an authority is set, clients must present a certificate of it.
@@ -21,7 +21,7 @@
     return context
 
 
-def link_context(tls: settings.Tls | None) -> ssl.SSLContext | None:
+def make_link_context(tls: settings.Tls | None) -> ssl.SSLContext | None:
     """Makes the context of the connecting side of a link between nodes.
 
     Nodes connect by IP address, and the authority signs only nodes'
