--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -70,8 +70,8 @@
     Mutant(
         "the age of another node's freshness proof is ignored",
         "config/freshness.py",
-        "        return self.record_proof(answer.version, asked - age)\n",
-        "        return self.record_proof(answer.version, asked)\n",
+        "        return self.record_proof(response.version, query_time - age)\n",
+        "        return self.record_proof(response.version, query_time)\n",
         "config.freshness_tests",
     ),
     Mutant(
