--- a/endivewind/nodes/change_queue.py
+++ b/endivewind/nodes/change_queue.py
@@ -15,8 +15,9 @@
 # A change takes about 100 bytes, so a full queue takes 0.4 MB.
 MAX_QUEUED_CHANGES = 4096
 
-# Node name, incarnation, and for a target change its sequence number and 1, for
-# a member record its refutation number and negative state.
+# Identifies a queued change. For a target change: home, home incarnation,
+# sequence number, 1. For a member record: node, incarnation, refutation number,
+# state times -1. As a state is never negative, the two kinds can't collide.
 ChangeKey = tuple[str, int, int, int]
 
 
@@ -46,8 +47,10 @@
         limit a mass restart would exhaust memory.
         """
         if self._length >= MAX_QUEUED_CHANGES:
-            fullest = next(item for item in reversed(self._levels) if item)
-            fullest.pop(next(iter(fullest)))
+            most_sent_level = next(
+                item for item in reversed(self._levels) if item
+            )
+            most_sent_level.pop(next(iter(most_sent_level)))
             self._length -= 1
         self._levels[0][key] = payload
         self._length += 1
--- a/endivewind/nodes/configuration.py
+++ b/endivewind/nodes/configuration.py
@@ -29,18 +29,23 @@
 
 log = logging.getLogger(__name__)
 
-# Bounds the tasks that an unresponsive peer can accumulate. The next digest
-# repairs the effect of a dropped message.
+# Bounds the tasks that send to peers, all peers together, so that unresponsive
+# ones can't accumulate more. Further messages are dropped; the next digest
+# repairs the effect.
 MAX_CONCURRENT_SENDS = 64
-# A node that joins running peers has received its configuration by then.
+# A starting node that has peers reads the platform after this time. Running
+# peers have sent it the whole configuration by then.
 PEER_BOOTSTRAP_TIMEOUT = datetime.timedelta(milliseconds=500)
-# If no peer has responded by then, all nodes are starting at once, and the
-# first ones query the platform. Callers are refused until it responds.
+# A starting node that is a watcher or knows no peers reads the platform after
+# this time. If no peer has responded by then, probably all nodes are starting
+# at once. The timeout is short because callers are refused until the platform
+# has responded.
 LONE_BOOTSTRAP_TIMEOUT = datetime.timedelta(milliseconds=150)
 # How long the watcher role is cached while the number of nodes is unchanged.
 WATCHER_ROLE_TTL = datetime.timedelta(seconds=1)
-# Each node sends a digest to one peer about every two seconds; one in ten is
-# lost.
+# A running node reads the platform if no peer has confirmed for this long that
+# their configurations agree. Each node sends a digest to one peer about every
+# two seconds; one in ten is lost.
 PEER_SILENCE_TIMEOUT = datetime.timedelta(seconds=30)
 
 InForceCallback = collections.abc.Callable[[store.Key], None]
@@ -57,7 +62,7 @@
         fleet: view.FleetView,
         pool: links.LinkPool,
         budget: retries.CallBudget,
-        in_force: InForceCallback,
+        on_in_force: InForceCallback,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
@@ -66,13 +71,13 @@
         self._fleet = fleet
         self._pool = pool
         self._budget = budget
-        self._in_force = in_force
+        self._on_in_force = on_in_force
         self._clock = clock
         self._rng = rng
-        self._spreader = replication.Replicator(
+        self._replicator = replication.Replicator(
             own_record.name, own_record.region, configuration, self._peers, rng
         )
-        self._joining = readiness.Readiness(self._spreader, kinds)
+        self._readiness = readiness.Readiness(self._replicator, kinds)
         self._version_queries = version_queries.VersionQueries(
             own_record.name, configuration, fleet, pool
         )
@@ -111,59 +116,62 @@
         """Whether this node must query the platform because no peer responds.
 
         Peers respond to a starting node within a few hundred milliseconds.
-        Afterwards a node finds itself in agreement with some peer every few
-        seconds.
+        Once it is running, some peer confirms every few seconds that its
+        configuration is the same; if none does for PEER_SILENCE_TIMEOUT, peers
+        can't be reached or disagree.
         """
         timeout = PEER_SILENCE_TIMEOUT
         if self.missing():
-            # The oldest node queries the platform early, the others get the
-            # configuration from it.
+            # Watchers query the platform early; the other nodes wait longer,
+            # as they can get the configuration from a watcher.
             waits_for_peers = self._peers() and not self.is_watcher
             timeout = (
                 PEER_BOOTSTRAP_TIMEOUT
                 if waits_for_peers
                 else LONE_BOOTSTRAP_TIMEOUT
             )
-        last_agreed = max(self._spreader.last_agreement_at, self._started)
+        last_agreed = max(self._replicator.last_agreement_at, self._started)
         return self._clock.monotonic() - last_agreed >= timeout
 
     def missing(self) -> str | None:
         """Returns what is missing from the configuration; None if nothing."""
-        return self._joining.not_ready_reason(len(self._peers()))
+        return self._readiness.not_ready_reason(len(self._peers()))
 
     def apply_platform_object(self, stored: messages.StoredObject) -> None:
         """Applies an object that was read from the platform."""
         key = store.Key(stored.kind, stored.name)
-        before = self._store.stamp(key)
+        previous_stamp = self._store.stamp(key)
         applied = self._store.apply(*key, stored.version, stored.value)
         match applied:
             case expression.Result(tag="ok", ok=True):
                 self._notify_in_force(key, "platform")
             case expression.Result(tag="error", error=rejection):
                 log.error("object refused: %s", rejection)
-        if self._store.stamp(key) != before:
-            self._spreader.add_rumour(key)
-            self._send(self._spreader.tick(self._clock.monotonic()))
+        if self._store.stamp(key) != previous_stamp:
+            self._replicator.add_rumour(key)
+            self._send(self._replicator.tick(self._clock.monotonic()))
 
     def mark_listed(self, kind: str) -> None:
         """Records that all objects of a kind have been read."""
-        self._joining.mark_listed(kind)
+        self._readiness.mark_listed(kind)
 
     def handle_frame(self, frame: Any) -> None:
         """Processes a frame from a peer."""
         if frame.configuration:
             self._handle_message(frame.configuration)
         elif frame.configuration_ask:
-            answer = self._version_queries.handle_query(frame.configuration_ask)
+            response = self._version_queries.handle_query(
+                frame.configuration_ask
+            )
             peer = self._fleet.nodes.get(frame.configuration_ask.sender)
             if peer is not None:
-                self._send_frame(peer.address, answer)
+                self._send_frame(peer.address, response)
         else:
             self._version_queries.handle_response(frame.configuration_state)
 
     def _handle_message(self, message: Any) -> None:
         now = self._clock.monotonic()
-        result = self._spreader.handle_message(decode_message(message), now)
+        result = self._replicator.handle_message(decode_message(message), now)
         for key in result.in_force:
             self._notify_in_force(key, message.sender)
         for rejection in result.rejections:
@@ -183,9 +191,9 @@
             self._budget.set_node_count(self._budget_sharer_count())
             if not is_ready and self.missing() is None:
                 is_ready = True
-                agreed = sorted(self._spreader.agreeing_peers)
+                agreed = sorted(self._replicator.agreeing_peers)
                 log.info("ready", extra=logs.fields(agreed=agreed))
-            self._send(self._spreader.tick(self._clock.monotonic()))
+            self._send(self._replicator.tick(self._clock.monotonic()))
 
     def _budget_sharer_count(self) -> int:
         return watchers.budget_sharer_count(
@@ -197,7 +205,7 @@
         return [peer for peer in self._fleet.nodes.values() if peer.name != own]
 
     def _notify_in_force(self, key: store.Key, source: str) -> None:
-        self._in_force(key)
+        self._on_in_force(key)
         fields = logs.fields(
             kind=key.kind,
             object=key.name,
--- a/endivewind/nodes/datagrams.py
+++ b/endivewind/nodes/datagrams.py
@@ -76,7 +76,7 @@
     """Decodes a datagram, and verifies its signature if there is a key.
 
     Without a signature anyone who can send UDP packets to a node could have
-    its peers declared dead.
+    any node of the fleet declared dead.
 
     Raises:
       codec.FrameError: if the bytes are not a valid datagram, or the signature
@@ -113,9 +113,7 @@
                 tuple(
                     _decode_retry_usage(item) for item in struct.tallies or ()
                 ),
-                tuple(
-                    _decode_ingress_route(item) for item in struct.ways or ()
-                ),
+                tuple(_decode_entry_route(item) for item in struct.ways or ()),
             ),
         )
     except (TypeError, ValueError) as error:
@@ -188,8 +186,8 @@
         raise ValueError("target update without a target")
     suspicion = min(max(0, update.suspicion or 0), _SUSPICION_SCALE)
     load = max(0, update.load or 0)
-    status = exchange.TargetReport(load, suspicion / _SUSPICION_SCALE)
-    return peer_updates.TargetUpdate(update.target, status)
+    report = exchange.TargetReport(load, suspicion / _SUSPICION_SCALE)
+    return peer_updates.TargetUpdate(update.target, report)
 
 
 def _encode_retry_usage(usage: peer_updates.RetryUsage) -> Any:
@@ -208,9 +206,9 @@
     return peer_updates.RetryUsage(usage.service_name, count)
 
 
-def _decode_ingress_route(route: Any) -> peer_updates.EntryRoute:
+def _decode_entry_route(route: Any) -> peer_updates.EntryRoute:
     if not route.service_name:
-        raise ValueError("ingress route without a service")
+        raise ValueError("entry route without a service")
     return peer_updates.EntryRoute(route.service_name, route.prefix or "")
 
 
--- a/endivewind/nodes/digests.py
+++ b/endivewind/nodes/digests.py
@@ -20,8 +20,8 @@
 
     Attributes:
       name: the node's name.
-      member: precedence of its member record.
-      home: version of its targets.
+      precedence: precedence of its member record.
+      home_version: version of its targets.
     """
 
     name: str
--- a/endivewind/nodes/discovery.py
+++ b/endivewind/nodes/discovery.py
@@ -22,12 +22,12 @@
 log = logging.getLogger(__name__)
 
 # Delay between a node's registration and its first listing, which should
-# contain nodes that registered at the same time. Doubles with each listing
-# after which nodes may still be missing.
+# contain nodes that registered at the same time. The delay before each further
+# listing doubles while nodes may still be missing.
 FIRST_LISTING_DELAY = datetime.timedelta(milliseconds=500)
-# Interval of listings once no node is missing. They find nodes that could not
-# be reached for longer than membership keeps dead members. With 760 nodes this
-# amounts to 1.3 reads per second.
+# Interval of listings once no node is missing. Membership forgets dead members
+# after some hours; these listings find the nodes again that can be reached
+# after a longer time. With 760 nodes this amounts to 1.3 reads per second.
 LISTING_PERIOD = datetime.timedelta(minutes=10)
 # A registered node that membership has not known for this long is not going to
 # come back.
@@ -35,7 +35,7 @@
 
 
 class Discovery:
-    """Registers this start and finds nodes for gossip to contact.
+    """Registers this node's incarnation, and finds nodes to contact.
 
     Of two nodes that start at the same time, the one that registers later
     finds the other in the first listing that contains its own registration,
@@ -53,16 +53,17 @@
         rng: random.Random,
         on_registered: collections.abc.Callable[[], None],
     ) -> None:
-        """Initializes discovery with a listing from before this start.
+        """Initializes discovery with a listing from before this incarnation.
 
         Args:
           directory: the directory in which nodes register.
           members: receives the addresses that are found.
           seeds: configured addresses to contact as well.
-          initial_listing: listing of this node's zone from before this start.
+          initial_listing: listing of this node's zone from before this
+            incarnation, if known.
           clock: source of monotonic time.
           rng: spreads the calls of a fleet over time.
-          on_registered: called when this start has been registered.
+          on_registered: called when this incarnation has been registered.
         """
         self._directory = directory
         self._members = members
@@ -81,19 +82,22 @@
 
     @property
     def has_listed(self) -> bool:
-        """Whether a zone has been listed or there are seeds."""
+        """Whether a zone has been listed or seeds are configured."""
         return bool(self._listings or self._seeds)
 
     @property
     def has_complete_listing(self) -> bool:
-        """Whether all nodes that registered earlier in this zone are known."""
+        """Whether all nodes that registered earlier in this zone are known.
+
+        It says nothing of other zones, or of nodes that registered later.
+        """
         listing = self._listings.get(self._me.zone)
         if self._registered_version is None or listing is None:
             return False
         return listing.revision >= self._registered_version
 
     async def run(self) -> None:
-        """Registers and lists zones until a later start replaces this one."""
+        """Registers and lists zones until a later incarnation is known."""
         while not self._members.is_superseded:
             delay = await self._register()
             await asyncio.sleep(delay or self._next_delay())
@@ -117,7 +121,7 @@
         return 0.0
 
     def _previous_version(self) -> int:
-        """Returns the version of an earlier start's registration; 0 if none."""
+        """Returns the version of an earlier registration; 0 if none."""
         listing = self._listings.get(self._me.zone)
         known = listing.registrations.get(self._me.name) if listing else None
         return known.version if known else 0
@@ -145,7 +149,10 @@
         return [zone for zone in other_zones if zone not in reached]
 
     def _next_zone(self) -> str:
-        """Returns a zone to list if no node is missing, alternately its own."""
+        """Returns the zone to list if no node is missing.
+
+        Every other time it is the own zone, else a random other one.
+        """
         other_zones = self._directory.other_zones(self._me.zone)
         if not other_zones or next(self._listing_count) % 2 == 0:
             return self._me.zone
--- a/endivewind/nodes/gossip.py
+++ b/endivewind/nodes/gossip.py
@@ -29,8 +29,8 @@
 # billed, traffic within a zone is free. With six copies, one change in 400
 # reaches a zone only by repair, some seconds later.
 INBOUND_COPIES = 6
-# Maximum share of pushes that leave the zone or the region, which matters for
-# zones of only one or two nodes.
+# Maximum share of pushes that go to other zones of the region, and likewise to
+# other regions. It matters for zones of only one or two nodes.
 MAX_CROSS_ZONE_SHARE = 1 / 2
 # Time after which a node counts as joined without having received a state.
 # When a whole fleet restarts, no node has a state to send. Without a timeout
@@ -66,14 +66,17 @@
 
     @property
     def has_joined(self) -> bool:
-        """Whether a peer's full state has arrived or none is available."""
+        """Whether this node need not wait for a peer's full state any longer.
+
+        Its state has arrived, there is no peer, or JOIN_TIMEOUT is over.
+        """
         if self._has_joined or not self._members.has_contacts():
             return True
         return self._clock.monotonic() - self._join_started > JOIN_TIMEOUT
 
     @property
     def has_state(self) -> bool:
-        """Whether a peer's full state has arrived since this node started."""
+        """Whether a peer's full state has arrived, whatever the timeout."""
         return self._has_state
 
     @property
@@ -92,7 +95,9 @@
         return received
 
     def take_departed_targets(self) -> list[tuple[str, int]]:
-        """Returns targets that departed from an earlier start of this node.
+        """Returns targets that announced their departure before this start.
+
+        They announced it to an earlier incarnation of this node.
 
         Returns:
           Target ids with the targets' incarnations, each reported once.
@@ -115,7 +120,7 @@
         self._repair.refresh(self._members.me.node.name)
 
     def join(self) -> None:
-        """Announces this start and begins to ask a peer for its full state."""
+        """Announces this incarnation; begins to pull a peer's full state."""
         self._join_started = self._clock.monotonic()
         self._has_joined = False
         self.announce_self()
@@ -125,17 +130,17 @@
         self._enqueue(self._members.me)
 
     def leave(self) -> list[messages.Send]:
-        """Announces at once, to a few nodes, that this node is leaving."""
+        """Announces at once, to a few nodes, that this node shuts down."""
         self._handle_outputs(self._members.leave(), None)
         return self.push()
 
     def push_update(
         self, update: peer_updates.PeerUpdate
     ) -> list[messages.Send]:
-        """Sends an update to nodes of this zone, and partly to the region.
+        """Sends an update to nodes of this zone.
 
         Retry usages go to other zones of the region as well if the region is
-        small enough to share retry budgets. Ingress routes go to one random
+        small enough to share retry budgets. Entry routes go to one random
         node of the zone, which passes them on to another.
         """
         me = self._members.me.node
@@ -232,8 +237,8 @@
     def _carries_suspicion(self, payloads: tuple[bytes, ...]) -> bool:
         """Whether a datagram says that this node is suspect or dead.
 
-        Even if this node has refuted that before: the sender has not received
-        the refutation.
+        This node may have refuted the record before. The datagram shows that
+        the sender has not received the refutation, so it is sent again.
         """
         me = self._members.me.node.name
         for payload in payloads:
@@ -255,7 +260,7 @@
     def receive_state(self, state: messages.FleetState) -> list[messages.Send]:
         """Stores a part of another node's state."""
         for member in state.members:
-            self._merge_member(member, is_forwarded=False)
+            self._merge_member(member, should_disseminate=False)
         for home in state.homes:
             self._handle_home_state(home)
         self._departed_targets.extend(state.departed_targets)
@@ -276,7 +281,7 @@
             return
         match change:
             case membership.MemberRecord():
-                self._merge_member(change, is_forwarded=True)
+                self._merge_member(change, should_disseminate=True)
             case records.TargetChange():
                 self._handle_target_change(change, payload)
             case _:
@@ -310,13 +315,13 @@
             self._received_records.extend(home.targets)
 
     def _merge_member(
-        self, record: membership.MemberRecord, *, is_forwarded: bool
+        self, record: membership.MemberRecord, *, should_disseminate: bool
     ) -> None:
         for output in self._members.merge(record):
             if isinstance(output, membership.Disseminate):
                 is_own = output.record.node.name == self._members.me.node.name
                 self._update_view(output.record)
-                if is_forwarded or is_own:
+                if should_disseminate or is_own:
                     self._enqueue(output.record)
 
     def _disseminate(self, record: membership.MemberRecord) -> None:
@@ -327,7 +332,7 @@
         self._member_changes.append(record)
         is_own = record.node.name == self._members.me.node.name
         if record.is_usable or is_own:
-            # A leaving node keeps its own targets until it has stopped.
+            # A node that shuts down keeps its own targets until it has stopped.
             self._view.put_node(record.node)
         else:
             self._view.remove_node(record.node.name)
--- a/endivewind/nodes/gossip_frames.py
+++ b/endivewind/nodes/gossip_frames.py
@@ -19,7 +19,7 @@
 
 @encode_message.register
 def _(message: gossip_messages.FleetState) -> Any:
-    state = codec.messages.FleetState(
+    state = codec.messages.StatePart(
         sender=message.sender,
         members=[changes.encode_member(item) for item in message.members],
         homes=[_encode_home(item) for item in message.homes],
--- a/endivewind/nodes/gossip_messages.py
+++ b/endivewind/nodes/gossip_messages.py
@@ -15,13 +15,14 @@
     Attributes:
       sender: name of the sending node.
       summary: digest of all records that the sender knows.
-      ping: number of a ping to acknowledge; 0 for none.
-      ack: number of the ping that is acknowledged; 0 for none.
-      relay: name of the node to ping on behalf of the sender; empty for none.
+      ping_number: number of a ping to acknowledge; 0 for none.
+      ack_number: number of the ping that is acknowledged; 0 for none.
+      node_to_ping: name of the node to ping on behalf of the sender; empty for
+        none.
       changes: encoded member records and target changes.
       buckets: digests of the sender's records by bucket.
-      compared_buckets: indexes of the buckets that versions covers in full.
-      versions: the sender's versions of the nodes in these buckets.
+      compared_buckets: indexes of the buckets whose versions are attached.
+      versions: the sender's versions of all nodes in these buckets.
       peer_update: update for nodes of the sender's zone or region.
     """
 
@@ -48,7 +49,7 @@
       is_last: whether this part completes the response to a pull, and the
         sender has joined the fleet.
       departed_targets: ids and incarnations of targets that announced their
-        departure to an earlier start of the node that asks.
+        departure to an earlier incarnation of the node that asks.
     """
 
     sender: str
@@ -75,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Send:
-    """A message to send to an address: datagrams by UDP, others by a link."""
+    """A message and its receiver: datagrams go by UDP, others by a link."""
 
     address: str
     message: Datagram | FleetState | Pull
--- a/endivewind/nodes/gossip_service.py
+++ b/endivewind/nodes/gossip_service.py
@@ -32,10 +32,13 @@
 log = logging.getLogger(__name__)
 
 TICK_INTERVAL = datetime.timedelta(milliseconds=100)
-# The response to a pull of the whole state is about 1.4 MB at full size.
+# Pulls of other nodes that this node responds to at the same time. The response
+# to a pull of the whole state is about 1.4 MB at full size.
 MAX_CONCURRENT_PULLS = 2
-# Targets renew their lease within a third of its duration. Those that have not
-# moved after this time would be lost even if the node waited longer.
+# How long a node that shuts down waits for its targets to move. A target renews
+# its lease, and so learns that it must move, within a third of the lease's
+# duration. One that has not moved after this time would be lost even if the
+# node waited longer.
 TARGET_MOVE_TIMEOUT = datetime.timedelta(seconds=3)
 
 
@@ -47,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplicatedState:
-    """The state that gossip keeps up to date.
+    """The data that gossip keeps up to date, and who receives updates.
 
     Attributes:
       fleet: all nodes and targets.
@@ -62,12 +65,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bootstrap:
-    """How this node finds the fleet at its start.
+    """How this node finds the fleet when it starts.
 
     Attributes:
       directory: where nodes register.
-      initial_listing: the nodes of its zone before this start, if known.
-      on_registered: called when this start is registered.
+      initial_listing: the nodes of its zone before it started, if known.
+      on_registered: called when this incarnation is registered.
     """
 
     directory: directories.Directory
@@ -107,8 +110,8 @@
         )
         self._tasks: list[asyncio.Task[None]] = []
         self._send_tasks: set[asyncio.Task[None]] = set()
-        self._running_pulls = 0
-        self._has_warned = False
+        self._running_pull_responses = 0
+        self._refuses_announcements = False
 
     async def start(self, address: str) -> None:
         """Binds the UDP socket to an address and starts the tasks."""
@@ -119,7 +122,7 @@
             self._tasks.append(asyncio.create_task(work))
 
     def announce_leave(self) -> None:
-        """Announces to the fleet that this node leaves; gossip continues."""
+        """Announces to the fleet that this node shuts down; gossip continues."""
         self._dispatch(self._core.leave())
 
     async def wait_targets_moved(self) -> None:
@@ -130,7 +133,7 @@
             await asyncio.sleep(TICK_INTERVAL.total_seconds())
 
     async def stop(self) -> None:
-        """Stops gossip and announces that this node leaves."""
+        """Stops gossip and announces that this node has shut down."""
         for task in (*self._tasks, *self._send_tasks):
             task.cancel()
         await asyncio.gather(
@@ -190,7 +193,7 @@
         )
 
     def departed_nodes(self) -> tuple[str, ...]:
-        """Returns the nodes that left as planned and have not returned."""
+        """Returns the nodes that shut down as planned and have not returned."""
         return tuple(
             name
             for name, item in self._members.members.items()
@@ -216,7 +219,7 @@
         while True:
             self.publish_target_changes()
             self._dispatch(self._core.tick())
-            self._stop_taking_if_superseded()
+            self._refuse_targets_if_superseded()
             self._log_member_changes()
             await asyncio.sleep(TICK_INTERVAL.total_seconds())
 
@@ -231,13 +234,13 @@
                 ),
             )
 
-    def _stop_taking_if_superseded(self) -> None:
-        """Accepts no more targets once a later incarnation is known."""
-        if self._members.is_superseded and not self._has_warned:
-            self._has_warned = True
+    def _refuse_targets_if_superseded(self) -> None:
+        """Refuses announcements of targets from a later incarnation on."""
+        if self._members.is_superseded and not self._refuses_announcements:
+            self._refuses_announcements = True
             self._state.targets.refuse_announcements()
             log.error(
-                "a later incarnation of this node exists; taking no targets"
+                "a later incarnation of this node exists; accepting no targets"
             )
 
     def _handle_datagram(
@@ -280,10 +283,10 @@
         await self._pool.send(address, gossip_frames.encode_message(message))
 
     def _answer_pull(self, pull: gossip_messages.Pull) -> None:
-        if self._running_pulls >= MAX_CONCURRENT_PULLS:
+        if self._running_pull_responses >= MAX_CONCURRENT_PULLS:
             # The sender repeats its pull a second later, to another node.
             return
-        self._running_pulls += 1
+        self._running_pull_responses += 1
         self._start_task(self._send_state(pull))
 
     async def _send_state(self, pull: gossip_messages.Pull) -> None:
@@ -293,7 +296,7 @@
                 if not await self._pool.send(pull.address, frame):
                     return
         finally:
-            self._running_pulls -= 1
+            self._running_pull_responses -= 1
 
     def _start_task(self, work: Any) -> None:
         task = asyncio.create_task(work)
--- a/endivewind/nodes/graceful_shutdown.py
+++ b/endivewind/nodes/graceful_shutdown.py
@@ -21,11 +21,12 @@
 FINAL_RESPONSES_TIMEOUT = datetime.timedelta(milliseconds=100)
 
 
-# When other nodes are told to send no more requests to this home, as a share of
-# the stop limit. A target that can't move is idle from then until the restarted
-# node has received its announcement: with the notice sent at once, a rolling
+# Time at which this home announces its drain to the other nodes, as a share of
+# the stop limit. From then on they send it no more requests, so a target that
+# can't move to another home is idle until this node has restarted and the
+# target has announced itself again. With the drain announced at once, a rolling
 # stop of half the nodes took a quarter of all targets out of use. Requests that
-# arrive last still have most of the limit.
+# arrive just before still have most of the limit to complete.
 DRAIN_NOTICE_SHARE = 0.3
 
 
@@ -67,13 +68,15 @@
 
 
 class GracefulShutdown:
-    """Shuts a node down in stages so that no running request is aborted.
+    """Shuts a node down in stages so that running requests can complete.
 
     At first all requests are still accepted: callers' load balancers notice
-    within one or two probes that the node is not ready. Then peers are told to
-    send no more requests for its target. After the notice period new requests
-    are refused with a retry delay, and running ones complete. Stored responses
-    stay available until the limit.
+    within one or two probes that the node is not ready. Then the drain is
+    announced, so that peers send no more requests for this home's targets.
+    After the notice period new requests are refused with a retry delay, and
+    running ones complete. Stored responses stay available until the limit.
+    Requests that still run at the limit are aborted, each with a response on
+    its outcome.
     """
 
     def __init__(
@@ -82,7 +85,7 @@
         home: WorkIntake,
         links: PeerListener,
         tickets: TicketedRequests,
-        notice: datetime.timedelta,
+        notice_period: datetime.timedelta,
         announce_drain: collections.abc.Callable[[], None],
     ) -> None:
         """Builds a shutdown.
@@ -92,10 +95,10 @@
           home: dispatches requests to this node's targets.
           links: the listener for other nodes.
           tickets: handles non-idempotent requests.
-          notice: how long new requests of callers are still accepted.
-          announce_drain: tells the fleet to send no more requests to this home.
+          notice_period: how long new requests of callers are still accepted.
+          announce_drain: announces to the fleet that this home drains.
         """
-        self._notice = notice
+        self._notice_period = notice_period
         self._announce_drain = announce_drain
         self._entry = entry
         self._home = home
@@ -106,10 +109,12 @@
         """Returns when the process may exit, after the limit at the latest."""
         try:
             async with asyncio.timeout(timeout.total_seconds()):
-                delay = min(self._notice, DRAIN_NOTICE_SHARE * timeout)
+                delay = min(self._notice_period, DRAIN_NOTICE_SHARE * timeout)
                 await asyncio.sleep(delay.total_seconds())
                 self._announce_drain()
-                await asyncio.sleep((self._notice - delay).total_seconds())
+                await asyncio.sleep(
+                    (self._notice_period - delay).total_seconds()
+                )
                 self._entry.refuse_new()
                 self._tickets.close()
                 await self._entry.wait_drained()
--- a/endivewind/nodes/link_server.py
+++ b/endivewind/nodes/link_server.py
@@ -24,7 +24,8 @@
 
 # A quarter of the time after which the client gives up a link.
 HEARTBEAT_INTERVAL = links.HEARTBEAT_TIMEOUT / 4
-# Clients close idle links earlier; the client of an older one is gone.
+# Clients close idle links much earlier. If a link is idle for this long, the
+# client has disappeared without closing it.
 IDLE_TIMEOUT = datetime.timedelta(seconds=60)
 
 
@@ -260,12 +261,12 @@
 
 
 async def _read_chunks(
-    reader: asyncio.StreamReader, number: int
+    reader: asyncio.StreamReader, exchange_id: int
 ) -> collections.abc.AsyncGenerator[bytes, None]:
     while True:
         frame = await codec.read_frame(reader)
         chunk = frame.chunk
-        if chunk is None or chunk.exchange != number:
+        if chunk is None or chunk.exchange != exchange_id:
             raise codec.FrameError("chunk of another exchange")
         if chunk.data:
             yield chunk.data
@@ -292,11 +293,11 @@
 
 
 async def _send_response(
-    writer: asyncio.StreamWriter, number: int, response: exchange.Response
+    writer: asyncio.StreamWriter, exchange_id: int, response: exchange.Response
 ) -> int:
     """Sends a response; returns its size in bytes."""
     head = codec.messages.Response(
-        exchange=number,
+        exchange=exchange_id,
         status=response.status,
         headers=codec.encode_headers(response.headers),
         body=response.body,
@@ -309,17 +310,17 @@
         return len(data)
     async with contextlib.aclosing(response.stream):
         return len(data) + await body_chunks.send_body(
-            writer, number, response.stream
+            writer, exchange_id, response.stream
         )
 
 
 def _send_refusal(
-    writer: asyncio.StreamWriter, number: int, refusal: exchange.Refusal
+    writer: asyncio.StreamWriter, exchange_id: int, refusal: exchange.Refusal
 ) -> int:
     """Sends a refusal; returns its size in bytes."""
     wait = refusal.retry_after
     message = codec.messages.Refusal(
-        exchange=number,
+        exchange=exchange_id,
         outcome=refusal.outcome.value,
         reason=refusal.reason.value,
         detail=refusal.detail,
@@ -335,8 +336,8 @@
 class _HeartbeatSender:
     """Sends heartbeats of an exchange until its response is complete."""
 
-    def __init__(self, writer: asyncio.StreamWriter, number: int) -> None:
-        heartbeat = codec.messages.Heartbeat(exchange=number)
+    def __init__(self, writer: asyncio.StreamWriter, exchange_id: int) -> None:
+        heartbeat = codec.messages.Heartbeat(exchange=exchange_id)
         self._frame = codec.messages.Frame(heartbeat=heartbeat)
         self._writer = writer
         self._loop = asyncio.get_running_loop()
@@ -354,7 +355,8 @@
         self._timer = self._loop.call_later(delay, self._send_heartbeat)
 
     def _send_heartbeat(self) -> None:
-        # Buffered bytes show the client as well that this node is alive.
+        # Earlier bytes that are still buffered will be sent without this, and
+        # show the client as well that this node is alive.
         if not self._writer.transport.get_write_buffer_size():
             self._writer.write(codec.encode_frame(self._frame))
         self._schedule()
--- a/endivewind/nodes/links.py
+++ b/endivewind/nodes/links.py
@@ -2,8 +2,9 @@
 
 The gateway forwards requests over it; gossip, quotas and freshness proofs send
 their frames. A link carries one exchange at a time, so TCP provides the
-backpressure, and closing the link cancels the exchange. Every frame carries the
-exchange's number; a link in an uncertain state is closed and not reused.
+backpressure, and closing the link cancels the exchange. The frames of a
+forwarded request and its response carry the id of the exchange. A link in an
+uncertain state is closed and not reused.
 """
 
 import asyncio
@@ -37,8 +38,10 @@
 # Four missed heartbeats; jitter on links with 30 ms latency does not explain
 # them.
 HEARTBEAT_TIMEOUT = datetime.timedelta(seconds=1)
-# Four round trips between regions. A process that is paused for longer is not
-# sent requests that would be lost with it.
+# Time limit of heartbeat echoes and queries: four round trips between regions.
+# Responses to forwarded requests are bounded by the deadline and by
+# HEARTBEAT_TIMEOUT instead. If a peer is paused for longer than this, the echo
+# is missing, and no request is sent that would then have an unknown outcome.
 RESPONSE_TIMEOUT = datetime.timedelta(milliseconds=250)
 # The home itself responds when the deadline expires; this is the time that the
 # response may take to arrive.
@@ -72,7 +75,7 @@
         self._tls = tls
         self._meter = meter or traffic.NullMeter()
         self._idle: dict[str, list[_Link]] = {}
-        self._numbers = itertools.count(1)
+        self._exchange_ids = itertools.count(1)
 
     @property
     def idle_count(self) -> int:
@@ -125,15 +128,15 @@
         body: exchange.RequestBody,
         failures: "FailureRefusals",
     ) -> ResponseResult:
-        number = next(self._numbers)
+        exchange_id = next(self._exchange_ids)
         try:
             link = await self._acquire(
-                peer.address, number, check=bool(head.ticket)
+                peer.address, exchange_id, check=bool(head.ticket)
             )
         except (EOFError, OSError, codec.FrameError) as error:
             detail = f"{peer.name}: {error or 'no response'}"
             return expression.Error(failures.connect_failed(detail))
-        forward.exchange = number
+        forward.exchange = exchange_id
         timeout = head.remaining_time + DEADLINE_GRACE
         try:
             async with asyncio.timeout(timeout.total_seconds()):
@@ -141,7 +144,9 @@
                 self._meter.record_sent(
                     traffic.Kind.REQUESTS, peer.address, size
                 )
-                return await self._read_response(peer.address, link, number)
+                return await self._read_response(
+                    peer.address, link, exchange_id
+                )
         except (OSError, EOFError, codec.FrameError) as error:
             link.close()
             self._close_idle(peer.address)
@@ -155,30 +160,31 @@
             raise
 
     async def _acquire(
-        self, address: str, number: int, *, check: bool
+        self, address: str, exchange_id: int, *, check: bool
     ) -> _Link:
         """Returns a link for one exchange, checked by a heartbeat on demand.
 
         Failure: packets to or from a home are lost, or its process is paused.
-        Symptom: a payout is sent, no response arrives, and its outcome stays
-        unknown. A heartbeat before the request costs one round trip; if it is
-        not echoed, the request has certainly not been executed. Only a failure
-        between the echo and the request leaves the outcome unknown.
+        Symptom: a non-idempotent request is sent, no response arrives, and its
+        outcome stays unknown. A heartbeat before the request costs one round
+        trip; if it is not echoed, the request has certainly not been executed.
+        Only a failure between the echo and the request leaves the outcome
+        unknown.
 
         Args:
           address: the peer's address.
-          number: the number of the exchange.
+          exchange_id: the id of the exchange.
           check: whether the peer must echo a heartbeat first; set for
             non-idempotent requests.
         """
         link = self._take_idle(address)
         if not check:
             return link or await self._connect(address)
-        if link is not None and await _echoes_heartbeat(link, number):
+        if link is not None and await _echoes_heartbeat(link, exchange_id):
             return link
         self._close_idle(address)
         link = await self._connect(address)
-        if await _echoes_heartbeat(link, number):
+        if await _echoes_heartbeat(link, exchange_id):
             return link
         raise TimeoutError("no heartbeat")
 
@@ -281,28 +287,28 @@
         return _Link(reader, writer, now, now)
 
     async def _read_response(
-        self, address: str, link: _Link, number: int
+        self, address: str, link: _Link, exchange_id: int
     ) -> ResponseResult:
         frame = await _read_frame(link)
-        if frame.refusal and frame.refusal.exchange == number:
+        if frame.refusal and frame.refusal.exchange == exchange_id:
             self._release(address, link)
             return expression.Error(_decode_refusal(frame.refusal))
         response = frame.answer
-        if response is None or response.exchange != number:
+        if response is None or response.exchange != exchange_id:
             raise codec.FrameError("response to another exchange")
         headers = codec.decode_headers(response.headers)
-        target_status = codec.decode_target_report(response.glance)
+        target_report = codec.decode_target_report(response.glance)
         if response.body_complete:
             self._release(address, link)
             return expression.Ok(
                 exchange.Response(
-                    response.status, headers, response.body, None, target_status
+                    response.status, headers, response.body, None, target_report
                 )
             )
-        rest = _ResponseStream(self, address, link, number)
+        rest = _ResponseStream(self, address, link, exchange_id)
         return expression.Ok(
             exchange.Response(
-                response.status, headers, response.body, rest, target_status
+                response.status, headers, response.body, rest, target_report
             )
         )
 
@@ -311,12 +317,12 @@
     """The remainder of a response body that is received over a link."""
 
     def __init__(
-        self, pool: LinkPool, address: str, link: _Link, number: int
+        self, pool: LinkPool, address: str, link: _Link, exchange_id: int
     ) -> None:
         self._pool = pool
         self._address = address
         self._link: _Link | None = link
-        self._number = number
+        self._exchange_id = exchange_id
 
     def __aiter__(self) -> "_ResponseStream":
         return self
@@ -342,7 +348,7 @@
     async def _read_chunk(self, link: _Link) -> Any:
         try:
             chunk = (await _read_frame(link)).chunk
-            if chunk is None or chunk.exchange != self._number:
+            if chunk is None or chunk.exchange != self._exchange_id:
                 raise codec.FrameError("home aborted the response")
         except (OSError, EOFError, codec.FrameError) as error:
             await self.aclose()
@@ -356,8 +362,8 @@
     """Builds the refusals that the failures of a link lead to.
 
     Attributes:
-      connect_failed: the link could not be opened.
-      link_lost: the link broke after the request was sent.
+      connect_failed_refusal: builds it if the link could not be opened.
+      link_lost_refusal: builds it if the link broke after the request was sent.
     """
 
     connect_failed: collections.abc.Callable[[str], exchange.Refusal]
@@ -381,9 +387,9 @@
 ISSUER_FAILURES = FailureRefusals(_issuer_lost_refusal, _issuer_lost_refusal)
 
 
-async def _echoes_heartbeat(link: _Link, number: int) -> bool:
+async def _echoes_heartbeat(link: _Link, exchange_id: int) -> bool:
     """Returns whether the peer echoes a heartbeat; closes the link if not."""
-    heartbeat = codec.messages.Heartbeat(exchange=number)
+    heartbeat = codec.messages.Heartbeat(exchange=exchange_id)
     link.writer.write(
         codec.encode_frame(codec.messages.Frame(heartbeat=heartbeat))
     )
@@ -394,7 +400,7 @@
                 if frame.heartbeat is None:
                     raise codec.FrameError("unexpected frame")
                 # Heartbeats of an earlier exchange may still be in transit.
-                if frame.heartbeat.exchange == number:
+                if frame.heartbeat.exchange == exchange_id:
                     return True
     except (EOFError, OSError, codec.FrameError) as error:
         log.debug("link discarded: %s", error or "timed out")
--- a/endivewind/nodes/membership.py
+++ b/endivewind/nodes/membership.py
@@ -1,6 +1,6 @@
 """SWIM membership: detects which nodes are alive.
 
-Each node pings one other node per second and, if that does not answer, asks
+Each node pings one other node per second and, if that does not respond, asks
 others to ping it. A node that can't be reached either way becomes suspect, and
 dead unless it refutes the suspicion in time. Gossip disseminates the records.
 Pure: no I/O; methods return the messages to send.
@@ -19,12 +19,12 @@
 
 PROBE_PERIOD = datetime.timedelta(seconds=1)
 # Time without an acknowledgement after which indirect probes are requested.
-# Ten times the round trip between regions.
+# About five round trips between regions.
 DIRECT_PROBE_TIMEOUT = datetime.timedelta(milliseconds=300)
 PROBE_TIMEOUT = datetime.timedelta(milliseconds=900)
 # Probes within the own zone for each probe of another zone.
 LOCAL_PROBES_PER_REMOTE = 3
-# Number of nodes asked to ping a node that does not answer. If a third of the
+# Number of nodes asked to ping a node that does not respond. If a third of the
 # paths lose datagrams in one direction, one of three still gets through in 26
 # of 27 cases.
 INDIRECT_PROBES = 3
@@ -62,8 +62,8 @@
 class State(enum.IntEnum):
     """State of a member.
 
-    Of two records with equal incarnation and refutation, the one with the
-    higher state wins.
+    LEFT: it has announced its shutdown. Of two records with equal incarnation
+    and refutation, the one with the higher state wins.
     """
 
     ALIVE = 0
@@ -77,8 +77,8 @@
     """A node and its state, as disseminated by gossip.
 
     Attributes:
-      node: the node; its incarnation identifies one start of it.
-      refutation: number that only the node itself raises, to refute a record
+      node: the node, with its incarnation.
+      refutation: counter that only the node itself raises, to refute a record
         that says it is suspect or dead.
       state: alive, suspect, dead or left.
     """
@@ -105,8 +105,8 @@
     Attributes:
       address: the node's address.
       number: returned in the acknowledgement.
-      known_record: the pinged node's record if it is not alive here. A node
-        can refute only a record that it receives.
+      record_to_refute: the pinged node's record if its state is not alive.
+        The node can refute only a record that it receives.
       is_introduction: whether the pinged node may not know this node yet.
     """
 
@@ -148,7 +148,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberRemoved:
-    """A member that was removed; other records of the node may go as well."""
+    """A dead member was removed; its targets and digest are to be removed too."""
 
     name: str
 
@@ -161,13 +161,13 @@
     member: str
     number: int
     started: datetime.timedelta
-    relayed: bool = False
+    has_requested_pings: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _ProbeResult:
     member: str
-    answered: bool
+    is_acknowledged: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -192,7 +192,7 @@
         """Initializes a membership that contains only this node.
 
         Args:
-          me: this start of this node.
+          me: this node, with its incarnation.
           clock: source of monotonic time.
           rng: chooses the nodes to probe.
           contacts: addresses to ping even if no member with them is known.
@@ -202,7 +202,7 @@
         self._rng = rng
         self._contacts = [item for item in contacts if item != me.address]
         self._members: dict[str, MemberRecord] = {me.name: self._me}
-        self._changed_at: dict[str, datetime.timedelta] = {}
+        self._not_alive_since: dict[str, datetime.timedelta] = {}
         self._suspect_pinged_at: dict[str, datetime.timedelta] = {}
         self._probe_round: list[str] = []
         self._probe: _Probe | None = None
@@ -228,7 +228,7 @@
 
     @property
     def is_superseded(self) -> bool:
-        """Whether a later start of a node with this name is known."""
+        """Whether a later incarnation of this node is known."""
         return self._superseded
 
     @property
@@ -237,18 +237,22 @@
 
         Without this check a node behind a broken switch would make the whole
         fleet suspect. While it is isolated a node suspects no member and
-        declares none dead; its own requests show it which paths fail.
+        declares none dead. It still finds failed paths by the requests that it
+        forwards: those to unreachable homes fail.
         """
         latest_failed = {
             item.member
             for item in itertools.takewhile(
-                lambda item: not item.answered, reversed(self._probe_results)
+                lambda item: not item.is_acknowledged,
+                reversed(self._probe_results),
             )
         }
         if len(latest_failed) >= MIN_ISOLATION_MEMBERS:
             return True
         failed = [
-            item.member for item in self._probe_results if not item.answered
+            item.member
+            for item in self._probe_results
+            if not item.is_acknowledged
         ]
         enough_members = len(set(failed)) >= MIN_ISOLATION_MEMBERS
         return enough_members and len(failed) >= MIN_ISOLATION_FAILURES
@@ -273,7 +277,7 @@
         return bool(self._contacts) or len(self._members) > 1
 
     def leave(self) -> list[Output]:
-        """Marks this node as leaving."""
+        """Marks this node as shut down."""
         self._me = dataclasses.replace(self._me, state=State.LEFT)
         self._members[self._me.node.name] = self._me
         return [Disseminate(self._me)]
@@ -316,7 +320,7 @@
         if probe is not None and probe.number == number:
             self._probe = None
             self._probe_results.append(
-                _ProbeResult(probe.member, answered=True)
+                _ProbeResult(probe.member, is_acknowledged=True)
             )
         return []
 
@@ -347,8 +351,8 @@
         """
         self._probe = None
         self._relayed_pings.clear()
-        for name in self._changed_at:
-            self._changed_at[name] += gap
+        for name in self._not_alive_since:
+            self._not_alive_since[name] += gap
 
     def _check_probe(self, now: datetime.timedelta) -> list[Output]:
         """Requests indirect probes, and ends probes that have timed out."""
@@ -366,11 +370,11 @@
         if waited >= PROBE_TIMEOUT:
             self._probe = None
             self._probe_results.append(
-                _ProbeResult(probe.member, answered=False)
+                _ProbeResult(probe.member, is_acknowledged=False)
             )
             return self._suspect(probe.member)
-        if waited >= DIRECT_PROBE_TIMEOUT and not probe.relayed:
-            probe.relayed = True
+        if waited >= DIRECT_PROBE_TIMEOUT and not probe.has_requested_pings:
+            probe.has_requested_pings = True
             return self._request_pings(probe)
         return []
 
@@ -401,7 +405,7 @@
     def _expire_states(self, now: datetime.timedelta) -> list[Output]:
         """Declares unrefuted suspects dead, and removes old dead members."""
         output: list[Output] = []
-        for name, since in list(self._changed_at.items()):
+        for name, since in list(self._not_alive_since.items()):
             known = self._members[name]
             if known.state is State.SUSPECT:
                 if now - since < SUSPICION_TIMEOUT or self.is_probably_isolated:
@@ -411,7 +415,7 @@
                 output.append(Disseminate(dead))
             elif now - since > DEAD_RETENTION:
                 del self._members[name]
-                del self._changed_at[name]
+                del self._not_alive_since[name]
                 output.append(MemberRemoved(name))
         return output
 
@@ -421,11 +425,12 @@
         Failure: datagrams are lost, and the refutation of a healthy node does
         not arrive before the suspicion ends. Symptom: this node declares it
         dead to the whole fleet, and its targets get no requests for some
-        seconds. The suspect answers such a ping with its refutation at once.
+        seconds. The suspect responds to such a ping with its refutation
+        at once.
         """
         due = [
             name
-            for name, since in self._changed_at.items()
+            for name, since in self._not_alive_since.items()
             if self._members[name].state is State.SUSPECT
             and now - since >= SUSPECT_PING_DELAY
             and now - self._suspect_pinged_at.get(name, since)
@@ -451,8 +456,8 @@
                 break
         number = self._next_number()
         self._probe = _Probe(known.node.name, number, now)
-        about = known if known.state is State.SUSPECT else None
-        return [Ping(known.node.address, number, about)]
+        record = known if known.state is State.SUSPECT else None
+        return [Ping(known.node.address, number, record)]
 
     def _next_round(self) -> list[str]:
         """Returns the members to probe in the next round, shuffled.
@@ -520,9 +525,9 @@
         self._members[name] = record
         self._suspect_pinged_at.pop(name, None)
         if record.state is State.ALIVE:
-            self._changed_at.pop(name, None)
+            self._not_alive_since.pop(name, None)
         else:
-            self._changed_at[name] = self._clock.monotonic()
+            self._not_alive_since[name] = self._clock.monotonic()
 
     def _next_number(self) -> int:
         # Numbers fit thrift's i32 and are never 0, which stands for none.
--- a/endivewind/nodes/messages.thrift
+++ b/endivewind/nodes/messages.thrift
@@ -99,7 +99,7 @@
   12: bool gone
 }
 
-// A change that gossip spreads. Exactly one field is set; receivers ignore
+// A change that gossip disseminates. Exactly one field is set; receivers ignore
 // fields that they do not know.
 struct Change {
   1: optional Member member
@@ -132,8 +132,8 @@
   3: i32 retries
 }
 
-// A route by which the sender gets requests of callers outside the fleet, and
-// not only calls that targets make.
+// A service and path prefix for which callers outside the fleet send requests
+// to the sender. Prefixes that only targets call are not sent.
 struct EntryRoute {
   1: string service_name
   2: string prefix
@@ -173,7 +173,7 @@
 // A part of the sender's view of the fleet. last marks the end of the response
 // to a pull. left lists the departures of targets that earlier incarnations of
 // the requesting node have acknowledged.
-struct FleetState {
+struct StatePart {
   1: string sender
   2: list<Member> members
   3: list<HomeState> homes
@@ -216,14 +216,15 @@
   8: list<ConfigurationObject> objects
 }
 
-// Requests the versions that a node has in force. The reply repeats number.
+// Requests the versions that a node has in force. The response repeats number.
 struct ConfigurationAsk {
   1: string sender
   2: i64 number
   3: list<ConfigurationStamp> keys
 }
 
-// The versions in force at a node. known: higher versions that it has rejected.
+// The versions of objects at a node. known: the highest version received of each
+// object. in_force: the version in force, lower if later ones were rejected.
 struct ConfigurationState {
   1: string sender
   2: i64 number
@@ -242,8 +243,9 @@
   2: i32 age_ms
 }
 
-// Requests part of a workspace's quota. between: the sender distributes the
-// quota within another availability zone.
+// Requests part of a workspace's quota. between: set if the sender owns the
+// workspace's bucket in another availability zone, and borrows for it; not set
+// if the sender is an entry node that needs tokens.
 struct QuotaAsk {
   1: string workspace
   2: i32 count
@@ -274,9 +276,9 @@
   20: optional Configuration configuration
   21: optional ConfigurationAsk configuration_ask
   22: optional ConfigurationState configuration_state
-  30: optional FleetState fleet_state
+  30: optional StatePart fleet_state
   31: optional Pull pull
-  // Requests and replies on one link.
+  // Queries and their responses, which arrive on the same link.
   40: optional FreshnessAsk freshness_ask
   41: optional FreshnessState freshness_state
   42: optional QuotaAsk quota_ask
--- a/endivewind/nodes/proofs.py
+++ b/endivewind/nodes/proofs.py
@@ -1,9 +1,9 @@
 """Obtains and passes on proofs that this node's configuration is current.
 
-A strict revocation of keys depends on them: the node refuses requests that need
-a key while its proof is too old. `config/freshness.py` defines a proof;
-`config/proof_tree.py` decides which nodes read the platform and which peer each
-node queries.
+A revoked key must stop working within a time limit. If the settings give one,
+the node refuses requests that need a key while its proof is older than that.
+`config/freshness.py` defines a proof; `config/proof_tree.py` decides which nodes
+read the platform and which peer each node queries.
 """
 
 import asyncio
@@ -23,7 +23,8 @@
 log = logging.getLogger(__name__)
 
 _MILLISECOND = datetime.timedelta(milliseconds=1)
-# Without a bound no proof is needed, but a reload of the settings may add one.
+# Interval of checking whether a proof is needed. The settings may not limit the
+# age of proofs, but a reload may introduce a limit.
 _IDLE_INTERVAL = datetime.timedelta(seconds=1)
 
 # Reads the platform within a timeout; returns whether that gave a proof.
@@ -38,7 +39,7 @@
     def __init__(
         self,
         me: view.NodeRecord,
-        proof: freshness.FreshnessTracker,
+        tracker: freshness.FreshnessTracker,
         fleet: view.FleetView,
         pool: links.LinkPool,
         read: PlatformRead,
@@ -46,11 +47,11 @@
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
-        """Builds a peer.
+        """Initializes the service.
 
         Args:
           me: this node.
-          proof: the proof to keep recent.
+          tracker: the proof to keep recent.
           fleet: the other nodes.
           pool: links to them.
           read: reads the platform within a timeout.
@@ -59,7 +60,7 @@
           rng: chooses the peer to query.
         """
         self._me = me
-        self._proof = proof
+        self._tracker = tracker
         self._fleet = fleet
         self._pool = pool
         self._read = read
@@ -72,7 +73,7 @@
 
     def response_frame(self) -> Any:
         """Returns the response frame to another node's query."""
-        proof = self._proof.make_response(self._clock.time_since_boot())
+        proof = self._tracker.make_response(self._clock.time_since_boot())
         state = codec.messages.FreshnessState()
         if proof is not None:
             state.version = proof.version
@@ -84,15 +85,15 @@
         """Reads the platform whenever it is this node's turn; never returns."""
         failures = 0
         while True:
-            bound = self._proof.bound
-            if bound is None or not self._is_turn_to_read(bound):
+            max_age = self._tracker.bound
+            if max_age is None or not self._is_turn_to_read(max_age):
                 await asyncio.sleep(self._query_interval().total_seconds())
                 continue
-            if await self._read(proof_tree.READER_PROOF_AGE_SHARE * bound):
+            if await self._read(proof_tree.READER_PROOF_AGE_SHARE * max_age):
                 failures = 0
                 continue
             failures += 1
-            max_backoff = proof_tree.STANDBY_PROOF_AGE_SHARE * bound
+            max_backoff = proof_tree.STANDBY_PROOF_AGE_SHARE * max_age
             backoff = min(
                 2 ** (1 + failures) * proof_tree.INITIAL_QUERY_PERIOD,
                 max_backoff,
@@ -103,71 +104,81 @@
         """Queries other nodes periodically; never returns."""
         while True:
             await asyncio.sleep(self._query_interval().total_seconds())
-            bound = self._proof.bound
-            peer = self._choose_peer(bound) if bound is not None else None
-            if bound is None or peer is None:
+            max_age = self._tracker.bound
+            peer = self._choose_peer(max_age) if max_age is not None else None
+            if max_age is None or peer is None:
                 continue
             await self._query(peer)
-            is_stale = self._is_older(proof_tree.STALE_PROOF_AGE_SHARE * bound)
+            is_stale = self._is_older(
+                proof_tree.STALE_PROOF_AGE_SHARE * max_age
+            )
             self._is_parent_useful = not is_stale or not self._is_parent_useful
 
-    def _is_turn_to_read(self, bound: datetime.timedelta) -> bool:
+    def _is_turn_to_read(self, max_age: datetime.timedelta) -> bool:
         if not self._has_complete_view():
             return False
         now = self._clock.time_since_boot()
-        number = self._rank().start_rank
-        age = self._proof.age(now)
-        if age is None and number == 0:
+        start_rank = self._tree_position().start_rank
+        age = self._tracker.age(now)
+        if age is None and start_rank == 0:
             return True
         age_or_uptime = now - self._started if age is None else age
-        stands_in = (
+        is_standing_in = (
             self._stand_in_started is not None
             and now - self._stand_in_started
-            < proof_tree.STANDBY_DURATION_BOUNDS * bound
+            < proof_tree.STANDBY_DURATION_BOUNDS * max_age
         )
         should_read = proof_tree.should_read(
-            number, age_or_uptime, bound, self._rng, is_standby=stands_in
+            start_rank,
+            age_or_uptime,
+            max_age,
+            self._rng,
+            is_standby=is_standing_in,
         )
-        if should_read and number and not stands_in:
+        if should_read and start_rank and not is_standing_in:
             self._stand_in_started = now
             log.info("reading the platform in place of another node")
         return should_read
 
     def _query_interval(self) -> datetime.timedelta:
-        bound = self._proof.bound
-        if bound is None:
+        max_age = self._tracker.bound
+        if max_age is None:
             return _IDLE_INTERVAL
-        if self._proof.make_response(self._clock.time_since_boot()) is None:
+        if self._tracker.make_response(self._clock.time_since_boot()) is None:
             return proof_tree.INITIAL_QUERY_PERIOD
         return (
-            proof_tree.QUERY_PERIOD_SHARE * bound * self._rng.uniform(0.8, 1.0)
+            proof_tree.QUERY_PERIOD_SHARE
+            * max_age
+            * self._rng.uniform(0.8, 1.0)
         )
 
-    def _rank(self) -> proof_tree.TreePosition[view.NodeRecord]:
+    def _tree_position(self) -> proof_tree.TreePosition[view.NodeRecord]:
         return proof_tree.tree_position(self._me, self._fleet.nodes.values())
 
-    def _choose_peer(self, bound: datetime.timedelta) -> view.NodeRecord | None:
+    def _choose_peer(
+        self, max_age: datetime.timedelta
+    ) -> view.NodeRecord | None:
         """Returns the node to query next, if any.
 
         That is the parent, or another node if the parent's last response gave
         no recent proof. The first reader queries others only while its own
         reads of the platform fail.
         """
-        rank = self._rank()
-        if rank.parent is not None and self._is_parent_useful:
-            return rank.parent
-        if not rank.fallbacks:
-            return rank.parent
-        is_first_reader = rank.parent is None
+        position = self._tree_position()
+        if position.parent is not None and self._is_parent_useful:
+            return position.parent
+        if not position.fallbacks:
+            return position.parent
+        is_first_reader = position.parent is None
         if is_first_reader and not self._is_older(
-            2 * proof_tree.READER_PROOF_AGE_SHARE * bound
+            2 * proof_tree.READER_PROOF_AGE_SHARE * max_age
         ):
             return None
-        return self._rng.choice(rank.fallbacks)
+        return self._rng.choice(position.fallbacks)
 
     def _is_older(self, limit: datetime.timedelta) -> bool:
         """Returns whether the proof is missing or older than the limit."""
-        age = self._proof.age(self._clock.time_since_boot())
+        age = self._tracker.age(self._clock.time_since_boot())
         return age is None or age > limit
 
     async def _query(self, peer: view.NodeRecord) -> None:
@@ -184,6 +195,6 @@
         peer_proof = freshness.ProofResponse(
             state.version, state.age_ms * _MILLISECOND
         )
-        if self._proof.handle_response(peer_proof, sent_at):
+        if self._tracker.handle_response(peer_proof, sent_at):
             # Another node reads often enough, so this one stops doing so.
             self._stand_in_started = None
--- a/endivewind/nodes/quotas.py
+++ b/endivewind/nodes/quotas.py
@@ -69,11 +69,12 @@
     def owner_since(
         self, workspace: str, me: view.NodeRecord
     ) -> datetime.timedelta | None:
-        """Returns when this node became the owner.
+        """Returns when a node with a higher rank than this one last departed.
+
+        If this node is the owner now, it has been so since then.
 
         Returns:
-          The time at which the latest former owner departed; None if there
-          has been none within DEPARTED_NODE_TTL.
+          None if no such node has departed within DEPARTED_NODE_TTL.
         """
         self._refresh()
         former = [
@@ -114,19 +115,19 @@
     def __init__(
         self,
         me: view.NodeRecord,
-        zones: int,
+        zone_count: int,
         quota_of: QuotaLookup,
         fleet: view.FleetView,
         pool: links.LinkPool,
         clock: clocks.Clock,
         tolerance: quotas.Tolerance,
     ) -> None:
-        """Builds a peer.
+        """Initializes the service.
 
         Args:
           me: this node.
-          zones: the number of zones of the fleet, including unreachable ones;
-            0 uses the number of known zones.
+          zone_count: the number of zones of the fleet, including unreachable
+            ones; 0 uses the number of known zones.
           quota_of: returns the quota of a workspace, if it has one.
           fleet: the other nodes.
           pool: links to them.
@@ -134,7 +135,7 @@
           tolerance: how far a quota may be exceeded.
         """
         self._me = me
-        self._zone_count = zones
+        self._zone_count = zone_count
         self._quota_of = quota_of
         self._pool = pool
         self._clock = clock
@@ -246,7 +247,7 @@
     async def _borrow_from_zones(
         self, workspace: str, bucket: quotas.TokenBucket
     ) -> None:
-        """Queries other zones in turn, near ones first, until it is full."""
+        """Borrows from other zones in turn, near ones first, as much as needed."""
         borrowed = 0
         for lender in self._lenders(workspace):
             wanted = bucket.wanted(self._clock.monotonic())
--- a/endivewind/nodes/repair.py
+++ b/endivewind/nodes/repair.py
@@ -20,10 +20,11 @@
 MAX_DATAGRAM_BYTES = 1200
 _OVERHEAD = 160
 MAX_PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - _OVERHEAD
-# Minimum time between two comparisons that a node starts. For REPAIR_PERIOD
-# after its last change BUSY_REPAIR_PERIOD applies instead, since others may
-# simply not have received the change yet. Without this each change would make
-# every node compare its buckets.
+# Minimum time between two comparisons that a node starts. REPAIR_PERIOD applies
+# if its records have not changed for that long, BUSY_REPAIR_PERIOD otherwise:
+# digests then differ because others have not received the latest change yet.
+# Without the longer period each change would make every node compare its
+# buckets.
 REPAIR_PERIOD = datetime.timedelta(seconds=2)
 BUSY_REPAIR_PERIOD = datetime.timedelta(seconds=10)
 MAX_VERSION_DATAGRAMS = 4
@@ -39,7 +40,7 @@
 
 
 class Repair:
-    """Compares this node's records with those of others, and answers pulls."""
+    """Compares records with those of other nodes, and responds to pulls."""
 
     def __init__(
         self,
@@ -55,7 +56,7 @@
         self._digests = digests.BucketDigests()
         self._changed_at = clock.monotonic()
         self._last_repair = clock.monotonic() - REPAIR_PERIOD
-        self._last_pull = clock.monotonic() - MIN_FULL_PULL_INTERVAL
+        self._last_full_pull = clock.monotonic() - MIN_FULL_PULL_INTERVAL
 
     @property
     def summary(self) -> int:
@@ -87,9 +88,9 @@
             part = names[start : start + HOMES_PER_FRAME]
             last = start + HOMES_PER_FRAME >= len(names)
             state = self._make_state(part, last=last and has_joined)
-            left = tuple(self._view.departed_targets(pull.sender).items())
+            departed = tuple(self._view.departed_targets(pull.sender).items())
             yield (
-                dataclasses.replace(state, departed_targets=left)
+                dataclasses.replace(state, departed_targets=departed)
                 if last
                 else state
             )
@@ -111,8 +112,11 @@
         if message.summary == self.summary:
             return []
         now = self._clock.monotonic()
-        if not has_joined and now - self._last_pull >= MIN_FULL_PULL_INTERVAL:
-            self._last_pull = now
+        if (
+            not has_joined
+            and now - self._last_full_pull >= MIN_FULL_PULL_INTERVAL
+        ):
+            self._last_full_pull = now
             return [messages.Send(address, self._make_pull(()))]
         is_quiet = now - self._changed_at >= REPAIR_PERIOD
         period = REPAIR_PERIOD if is_quiet else BUSY_REPAIR_PERIOD
@@ -145,8 +149,11 @@
         sends: list[messages.Send] = []
         now = self._clock.monotonic()
         needs_full_pull = len(differing) >= MIN_FULL_PULL_BUCKETS
-        if needs_full_pull and now - self._last_pull >= MIN_FULL_PULL_INTERVAL:
-            self._last_pull = now
+        if (
+            needs_full_pull
+            and now - self._last_full_pull >= MIN_FULL_PULL_INTERVAL
+        ):
+            self._last_full_pull = now
             sends.append(messages.Send(address, self._make_pull(())))
         self._rng.shuffle(differing)
         sends.extend(
--- a/endivewind/nodes/version_queries.py
+++ b/endivewind/nodes/version_queries.py
@@ -52,7 +52,7 @@
 
 
 class VersionQueries:
-    """Sends queries to other nodes, collects responses and answers queries."""
+    """Sends queries to other nodes, collects responses and handles queries."""
 
     def __init__(
         self,
@@ -159,7 +159,7 @@
 
 
 def encode_stamp(key: store.Key, stamp: store.Stamp) -> Any:
-    """Converts a key and its stamp to a thrift struct."""
+    """Converts a key and its version and fingerprint to a thrift struct."""
     return codec.messages.ConfigurationStamp(
         kind=key.kind,
         name=key.name,
--- a/endivewind/tests/nodes/gossip_tests.py
+++ b/endivewind/tests/nodes/gossip_tests.py
@@ -177,8 +177,8 @@
     def test_changes_reach_all_nodes_with_few_bytes_between_zones(self):
         """A few copies of a change enter each zone, which forwards it itself.
 
-        If a copy came from another zone for each node, a start of all nodes
-        would cause more traffic between zones than the requests do.
+        If a copy came from another zone for each node, a restart of the
+        fleet would cause more traffic between zones than the requests do.
         """
         names = [f"n{number}" for number in range(96)]
         net = network.Network(names, location_of=_location)
--- a/endivewind/tests/nodes/membership_tests.py
+++ b/endivewind/tests/nodes/membership_tests.py
@@ -30,7 +30,7 @@
     def test_killed_node_is_dead_everywhere_in_seconds(self):
         """Entry nodes stop sending requests to a home that has crashed.
 
-        The node crashes without leaving. Direct and indirect probes of it
+        The node crashes without announcing it. Direct and indirect probes of it
         fail, and the suspicion times out at every node.
         """
         self.net.crash("n0")
@@ -156,14 +156,14 @@
         for name in NAMES:
             self.assertEqual({ALIVE}, _states(self.net, name))
 
-    def test_leaving_node_is_known_within_a_second(self):
+    def test_shutdown_of_a_node_is_known_within_a_second(self):
         """Entry nodes use other homes within a second of a graceful stop."""
         self.net.leave("n0")
         self.net.run(1)
         self.assertEqual({membership.State.LEFT}, _states(self.net, "n0"))
 
-    def test_later_start_supersedes_earlier_one(self):
-        """A start that was paused while it was replaced detects this."""
+    def test_later_incarnation_supersedes_earlier_one(self):
+        """A process that was paused while it was replaced detects this."""
         old = self.net.nodes["n0"]
         new = self.net.start("n0")
         self.net.run(10)
--- a/endivewind/tests/nodes/network.py
+++ b/endivewind/tests/nodes/network.py
@@ -160,7 +160,7 @@
         self._send(name, self.nodes[name].core.push())
 
     def crash(self, name: str) -> None:
-        """Removes a node without letting it announce that it leaves."""
+        """Removes a node without letting it announce its shutdown."""
         del self.nodes[name]
 
     def run(self, seconds: float) -> None:
@@ -173,7 +173,7 @@
                     node.targets.remove_expired()
                     node.publish_changes()
                     self._send(node.name, node.core.tick())
-            # Replies arrive within the same tick, as on a fast network.
+            # Responses arrive within the same tick, as on a fast network.
             for _ in range(3):
                 self._deliver()
 
@@ -182,7 +182,7 @@
         return len({node.core.summary for node in self.nodes.values()}) == 1
 
     def leave(self, name: str) -> None:
-        """Removes a node after it has announced that it leaves."""
+        """Removes a node after it has announced its shutdown."""
         node = self.nodes.pop(name)
         self._send(name, node.core.leave())
 
