--- a/endivewind/nodes/gossip_service.py
+++ b/endivewind/nodes/gossip_service.py
@@ -122,7 +122,7 @@
             self._tasks.append(asyncio.create_task(work))
 
     def announce_leave(self) -> None:
-        """Announces to the fleet that this node shuts down; gossip continues."""
+        """Announces that this node shuts down; gossip continues."""
         self._dispatch(self._core.leave())
 
     async def wait_targets_moved(self) -> None:
--- a/endivewind/nodes/membership.py
+++ b/endivewind/nodes/membership.py
@@ -148,7 +148,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberRemoved:
-    """A dead member was removed; its targets and digest are to be removed too."""
+    """A dead member was removed; its targets and digest have to go, too."""
 
     name: str
 
--- a/endivewind/nodes/messages.thrift
+++ b/endivewind/nodes/messages.thrift
@@ -223,8 +223,9 @@
   3: list<ConfigurationStamp> keys
 }
 
-// The versions of objects at a node. known: the highest version received of each
-// object. in_force: the version in force, lower if later ones were rejected.
+// The versions of objects at a node. known: the highest version received of
+// each object. in_force: the version in force, lower if later ones were
+// rejected.
 struct ConfigurationState {
   1: string sender
   2: i64 number
--- a/endivewind/nodes/proofs.py
+++ b/endivewind/nodes/proofs.py
@@ -2,8 +2,8 @@
 
 A revoked key must stop working within a time limit. If the settings give one,
 the node refuses requests that need a key while its proof is older than that.
-`config/freshness.py` defines a proof; `config/proof_tree.py` decides which nodes
-read the platform and which peer each node queries.
+`config/freshness.py` defines a proof; `config/proof_tree.py` decides which
+nodes read the platform and which peer each node queries.
 """
 
 import asyncio
@@ -55,7 +55,8 @@
           fleet: the other nodes.
           pool: links to them.
           read: reads the platform within a timeout.
-          has_complete_view: whether this node knows all nodes started before it.
+          has_complete_view: whether this node knows all nodes that started
+            before it.
           clock: must include time during which the machine was suspended.
           rng: chooses the peer to query.
         """
--- a/endivewind/nodes/quotas.py
+++ b/endivewind/nodes/quotas.py
@@ -247,7 +247,7 @@
     async def _borrow_from_zones(
         self, workspace: str, bucket: quotas.TokenBucket
     ) -> None:
-        """Borrows from other zones in turn, near ones first, as much as needed."""
+        """Borrows what is needed from other zones in turn, near ones first."""
         borrowed = 0
         for lender in self._lenders(workspace):
             wanted = bucket.wanted(self._clock.monotonic())
