--- a/endivewind/decisions/admission.py
+++ b/endivewind/decisions/admission.py
@@ -12,7 +12,7 @@
 import itertools
 
 # Weight of a new gap in the moving average of gaps between completions.
-_RATE_WEIGHT = 1 / 16
+_GAP_WEIGHT = 1 / 16
 # After a longer gap the service was idle rather than slow.
 _MAX_COMPLETION_GAP = datetime.timedelta(seconds=1)
 
@@ -26,7 +26,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejection:
-    """A rejection, and the time after which a retry may succeed."""
+    """A request that a queue rejects; the queue's owner refuses it.
+
+    Attributes:
+      reason: why it is rejected.
+      retry_after: the time after which a retry may succeed.
+    """
 
     reason: RejectionReason
     retry_after: datetime.timedelta
@@ -140,7 +145,7 @@
         # Averages gaps, not rates: averaging rates over bursts would
         # overestimate the rate.
         mean_gap = 1 / self._completion_rate
-        self._completion_rate = 1 / (mean_gap + _RATE_WEIGHT * (gap - mean_gap))
+        self._completion_rate = 1 / (mean_gap + _GAP_WEIGHT * (gap - mean_gap))
 
     def expected_wait(self, priority: int) -> datetime.timedelta:
         """Estimates how long a new request of this priority would wait."""
--- a/endivewind/decisions/baseline.py
+++ b/endivewind/decisions/baseline.py
@@ -35,8 +35,9 @@
 # The expected share is multiplied by this, because a share that is measured
 # over few requests has an error.
 EXPECTED_SHARE_FACTOR = 1.25
-# Above one half, so that noise does not decide, and low enough that the loss of
-# one availability zone out of three does not change the typical peer.
+# Above one half, because half of the healthy targets lie above the median by
+# chance; low enough that the loss of one availability zone out of three does
+# not change the typical peer.
 TYPICAL_PEER_QUANTILE = 0.6
 # Weight of a request in the moving averages of the service's signal shares.
 HISTORY_WEIGHT = 1 / 4096
@@ -139,8 +140,10 @@
 
     @property
     def is_shared_fault(self) -> bool:
-        """Whether the typical target has evidence in any test, too.
+        """Whether most targets of the service seem to have a fault at once.
 
+        That is so if the typical target has evidence in any test, whichever
+        test has evidence against the target in question.
         One fault can show several signals: if all targets are three times as
         slow, a few requests of some target stall.
         """
--- a/endivewind/decisions/circuit_breakers.py
+++ b/endivewind/decisions/circuit_breakers.py
@@ -8,8 +8,9 @@
 import datetime
 
 # A single failure may be due to a stale connection, which a middlebox has
-# dropped. The pool then closes its other idle connections to that home, so a
-# second failure in a row was on a new connection and concerns the network path.
+# dropped. The connection pool (`nodes/links.py`) closes its idle connections to
+# a home after a failure, so a second failure in a row was on a new connection
+# and concerns the network path.
 FAILURES_TO_OPEN = 2
 INITIAL_OPEN_TIME = datetime.timedelta(seconds=1)
 # A partition may last an hour. A probe every 30 s costs one request in
--- a/endivewind/decisions/cross_region.py
+++ b/endivewind/decisions/cross_region.py
@@ -7,8 +7,8 @@
 import datetime
 
 # Time in which an empty bucket fills up; sets its capacity. A full bucket lasts
-# for the requests of a zone while its targets restart, and costs little
-# compared with a day's traffic.
+# while the targets of a zone restart and the zone's requests go to another
+# region, and the cost of its bytes is little compared with a day's traffic.
 BUCKET_FILL_TIME = datetime.timedelta(seconds=30)
 
 
--- a/endivewind/decisions/ejection_settings.py
+++ b/endivewind/decisions/ejection_settings.py
@@ -14,9 +14,9 @@
     """When a service's targets are ejected and when they return.
 
     Attributes:
-      false_alarm_probability: upper bound of the probability that one test
-        ejects a healthy target, for each time that its evidence rises from
-        zero; each request of the target can be such a time.
+      false_alarm_probability: upper bound of the probability that one run of
+        a test ejects a healthy target. A run begins when the test's evidence
+        rises from zero, which may happen at any request of the target.
       base_ejection_time: time from the first ejection to the trial.
       max_ejection_time: upper limit of the ejection time, which doubles for a
         target that flaps.
--- a/endivewind/decisions/load_balancing.py
+++ b/endivewind/decisions/load_balancing.py
@@ -30,14 +30,16 @@
 SLOW_LATENCY_RATIO = 2
 _CHOICE_COUNT = 2
 # Suspicion above which a target is passed over for the next tier. A request
-# that is not idempotent is lost if it fails: if the target is unhealthy with a
-# probability above about one in seven, this costs more than the traffic to the
-# next zone. An idempotent request that fails costs only a retry, which is worth
+# that is not idempotent is lost if it fails: at a target that is unhealthy with
+# a probability above about one in seven, the expected loss costs more than the
+# traffic to the next zone. `exchange.DEFAULT_MAX_SUSPICION` is the limit at
+# which the target's home refuses such a request after all. An idempotent request that fails costs only a retry, which is worth
 # the risk up to about even odds.
 MAX_SUSPICION_NON_IDEMPOTENT = 0.15
 MAX_SUSPICION_IDEMPOTENT = 0.5
-# A request that is not idempotent leaves its region only where it would more
-# likely than not be lost: traffic between regions is billed by volume, and such
+# A request that is not idempotent leaves its region only if the targets there
+# are more likely unhealthy than healthy, so that about four in ten such
+# requests would be lost. Traffic between regions is billed by volume, and such
 # a request carries a body in addition to its response.
 MAX_SUSPICION_CROSS_REGION = 0.6
 # Weight of the suspicion when two targets of the same rank are compared. The
@@ -77,7 +79,7 @@
     Attributes:
       tiers: targets in the node's zone, in the rest of its region, and in
         other regions.
-      trials: targets in trial, which get a few idempotent requests.
+      trial_targets: targets in trial, which get a few idempotent requests.
       admitted_slots: slots of all targets that the capacity floor admits,
         including those outside this node's subset.
     """
@@ -223,6 +225,8 @@
 class _Rank(enum.IntEnum):
     """Preference of a target for a request; the lowest rank is taken.
 
+    ZONE is the node's own zone, REGION the rest of its region, NEARBY both of
+    them, and REMOTE other regions.
     A free slot in the own zone costs nothing. A short wait there costs less
     than the bytes to another zone, and much less than those to another region.
     A target of the own region ranks after remote ones only if its suspicion is
@@ -234,9 +238,9 @@
     ZONE_QUEUED = 1
     REGION_FREE = 2
     REGION_QUEUED = 3
-    REGION_SUSPECT = 4
+    NEARBY_SUSPECT = 4
     REMOTE_FREE = 5
-    REGION_UNHEALTHY = 6
+    NEARBY_UNHEALTHY = 6
     REMOTE_UNHEALTHY = 7
     UNREACHABLE = 8
 
@@ -244,10 +248,10 @@
 # Ranks by number of tier.
 _FREE = (_Rank.ZONE_FREE, _Rank.REGION_FREE, _Rank.REMOTE_FREE)
 _QUEUED = (_Rank.ZONE_QUEUED, _Rank.REGION_QUEUED, None)
-_SUSPECT = (_Rank.REGION_SUSPECT, _Rank.REGION_SUSPECT, _Rank.REMOTE_UNHEALTHY)
+_SUSPECT = (_Rank.NEARBY_SUSPECT, _Rank.NEARBY_SUSPECT, _Rank.REMOTE_UNHEALTHY)
 _UNHEALTHY = (
-    _Rank.REGION_UNHEALTHY,
-    _Rank.REGION_UNHEALTHY,
+    _Rank.NEARBY_UNHEALTHY,
+    _Rank.NEARBY_UNHEALTHY,
     _Rank.REMOTE_UNHEALTHY,
 )
 # The search stops at a tier where a target of this rank or a better one was
@@ -387,8 +391,8 @@
         rank = _target_rank(item, 0, constraints, info)
         if rank in (
             _Rank.ZONE_FREE,
-            _Rank.REGION_SUSPECT,
-            _Rank.REGION_UNHEALTHY,
+            _Rank.NEARBY_SUSPECT,
+            _Rank.NEARBY_UNHEALTHY,
         ):
             return item
     return None
@@ -485,7 +489,7 @@
 ) -> tuple[capacity_floor.Candidate, ...]:
     """Chooses a stable subset of targets for a node by rendezvous hashing.
 
-    A target that joins or leaves changes each subset by one target at most,
+    A target that joins or departs changes each subset by one target at most,
     and each target is in about as many subsets as any other.
     """
     if len(items) <= SUBSET_SIZE:
--- a/endivewind/decisions/outlier_detection.py
+++ b/endivewind/decisions/outlier_detection.py
@@ -22,16 +22,18 @@
 _REPEATED_OVERDUE_STEP = sequential_test.EvidenceStep(
     with_signal=2.2, without_signal=0.0
 )
-# A pending request is counted at most this often: as slow, as stalled, and at
-# twice and four times the latency limit for stalled requests.
-_MAX_OVERDUE_STEPS = 4
-# Evidence against a target is discarded if it has another cause, such as a
-# fault of the whole service. For this time after that the target still counts
-# as unhealthy in the comparison with its peers.
+# Latency limits for which a pending request is counted: those of slow and of
+# stalled requests, and twice and four times the latter.
+_MAX_OVERDUE_LIMITS = 4
+# Evidence against a target is dismissed if it has another cause, such as a
+# fault of the whole service. The baseline takes a target for unhealthy until
+# this long after the dismissal. Otherwise the last of many targets with a
+# common fault would look like an outlier.
 _DISMISSAL_DURATION = datetime.timedelta(seconds=3)
-# Failures are attributed to one workspace if the probability that so many of
-# them are its own by chance is below this (p-value of a binomial test), and if
-# at most this share of the other workspaces' requests at the target fail.
+# Failures at a target are attributed to one workspace if the p-value of a
+# binomial test is below the first limit, and if the other workspaces' requests
+# fail at most in the second share. The p-value is the probability that the
+# workspace has so many of the failures by chance.
 _MAX_P_VALUE = 0.02
 _MAX_OTHERS_FAILURE_SHARE = 0.05
 _MAX_TRACKED_WORKSPACES = 16
@@ -76,11 +78,12 @@
 
     Attributes:
       started_at: when the request was forwarded.
-      overdue_steps: how often it has been counted as overdue.
+      exceeded_limits: number of latency limits whose excess was counted; the
+        limits are in the order of OutlierSignal, see `_overdue_limit`.
     """
 
     started_at: datetime.timedelta
-    overdue_steps: int = 0
+    exceeded_limits: int = 0
 
 
 class _WorkspaceFailures:
@@ -196,17 +199,19 @@
         self.pending.clear()
 
     def update_shares(self, signal: int, is_shown: bool) -> None:
-        fast = self.short_term_shares
-        recent = self.long_term_shares
-        fast[signal] += baseline.SHORT_TERM_WEIGHT * (is_shown - fast[signal])
-        recent[signal] += baseline.LONG_TERM_WEIGHT * (
-            is_shown - recent[signal]
+        short_term = self.short_term_shares
+        long_term = self.long_term_shares
+        short_term[signal] += baseline.SHORT_TERM_WEIGHT * (
+            is_shown - short_term[signal]
+        )
+        long_term[signal] += baseline.LONG_TERM_WEIGHT * (
+            is_shown - long_term[signal]
         )
 
     def dismiss_evidence(
         self, signal: sequential_test.OutlierSignal, now: datetime.timedelta
     ) -> None:
-        """Discards evidence of a signal that has another cause.
+        """Discards a signal's evidence that is not the target's fault.
 
         Requests that are still overdue are counted again: if they stay overdue
         after the peers have recovered, this target is the one that hangs.
@@ -217,15 +222,14 @@
         self.dismissed_at = now
         self.workspace_failures.clear()
         for pending in self.pending.values():
-            pending.overdue_steps = 0
+            pending.exceeded_limits = 0
 
     def summarize(
         self, target: str, threshold: float, now: datetime.timedelta
     ) -> baseline.TargetSummary:
         evidence = tuple(value / threshold for value in self.evidence)
         if now - self.dismissed_at < _DISMISSAL_DURATION:
-            # Otherwise the last of many targets with a common fault would look
-            # like an outlier, because the others' evidence was dismissed.
+            # The target counts as unhealthy, see `_DISMISSAL_DURATION`.
             evidence = (1.0,) * _TEST_COUNT
         return baseline.TargetSummary(
             target,
@@ -292,7 +296,7 @@
             self._peer_summaries[summary.target] = summary
 
     def forget(self, target: str) -> None:
-        """Removes a target that has left."""
+        """Removes a target that has departed."""
         self._targets.pop(target, None)
         self._peer_summaries.pop(target, None)
         self._remote_targets.pop(target, None)
@@ -351,7 +355,7 @@
             return None
         self._decay_evidence(state, now)
         state.last_seen = now
-        self._add_evidence(state, signals, pending.overdue_steps, workspace)
+        self._add_evidence(state, signals, pending.exceeded_limits, workspace)
         if state.ejection.status is ejection.Status.NORMAL:
             if result is not Result.UNFINISHED:
                 service_baseline.add(latency, signals)
@@ -453,7 +457,7 @@
         self,
         state: _TargetState,
         signals: list[bool],
-        overdue_steps: int,
+        exceeded_limits: int,
         workspace: str,
     ) -> None:
         for index, is_shown in enumerate(signals):
@@ -471,10 +475,12 @@
                 )
             elif (
                 signal == sequential_test.OutlierSignal.FAILED
-                or overdue_steps < signal
+                or exceeded_limits < signal
             ):
-                # While a request is pending, its first overdue step adds SLOW
-                # and its second adds STALLED; each counts only once.
+                # The limit of SLOW (1) is the first that a pending request
+                # exceeds and that of STALLED (2) the second. So a request that
+                # exceeded at least as many limits as the signal's value was
+                # counted with this signal while it was pending.
                 evidence[index] += step.with_signal
         if not evidence[0]:
             state.workspace_failures.clear()
@@ -498,35 +504,37 @@
         for pending in state.pending.values():
             if now - pending.started_at <= slow:
                 break
-            has_counted |= self._add_overdue_steps(state, pending, now)
+            has_counted |= self._count_exceeded_limits(state, pending, now)
         return has_counted
 
-    def _add_overdue_steps(
+    def _count_exceeded_limits(
         self,
         state: _TargetState,
         pending: _PendingRequest,
         now: datetime.timedelta,
     ) -> bool:
         age = now - pending.started_at
-        before = pending.overdue_steps
+        before = pending.exceeded_limits
         while (
-            pending.overdue_steps < _MAX_OVERDUE_STEPS
-            and age > self._overdue_limit(pending.overdue_steps)
+            pending.exceeded_limits < _MAX_OVERDUE_LIMITS
+            and age > self._overdue_limit(pending.exceeded_limits)
         ):
-            self._add_overdue_step(state, pending.overdue_steps)
-            pending.overdue_steps += 1
-        if pending.overdue_steps == before:
+            self._add_overdue_evidence(state, pending.exceeded_limits)
+            pending.exceeded_limits += 1
+        if pending.exceeded_limits == before:
             return False
         state.last_seen = now
         return True
 
-    def _overdue_limit(self, step: int) -> datetime.timedelta:
-        if step == 0:
+    def _overdue_limit(self, limit_index: int) -> datetime.timedelta:
+        if limit_index == 0:
             return self._baseline.slow_latency
-        return self._baseline.stalled_latency * 2 ** (step - 1)
+        return self._baseline.stalled_latency * 2 ** (limit_index - 1)
 
-    def _add_overdue_step(self, state: _TargetState, step: int) -> None:
-        if step >= sequential_test.OutlierSignal.STALLED:
+    def _add_overdue_evidence(
+        self, state: _TargetState, limit_index: int
+    ) -> None:
+        if limit_index >= sequential_test.OutlierSignal.STALLED:
             if (
                 self._baseline.evidence_steps[_STALLED_TEST_INDEX]
                 is not sequential_test.NO_STEP
@@ -535,7 +543,7 @@
                     _REPEATED_OVERDUE_STEP.with_signal
                 )
             return
-        signal = sequential_test.OutlierSignal(step + 1)
+        signal = sequential_test.OutlierSignal(limit_index + 1)
         state.update_shares(signal, True)
         for index, hypothesis in enumerate(sequential_test.FAULT_HYPOTHESES):
             if hypothesis.signal is signal:
--- a/endivewind/decisions/poison_requests.py
+++ b/endivewind/decisions/poison_requests.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Suspect:
+class _SuspectRequest:
     last_crash: datetime.timedelta
     targets: set[str] = dataclasses.field(default_factory=set)
 
@@ -39,12 +39,12 @@
     """
 
     def __init__(self) -> None:
-        self._suspects: collections.OrderedDict[bytes, _Suspect] = (
+        self._suspects: collections.OrderedDict[bytes, _SuspectRequest] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        """Returns the number of suspects; if 0, no fingerprint is needed."""
+        """Returns the number of suspect requests; at 0 no fingerprint is needed."""
         return len(self._suspects)
 
     def record_crash(
@@ -53,7 +53,7 @@
         """Records that a target crashed while it ran the request."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or now - suspect.last_crash >= BLOCK_DURATION:
-            suspect = self._suspects[fingerprint] = _Suspect(now)
+            suspect = self._suspects[fingerprint] = _SuspectRequest(now)
         suspect.last_crash = now
         suspect.targets.add(target)
         self._suspects.move_to_end(fingerprint)
--- a/endivewind/decisions/quotas.py
+++ b/endivewind/decisions/quotas.py
@@ -10,10 +10,11 @@
 import dataclasses
 import datetime
 
-# A quota may be exceeded by some requests per window (see `Tolerance`). These
-# shares of them are added in advance to the burst and to the rate that the
-# zones divide between them (see `BucketLimits.for_zone`). The rest covers
-# buckets that are created anew after the node that owned them has stopped.
+# A quota may be exceeded by some requests per window (see `Tolerance`). The
+# zones' buckets use part of this excess in advance: the first share of it is
+# added to the burst and the second, over a window, to the rate (see
+# `BucketLimits.for_zone`). The remaining excess covers buckets that are created
+# anew after the node that owned them has stopped.
 BURST_TOLERANCE_SHARE = 0.5
 RATE_TOLERANCE_SHARE = 0.35
 # Tokens that a new owner starts with, as a share of the capacity: how many its
@@ -62,7 +63,7 @@
     Attributes:
       window: the interval in which requests are counted.
       overage: the excess, as a share of what the quota allows in the window.
-      requests: the number of further requests on top of that share.
+      extra_requests: the excess in requests, on top of that share.
     """
 
     window: datetime.timedelta = datetime.timedelta(seconds=5)
@@ -91,10 +92,11 @@
         Scenario: many workspaces (such as 84) over a hundred nodes, most of
         which send less than one request per second. Risk: if each node had a
         share, it would be a fraction of a request, and traffic far below the
-        quota would be refused. Instead each of a few zones has a share. It
-        holds at least one whole request, and part of the tolerance is added to
-        it, so that callers may use the excess that the operator tolerates.
-        Only part, so that no window exceeds the tolerance.
+        quota would be refused. Instead the quota is divided among a few zones.
+        Each zone's bucket has room for at least one whole token. Part of the
+        excess that the operator tolerates is divided along with the quota, so
+        that callers may use it; not all of it, so that no window exceeds the
+        tolerance.
 
         Args:
           rate: the quota's requests per second.
--- a/endivewind/decisions/response_times.py
+++ b/endivewind/decisions/response_times.py
@@ -48,10 +48,10 @@
     def likelihood_ratio(
         self, latency_objective: datetime.timedelta, age: datetime.timedelta
     ) -> float:
-        """Returns the likelihood ratio of a request still being pending.
+        """Returns how strongly a pending request suggests a fault.
 
-        The ratio says how many times likelier that is at an unhealthy target
-        than at a healthy one.
+        This is a likelihood ratio: how many times likelier the request is to be
+        pending at this age if the target is unhealthy than if it is healthy.
 
         Scenario: targets that accept requests and respond to none of them for
         some seconds. Risk: no request completes, so without this there is no
--- a/endivewind/decisions/retry_budget.py
+++ b/endivewind/decisions/retry_budget.py
@@ -1,7 +1,7 @@
 """Retry budget: bounds retries to a share of a service's recent requests.
 
 Counts requests and retries in a sliding window. Nodes near each other share
-what is left of their budgets. `callers/budgets.py` keeps one budget for each
+what remains of their budgets. `callers/budgets.py` keeps one budget for each
 service and exchanges the counts with other nodes.
 """
 
@@ -81,9 +81,11 @@
     what is left, so that nodes that act at the same time do not spend the same
     retries twice. The sum of the limits remains the bound.
 
-    A target that runs a retried request may call other services, and these
-    calls count as retries there. They are not refused when the budget is spent,
-    only charged to it (`charge`), so that later retries have to wait.
+    A target that runs a retried request may call other services. As the first
+    attempt may have made the same calls, they count as retries in the budgets
+    of the called services (`callers/gateway.py` estimates how many do). They
+    are not refused when such a budget is spent, only charged to it (`charge`),
+    so that later retries have to wait.
     """
 
     def __init__(self, limits: RetryLimits) -> None:
@@ -180,8 +182,8 @@
     def _has_allowance(self, now: datetime.timedelta) -> bool:
         """Whether this node may use one of the shared retries now.
 
-        Its allowance grows by an equal part of what is left in each
-        PROPAGATION_DELAY.
+        In each PROPAGATION_DELAY its allowance grows by an equal part of the
+        shared retries that remain.
         """
         left, peers = self._shared_left(), len(self._peer_counts())
         if left < 1 or not peers:
--- a/endivewind/decisions/sequential_test.py
+++ b/endivewind/decisions/sequential_test.py
@@ -22,8 +22,8 @@
 class OutlierSignal(enum.IntEnum):
     """What a single request can show that indicates an outlier.
 
-    Input of the sequential tests; `suspicion.SuspicionSignal` is that of the
-    suspicion.
+    The sequential tests count these signals. The suspicion of a target is
+    estimated from others, `suspicion.SuspicionSignal`.
     """
 
     FAILED = 0
@@ -38,8 +38,8 @@
     Attributes:
       name: cause of an ejection, as shown to operators.
       signal: signal that the test counts.
-      unhealthy_share: of the requests that would not show the signal at a
-        healthy target, the share that shows it at an unhealthy one.
+      affected_share: share of requests that show the signal because of the
+        fault, if they do not show it at a healthy target anyway.
       min_expected_share: lower bound of the share that is expected of a
         healthy target.
     """
@@ -105,7 +105,7 @@
 
 
 def decay_evidence(value: float, idle: datetime.timedelta) -> float:
-    """Returns the evidence that is left after a time without requests."""
+    """Returns the evidence that remains after a time without requests."""
     if value <= 0 or idle <= datetime.timedelta():
         return value
     return float(value * 0.5 ** (idle / EVIDENCE_HALF_LIFE))
--- a/endivewind/decisions/slow_start.py
+++ b/endivewind/decisions/slow_start.py
@@ -40,6 +40,6 @@
         return max(1, int(slots * ((now - started_at) / SLOW_START_DURATION)))
 
     def forget(self, targets: collections.abc.Iterable[str]) -> None:
-        """Removes targets that have left."""
+        """Removes targets that have departed."""
         for target in targets:
             self._started_at.pop(target, None)
--- a/endivewind/decisions/suspicion.py
+++ b/endivewind/decisions/suspicion.py
@@ -16,7 +16,7 @@
 # often than once a minute, and determine how fast evidence becomes outdated.
 MEAN_HEALTHY_TIME = datetime.timedelta(seconds=40)
 MEAN_UNHEALTHY_TIME = datetime.timedelta(seconds=5)
-# Limits of the estimate. However many requests have failed, a few successful
+# Limits of the estimated probability. However many requests have failed, a few successful
 # responses must restore a target: its recovery is not announced, and healthy
 # capacity must not stay unused.
 MAX_SUSPICION = 0.97
@@ -94,17 +94,18 @@
         return self._signal_count
 
     def probability(
-        self, now: datetime.timedelta, pending_ratio: float = 1.0
+        self, now: datetime.timedelta, pending_likelihood_ratio: float = 1.0
     ) -> float:
         """Returns the probability that the target is unhealthy.
 
         Args:
           now: the current monotonic time.
-          pending_ratio: likelihood ratio of the fact that the target's pending
-            requests have no response yet.
+          pending_likelihood_ratio: how many times likelier it is at an
+            unhealthy target than at a healthy one that the pending requests
+            have no response yet.
         """
         completed = decay(self._probability, now - self._updated_at)
-        return _posterior(completed, pending_ratio)
+        return _posterior(completed, pending_likelihood_ratio)
 
     def observe(self, signal: SuspicionSignal, now: datetime.timedelta) -> None:
         """Updates the suspicion by the result of a request."""
--- a/endivewind/exchange.py
+++ b/endivewind/exchange.py
@@ -58,9 +58,9 @@
 
 
 # A home refuses non-idempotent requests when its target's suspicion is above
-# this, unless the entry node has no better target. At 0.2 about one request in
-# six is lost (seven in ten fail at an unhealthy target), which costs more than
-# a hop to another zone.
+# this, unless the entry node has no better target. Seven in ten requests fail
+# at an unhealthy target, so at 0.2 about one in seven is lost, which costs more
+# than a hop to another zone.
 DEFAULT_MAX_SUSPICION = 0.2
 
 
@@ -94,9 +94,9 @@
       remaining_time: time left until the deadline.
       ticket: token with which a non-idempotent request is executed at most
         once, even if it is sent again; empty for idempotent requests.
-      attempt: number of the attempt under the ticket, from 1.
-      latency_objective: time within which a response is most useful; zero if
-        unknown.
+      attempt: number of the attempt, from 1; 0 before the first one.
+      latency_objective: time within which callers of the route want a response;
+        a later one is returned, too. Zero if unknown.
       queue_priority: priority in queues; higher values are served first.
       max_suspicion: highest suspicion of a target that may get the request.
       may_be_duplicate: whether a target may have received the request before.
@@ -257,7 +257,7 @@
     A target may have received part of the body.
     """
     return unknown_outcome_refusal(
-        Reason.BAD_REQUEST, f"request body truncated: {error}"
+        Reason.BAD_REQUEST, f"can't read the request body: {error}"
     )
 
 
--- a/endivewind/http_servers.py
+++ b/endivewind/http_servers.py
@@ -1,6 +1,6 @@
 """Starts and stops the HTTP servers of a node.
 
-The settings give the address of each.
+`node.py` calls it with the addresses from the settings.
 """
 
 import ssl
--- a/endivewind/nodes/view.py
+++ b/endivewind/nodes/view.py
@@ -1,7 +1,9 @@
 """This node's view of the fleet: nodes, and targets by service.
 
-Gossip and state repair write it; placement reads it. It is eventually
-consistent: each home node numbers its changes, and the highest version wins.
+Written by gossip, which carries single changes, and by state repair, which
+fetches the whole state of a home (`repair.py`). Placement reads it. It is
+eventually consistent: each home node numbers its changes, and the highest
+version wins.
 """
 
 import collections
@@ -11,11 +13,12 @@
 
 from endivewind.targets import records
 
-# Changes of a home that are kept while earlier ones are missing. Beyond this
-# many, fetching the home's whole state is cheaper.
+# Changes of a home that are accepted while an earlier one is missing. Beyond
+# this many, fetching the home's whole state is cheaper.
 MAX_PENDING_CHANGES = 256
-# Departed targets remembered for each home, until it has restarted. A restart
-# takes seconds and a home has few targets, so a few entries suffice.
+# The latest departed targets that are remembered for each home. They are needed
+# until the home has restarted. A restart takes seconds and a home has few
+# targets, so a few entries suffice.
 MAX_DEPARTED_TARGETS = 8
 
 
@@ -25,7 +28,7 @@
 
     Attributes:
       name: the node's name.
-      incarnation: increases with each start of the node.
+      incarnation: increases each time the node starts.
       address: host and port of its listener for other nodes.
       region: region of its VM.
       zone: availability zone of its VM.
@@ -40,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HomeVersion:
-    """Number of a home's change; it and all earlier ones are known.
+    """The number up to which all changes of a home are known.
 
     Later changes may be known, too, with gaps between them.
     """
@@ -64,29 +67,29 @@
     Attributes:
       incarnation: the home node's incarnation.
       sequence: number of the last change before the first missing one.
-      records: targets by id, with pending changes applied as well.
-      pending: target ids of the changes after a missing one, by number.
+      records: targets by id, with out-of-order changes applied as well.
+      out_of_order: target ids of the changes after a missing one, by number.
     """
 
-    __slots__ = ("incarnation", "pending", "records", "sequence")
+    __slots__ = ("incarnation", "out_of_order", "records", "sequence")
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation = incarnation
         self.sequence = 0
         self.records: dict[str, records.TargetRecord] = {}
-        self.pending: dict[int, str] = {}
+        self.out_of_order: dict[int, str] = {}
 
     def copy(self) -> "_HomeTargets":
         other = _HomeTargets(self.incarnation)
         other.sequence = self.sequence
         other.records = dict(self.records)
-        other.pending = dict(self.pending)
+        other.out_of_order = dict(self.out_of_order)
         return other
 
     def advance(self) -> None:
-        while self.sequence + 1 in self.pending:
+        while self.sequence + 1 in self.out_of_order:
             self.sequence += 1
-            del self.pending[self.sequence]
+            del self.out_of_order[self.sequence]
 
 
 class FleetView:
@@ -108,11 +111,12 @@
     def departed_targets(self, home: str) -> collections.abc.Mapping[str, int]:
         """Returns the incarnations of a home's departed targets by id.
 
-        Scenario: a target tells its home that it leaves, the home acknowledges
-        this and is killed. A heartbeat that the target had sent before arrives
-        after the home's restart. Risk: the home takes the target for ready and
-        sends it requests past its drain time. The other nodes know of the
-        departure and remember it across restarts of the home.
+        Scenario: a target announces its departure to its home, the home
+        acknowledges this and is killed. A heartbeat that the target had sent
+        before arrives after the home's restart. Risk: the home takes the target
+        for ready and sends it requests past its drain time. The other nodes
+        know of the departure. They keep it when the home restarts and send it
+        to the home with the state that the home fetches (`repair.py`).
         """
         return self._departed.get(home, {})
 
@@ -139,12 +143,16 @@
         return self._revisions[service]
 
     def all_targets(self) -> list[records.TargetRecord]:
-        """Returns the usable record of each target; none of dead nodes."""
+        """Returns the record that is in use of each target.
+
+        Targets of dead nodes are left out. Of a target that several homes
+        announce, the announcement with the highest precedence is in use.
+        """
         return list(self._usable_records.values())
 
     @property
     def target_count(self) -> int:
-        """Number of targets that `all_targets` returns."""
+        """Number of targets that `usable_targets` returns."""
         return len(self._usable_records)
 
     def find_target(self, target: str) -> records.TargetRecord | None:
@@ -174,7 +182,7 @@
         return HomeVersion(known.incarnation, known.sequence)
 
     def home_state(self, home: str) -> HomeState | None:
-        """Returns a home's targets, except for those with pending changes."""
+        """Returns a home's targets, except those with out-of-order changes."""
         known = self._homes.get(home)
         if known is None:
             return None
@@ -253,17 +261,17 @@
         if known is not None:
             self._withdraw_home(known)
             if known.incarnation == incarnation:
-                updated.pending = {
+                updated.out_of_order = {
                     number: name
-                    for number, name in known.pending.items()
+                    for number, name in known.out_of_order.items()
                     if number > sequence
                 }
                 previous = known.records
-        pending = set(updated.pending.values())
+        out_of_order = set(updated.out_of_order.values())
         updated.records = {
-            item.id: item for item in targets if item.id not in pending
+            item.id: item for item in targets if item.id not in out_of_order
         }
-        for name in pending & set(previous):
+        for name in out_of_order & set(previous):
             updated.records[name] = previous[name]
         self._homes[sys.intern(home)] = updated
         updated.advance()
@@ -275,12 +283,13 @@
         """Applies one change of a home.
 
         Changes may arrive twice and out of order. A change is outdated if the
-        view includes it already: it is pending, or its number is not above that
-        of the home's version. Without this rule a delayed copy would bring back
+        view includes it already: it was applied out of order, or its number is
+        not above that of the home's version. Without this rule a delayed copy would bring back
         a target that has been removed.
 
         Returns:
-          False if the change is outdated, or if too many changes are pending.
+          False if the change is outdated, or if MAX_OUT_OF_ORDER_CHANGES are
+          waiting for an earlier one.
         """
         record = change.record
         home = self._homes.get(record.home)
@@ -290,15 +299,18 @@
             self._homes[sys.intern(record.home)] = home
         if home.incarnation > record.home_incarnation:
             return False
-        if record.sequence <= home.sequence or record.sequence in home.pending:
+        if (
+            record.sequence <= home.sequence
+            or record.sequence in home.out_of_order
+        ):
             return False
-        if len(home.pending) >= MAX_PENDING_CHANGES:
+        if len(home.out_of_order) >= MAX_PENDING_CHANGES:
             return False
         is_superseded = any(
             number > record.sequence and name == record.id
-            for number, name in home.pending.items()
+            for number, name in home.out_of_order.items()
         )
-        home.pending[record.sequence] = record.id
+        home.out_of_order[record.sequence] = record.id
         home.advance()
         if is_superseded:
             return True
--- a/endivewind/targets/records.py
+++ b/endivewind/targets/records.py
@@ -79,9 +79,10 @@
 
 
 def precedence(record: TargetRecord) -> Precedence:
-    """Returns the sort key of announcements of a target at several homes.
+    """Returns the sort key for choosing between announcements of a target.
 
-    The announcement with the highest key is valid. The target itself counts its
+    Several homes may announce a target that has moved; the announcement with
+    the highest key is valid. The target itself counts its
     incarnations and moves. Some targets don't count their moves; the home's
     incarnation and name decide between two announcements that are otherwise
     equal.
--- a/endivewind/tests/decisions/load_balancing_tests.py
+++ b/endivewind/tests/decisions/load_balancing_tests.py
@@ -159,14 +159,14 @@
         healthy = [_target(f"t{number}") for number in range(4)]
         candidates = [
             *healthy,
-            _target("sick", status=ejection.Status.TRIAL),
+            _target("returning", status=ejection.Status.TRIAL),
         ]
 
         few = self.count_choices(candidates, 1_000)
         none = self.count_choices(candidates, 1_000, is_idempotent=False)
 
-        self.assertTrue(20 <= few["sick"] <= 90, few)
-        self.assertEqual(0, none["sick"])
+        self.assertTrue(20 <= few["returning"] <= 90, few)
+        self.assertEqual(0, none["returning"])
 
     def test_short_wait_in_the_zone_beats_another_zone(self):
         self.info.in_use_by_target["zone"] = 3
@@ -191,7 +191,7 @@
             {"region": 9}, self.count_choices(both, 9, is_last_attempt=True)
         )
 
-    def test_leaves_the_region_only_if_loss_is_more_likely_than_not(self):
+    def test_leaves_the_region_only_if_the_target_is_likely_unhealthy(self):
         """Traffic between regions is billed by volume."""
         both = [_target("far", "caribe-a"), _target("zone")]
         for risk, chosen in ((0.4, "zone"), (0.65, "far"), (0.9, "far")):
@@ -224,42 +224,44 @@
 
     def test_idempotent_requests_probe_a_suspect_target(self):
         """Without probes nobody would learn that it has recovered."""
-        self.info.suspicions["sick"] = 0.9
-        candidates = [_target("sick"), _target("well")]
+        self.info.suspicions["suspect"] = 0.9
+        candidates = [_target("suspect"), _target("trusted")]
 
         found = self.count_choices(candidates, 1_000, may_probe=True)
-        self.assertTrue(400 < found["sick"] < 600, found)
-        self.info.report_age_seconds["sick"] = 0.05
+        self.assertTrue(400 < found["suspect"] < 600, found)
+        self.info.report_age_seconds["suspect"] = 0.05
         self.assertEqual(
-            0, self.count_choices(candidates, 100, may_probe=True)["sick"]
+            0, self.count_choices(candidates, 100, may_probe=True)["suspect"]
         )
 
     def test_target_that_is_almost_certainly_unhealthy_is_probed_rarely(self):
         """Each such probe costs a retry from the budget of the whole fleet."""
-        candidates = [_target("sick"), _target("well")]
-        self.info.report_age_seconds["sick"] = 0.8
-
-        self.info.suspicions["sick"] = 0.95
-        certain = self.count_choices(candidates, 100, may_probe=True)["sick"]
-        self.info.suspicions["sick"] = 0.3
-        uncertain = self.count_choices(candidates, 100, may_probe=True)["sick"]
+        candidates = [_target("suspect"), _target("trusted")]
+        self.info.report_age_seconds["suspect"] = 0.8
+
+        self.info.suspicions["suspect"] = 0.95
+        certain = self.count_choices(candidates, 100, may_probe=True)["suspect"]
+        self.info.suspicions["suspect"] = 0.3
+        uncertain = self.count_choices(candidates, 100, may_probe=True)[
+            "suspect"
+        ]
 
         self.assertEqual(0, certain)
         self.assertGreater(uncertain, 30)
 
     def test_one_probe_at_a_time(self):
-        self.info.suspicions["sick"] = 0.9
-        self.info.in_use_by_target["sick"] = 1
-        candidates = [_target("sick"), _target("well")]
+        self.info.suspicions["suspect"] = 0.9
+        self.info.in_use_by_target["suspect"] = 1
+        candidates = [_target("suspect"), _target("trusted")]
 
         found = self.count_choices(candidates, 100, may_probe=True)
 
-        self.assertEqual(0, found["sick"])
+        self.assertEqual(0, found["suspect"])
 
     def test_subset_is_bounded_stable_and_spread(self):
         """A service of 400 targets, of which each node uses a few.
 
-        Each target must be used by some nodes, and one that leaves must not
+        Each target must be used by some nodes, and one that departs must not
         change which other targets the nodes use.
         """
         candidates = [_target(f"t{number}") for number in range(400)]
--- a/endivewind/tests/loads/quotas.py
+++ b/endivewind/tests/loads/quotas.py
@@ -128,9 +128,9 @@
             return None
         seconds = self.fleet.rtt_seconds(self, other)
         await asyncio.sleep(seconds / 2)
-        answer = await other.peer.handle_query(question.quota_ask)
+        grant = await other.peer.handle_query(question.quota_ask)
         await asyncio.sleep(seconds / 2)
-        return answer
+        return grant
 
 
 class Fleet:
--- a/endivewind/tests/nodes/view_tests.py
+++ b/endivewind/tests/nodes/view_tests.py
@@ -45,7 +45,7 @@
         }
 
     def test_delayed_copy_does_not_restore_a_removed_target(self):
-        """Guards against requests to a target that has left.
+        """Guards against requests to a target that has departed.
 
         A copy of the announcement is delayed and arrives after the removal.
         """
