--- a/endivewind/nodes/view.py
+++ b/endivewind/nodes/view.py
@@ -284,8 +284,8 @@
 
         Changes may arrive twice and out of order. A change is outdated if the
         view includes it already: it was applied out of order, or its number is
-        not above that of the home's version. Without this rule a delayed copy would bring back
-        a target that has been removed.
+        not above that of the home's version. Without this rule a delayed copy
+        would bring back a target that has been removed.
 
         Returns:
           False if the change is outdated, or if MAX_OUT_OF_ORDER_CHANGES are
