--- a/endivewind/decisions/baseline.py
+++ b/endivewind/decisions/baseline.py
@@ -140,7 +140,7 @@
 
     @property
     def is_shared_fault(self) -> bool:
-        """Whether most targets of the service seem to have a fault at once.
+        """Whether the service as a whole seems to have a fault.
 
         That is so if the typical target has evidence in any test, whichever
         test has evidence against the target in question.
--- a/endivewind/decisions/load_balancing.py
+++ b/endivewind/decisions/load_balancing.py
@@ -33,8 +33,9 @@
 # that is not idempotent is lost if it fails: at a target that is unhealthy with
 # a probability above about one in seven, the expected loss costs more than the
 # traffic to the next zone. `exchange.DEFAULT_MAX_SUSPICION` is the limit at
-# which the target's home refuses such a request after all. An idempotent request that fails costs only a retry, which is worth
-# the risk up to about even odds.
+# which the target's home refuses such a request after all. An idempotent
+# request that fails costs only a retry, which is worth the risk up to about
+# even odds.
 MAX_SUSPICION_NON_IDEMPOTENT = 0.15
 MAX_SUSPICION_IDEMPOTENT = 0.5
 # A request that is not idempotent leaves its region only if the targets there
--- a/endivewind/decisions/peer_updates.py
+++ b/endivewind/decisions/peer_updates.py
@@ -30,10 +30,10 @@
 
     Scenario: few requests per entry node, of which one in ten fails, in bursts.
     Risk: a zone of six nodes, which together may make nine retries in ten
-    seconds, uses up its budget while the neighboring zone has used none. Sharing among twice
-    as many nodes doubles the budget and evens out the bursts. Since each
-    node's usage is sent to every other node that shares the budget, this is
-    limited to small regions.
+    seconds, uses up its budget while the neighboring zone has used none.
+    Sharing among twice as many nodes doubles the budget and evens out the
+    bursts. Since each node's usage is sent to every other node that shares the
+    budget, this is limited to small regions.
 
     Args:
       other_nodes: number of other nodes in the region.
--- a/endivewind/decisions/poison_requests.py
+++ b/endivewind/decisions/poison_requests.py
@@ -33,7 +33,7 @@
 
     Scenario: a request that crashes each target that runs it, from a caller
     that resends it. Risk: with retries it crashes a service's targets one after
-    another, and outlier detection takes each of them for unhealthy. An innocent
+    another, and outlier detection takes each of them for unhealthy. A harmless
     request that is sent often may be running at several targets when they
     crash, too; a response to it from any target clears it.
     """
@@ -44,7 +44,10 @@
         )
 
     def __len__(self) -> int:
-        """Returns the number of suspect requests; at 0 no fingerprint is needed."""
+        """Returns the number of suspect requests.
+
+        If it is 0, callers need not compute a fingerprint.
+        """
         return len(self._suspects)
 
     def record_crash(
--- a/endivewind/decisions/suspicion.py
+++ b/endivewind/decisions/suspicion.py
@@ -16,9 +16,9 @@
 # often than once a minute, and determine how fast evidence becomes outdated.
 MEAN_HEALTHY_TIME = datetime.timedelta(seconds=40)
 MEAN_UNHEALTHY_TIME = datetime.timedelta(seconds=5)
-# Limits of the estimated probability. However many requests have failed, a few successful
-# responses must restore a target: its recovery is not announced, and healthy
-# capacity must not stay unused.
+# Limits of the estimated probability. However many requests have failed, a few
+# successful responses must restore a target: its recovery is not announced, and
+# healthy capacity must not stay unused.
 MAX_SUSPICION = 0.97
 MIN_SUSPICION = 0.001
 
--- a/endivewind/tests/decisions/admission_tests.py
+++ b/endivewind/tests/decisions/admission_tests.py
@@ -130,7 +130,7 @@
             self.assertGreater(rejection.retry_after, datetime.timedelta())
 
     def test_mix_of_long_and_short_requests(self):
-        """One workspace sends a tenth of the requests, each 10 times as long."""
+        """A workspace sends a tenth of the requests, each 10 times as long."""
         service = _Service(slots=6)
         for step in range(300):
             service.run(SECOND * step / 20)
--- a/endivewind/tests/decisions/retry_budget_tests.py
+++ b/endivewind/tests/decisions/retry_budget_tests.py
@@ -149,8 +149,8 @@
     ):
         """Failures come in bursts of any size, one node after the other.
 
-        A node may use what others have left, and each keeps a fifth for
-        itself. No retry may be spent twice, as a shared one and a kept one.
+        A node may use retries that others have not used, and each keeps a fifth
+        for itself. No retry may be spent twice, as a shared one and a kept one.
         """
         limits = retry_budget.RetryLimits(
             0.2, 0.5, neighbour_count=len(wants) - 1
--- a/endivewind/tests/loads/fleet.py
+++ b/endivewind/tests/loads/fleet.py
@@ -218,8 +218,8 @@
             for zone in ZONES
         }
         if targets_per_zone:
-            # With targets present at the start, entry nodes must have run for at
-            # least one retry window.
+            # With targets present from the start, entry nodes must have run
+            # for at least one retry window.
             self.loop.advance(INITIAL_UPTIME)
         for zone in ZONES:
             for number in range(targets_per_zone):
--- a/endivewind/tests/loads/gray_failure_tests.py
+++ b/endivewind/tests/loads/gray_failure_tests.py
@@ -21,7 +21,7 @@
 
 
 def _run(seed=1, kinds=(fleet.ORDER, fleet.LOOKUP), **fleet_options):
-    """Simulates a series of gray failures; returns the fleet with its counts."""
+    """Simulates a series of gray failures and returns the fleet."""
     simulated = fleet.Fleet(seed, **fleet_options)
     for _ in range(FAULT_COUNT):
         unhealthy = simulated.sample_targets(UNHEALTHY_SHARE)
@@ -38,7 +38,7 @@
     """Callers lose few more requests than fail at healthy targets."""
 
     def test_suspicion_avoids_most_failures(self):
-        """Without suspicion an unhealthy target looks idle and attracts requests.
+        """Without suspicion an unhealthy target looks idle and gets requests.
 
         Each order sent there is then lost. With suspicion, one failure diverts
         the orders, and lookups probe whether the target has recovered. Over
--- a/endivewind/tests/loads/load_pattern_tests.py
+++ b/endivewind/tests/loads/load_pattern_tests.py
@@ -17,7 +17,7 @@
 
 class BurstTest(unittest.TestCase):
     def test_burst_is_served_and_has_no_after_effects(self):
-        """1.7 times the load for three seconds uses three quarters of the slots.
+        """1.7 times the load for three seconds uses 3/4 of the slots.
 
         Hardly any request is lost, and latencies are as before once it ends.
         """
--- a/endivewind/tests/loads/retry_sharing_tests.py
+++ b/endivewind/tests/loads/retry_sharing_tests.py
@@ -60,7 +60,7 @@
 
 class RetrySharingTest(unittest.TestCase):
     def test_zone_uses_unspent_retries_of_the_other_zone(self):
-        """A lookup that failed once is lost once its zone's retries are used up.
+        """A lookup that failed is lost if its zone's retries are used up.
 
         Over six seeds 1.2% of the lookups were lost when retries are shared
         within zones only, and 0.8% when the two zones of a region share them.
@@ -74,7 +74,7 @@
 
 
 def _failed_share():
-    """Returns the share of lookups that failed with half the targets unhealthy."""
+    """Returns the share of lost lookups; half the targets are unhealthy."""
     total = collections.Counter()
     for seed in SEEDS:
         simulated = _warmed_up_fleet(seed)
