--- a/endivewind/tests/loads/silence_tests.py
+++ b/endivewind/tests/loads/silence_tests.py
@@ -84,7 +84,7 @@
         self.assertGreater(ratios[3], 5)
 
     def test_likelihood_ratio_is_bounded(self):
-        """Latencies have a tail; one long request must not rule out a target."""
+        """Latencies have a tail; one long request is no proof."""
         self.assertLess(
             self.likelihood_ratio(600), 1 / response_times.HEALTHY_HANG_SHARE
         )
