--- a/endivewind/decisions/poison_requests.py
+++ b/endivewind/decisions/poison_requests.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Suspect:
+class _SuspectRequest:
     last_crash: datetime.timedelta
     targets: set[str] = dataclasses.field(default_factory=set)
 
@@ -33,18 +33,21 @@
 
     Scenario: a request that crashes each target that runs it, from a caller
     that resends it. Risk: with retries it crashes a service's targets one after
-    another, and outlier detection takes each of them for unhealthy. An innocent
+    another, and outlier detection takes each of them for unhealthy. A harmless
     request that is sent often may be running at several targets when they
     crash, too; a response to it from any target clears it.
     """
 
     def __init__(self) -> None:
-        self._suspects: collections.OrderedDict[bytes, _Suspect] = (
+        self._suspects: collections.OrderedDict[bytes, _SuspectRequest] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        """Returns the number of suspects; if 0, no fingerprint is needed."""
+        """Returns the number of suspect requests.
+
+        If it is 0, callers need not compute a fingerprint.
+        """
         return len(self._suspects)
 
     def record_crash(
@@ -53,7 +56,7 @@
         """Records that a target crashed while it ran the request."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or now - suspect.last_crash >= BLOCK_DURATION:
-            suspect = self._suspects[fingerprint] = _Suspect(now)
+            suspect = self._suspects[fingerprint] = _SuspectRequest(now)
         suspect.last_crash = now
         suspect.targets.add(target)
         self._suspects.move_to_end(fingerprint)
