--- a/endivewind/config/__init__.py
+++ b/endivewind/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings and configuration: models, and findings with their place."""
+"""Settings and configuration: models, and findings with their locations."""
--- a/endivewind/config/base.py
+++ b/endivewind/config/base.py
@@ -118,7 +118,7 @@
         return _unreadable_file(file, 0, f"not valid YAML: {problem}")
     except RecursionError:
         return _unreadable_file(file, 0, "not valid YAML: nested too deeply")
-    return _validate(data, _Document(file, root), model)
+    return _validate(data, _ParsedFile(file, root), model)
 
 
 def _parse(text: str) -> tuple[yaml.Node | None, object]:
@@ -136,19 +136,20 @@
 
 
 def _validate(
-    data: object, document: "_Document", model: type[ModelT]
+    data: object, parsed_file: "_ParsedFile", model: type[ModelT]
 ) -> expression.Result[Loaded[ModelT], Findings]:
-    collected = document.duplicate_keys()
+    collected = parsed_file.duplicate_keys()
     if issubclass(model, Model):
         collected += [
-            document.problem_finding(item) for item in model.find_problems(data)
+            parsed_file.problem_finding(item)
+            for item in model.find_problems(data)
         ]
     value = None
     try:
         value = model.model_validate(data if data is not None else {})
     except pydantic.ValidationError as error:
         collected += [
-            document.error_finding(item, model) for item in error.errors()
+            parsed_file.error_finding(item, model) for item in error.errors()
         ]
     collected.sort()
     errors = [
@@ -165,8 +166,10 @@
     model: type[pydantic.BaseModel],
 ) -> Findings:
     """Converts a validation error of values that were not read from a file."""
-    document = _Document(source, None)
-    return tuple(document.error_finding(item, model) for item in error.errors())
+    parsed_file = _ParsedFile(source, None)
+    return tuple(
+        parsed_file.error_finding(item, model) for item in error.errors()
+    )
 
 
 def _unreadable_file(
@@ -175,8 +178,8 @@
     return expression.Error((findings.Finding(file, line, "", message),))
 
 
-class _Document:
-    """A parsed YAML document; creates findings with line numbers."""
+class _ParsedFile:
+    """A parsed YAML file; creates findings with line numbers."""
 
     def __init__(self, file: str, root: yaml.Node | None) -> None:
         self._file = file
@@ -261,7 +264,8 @@
         line = node.start_mark.line + 1 if node else 0
         path = ""
         for part in location:
-            # A number may also be a mapping key.
+            # An integer is the index of a list item or the key of a mapping;
+            # only indexes are shown in brackets.
             in_list = isinstance(node, yaml.SequenceNode)
             path = f"{path}[{part}]" if in_list else _join_path(path, part)
             step = _child(node, part)
--- a/endivewind/config/consistency_checks.py
+++ b/endivewind/config/consistency_checks.py
@@ -48,7 +48,7 @@
     yield from _shadowed_routes(routes)
     yield from _excessive_floors(services)
     yield from _duplicate_workspaces(data)
-    yield from _invalid_keys(data)
+    yield from _inconsistent_api_keys(data)
 
 
 def _routes_without_service(
@@ -82,11 +82,11 @@
 def _shadowed_routes(
     routes: list[_Route],
 ) -> collections.abc.Iterator[base.Problem]:
-    first: dict[tuple[str, str, str], _Route] = {}
+    first_by_key: dict[tuple[str, str, str], _Route] = {}
     for route in routes:
-        known = first.setdefault(route.key, route)
-        if known is not route:
-            group, _, index = known.location[-3:]
+        first_route = first_by_key.setdefault(route.key, route)
+        if first_route is not route:
+            group, _, index = first_route.location[-3:]
             yield base.Problem(
                 route.location,
                 "same host, workspace and prefix as routes"
@@ -106,8 +106,8 @@
         if targets and floor > targets * slots:
             yield base.Problem(
                 ("services", str(name), "floor_slots"),
-                f"above the {targets * slots} slots that {targets} expected "
-                f"targets of {slots} slots have in a region: no target "
+                f"above the expected {targets * slots} slots of a region "
+                f"({targets} targets with {slots} each): no target "
                 "of this service would ever be ejected",
                 floor,
                 findings.Severity.WARNING,
@@ -117,21 +117,23 @@
 def _duplicate_workspaces(
     data: object,
 ) -> collections.abc.Iterator[base.Problem]:
-    first: dict[str, str] = {}
+    shard_by_workspace: dict[str, str] = {}
     shards = _as_mapping(_as_mapping(data).get("workspace_shards"))
     for shard, value in shards.items():
         for name in _as_mapping(_as_mapping(value).get("workspaces")):
-            known = first.setdefault(str(name), str(shard))
-            if known != str(shard):
+            first_shard = shard_by_workspace.setdefault(str(name), str(shard))
+            if first_shard != str(shard):
                 yield base.Problem(
                     ("workspace_shards", str(shard), "workspaces", str(name)),
-                    f"also in shard {known!r}: a workspace has one shard",
+                    f"also in shard {first_shard!r}: a workspace has one shard",
                 )
 
 
-def _invalid_keys(data: object) -> collections.abc.Iterator[base.Problem]:
-    """Yields keys of unknown workspaces and keys that are in two shards."""
-    first: dict[str, str] = {}
+def _inconsistent_api_keys(
+    data: object,
+) -> collections.abc.Iterator[base.Problem]:
+    """Yields the API keys that have no workspace or are in two shards."""
+    shard_by_digest: dict[str, str] = {}
     shards = _as_mapping(_as_mapping(data).get("workspace_shards"))
     for shard, value in shards.items():
         workspaces = _as_mapping(_as_mapping(value).get("workspaces"))
@@ -141,11 +143,11 @@
                 yield base.Problem(
                     location, "its workspace is not in this shard", name
                 )
-            known = first.setdefault(str(digest), str(shard))
-            if known != str(shard):
+            first_shard = shard_by_digest.setdefault(str(digest), str(shard))
+            if first_shard != str(shard):
                 yield base.Problem(
                     location,
-                    f"also in shard {known!r}: a key belongs to one workspace",
+                    f"also in shard {first_shard!r}: a key belongs to one workspace",
                 )
 
 
--- a/endivewind/config/freshness.py
+++ b/endivewind/config/freshness.py
@@ -39,12 +39,14 @@
 class FreshnessTracker:
     """Tracks the latest time at which this configuration was the newest.
 
-    Guards against a node that is partitioned, or receives late a configuration
-    that revokes a key, and still serves requests with that key. The time of a
-    proof is when the query was sent or the read started, in the clock of the
-    querying node, so a delayed response only makes the proof older. A proof
-    for an earlier version holds for a later one, too, which was accepted after
-    it. The clock includes time that the machine is suspended.
+    A node that is partitioned, or that receives a configuration late, may not
+    know that a key was revoked. Without a recent proof it must not serve
+    requests that need a key. The time of a proof is when the query was sent or
+    the read started, in the clock of the querying node, so a delayed response
+    only makes the proof older. If the configuration in force is later than the
+    one that the proof names, the proof holds as well: at the time of the proof
+    nothing newer than the named one existed. The clock includes time that the
+    machine is suspended.
     """
 
     def __init__(
--- a/endivewind/config/planning.py
+++ b/endivewind/config/planning.py
@@ -13,6 +13,7 @@
 from endivewind.config import objects
 from endivewind.config import store
 
+# An object's content; None if the object is absent or is to be removed.
 Spec = dict[str, Any] | None
 
 # Number of earlier specs whose fingerprints an envelope contains. A file with
@@ -23,10 +24,11 @@
 class Action(enum.StrEnum):
     """What a submission does with one object.
 
-    WRITE: write it. SAME: nothing, the platform holds it already. KEPT:
-    nothing, since the file contains an earlier state of it, which this
-    submission does not mean to change. REFUSED: nothing, since another
-    operator has changed it, too.
+    WRITE: writes it. SAME: nothing, as the platform has the same spec already.
+    KEPT: nothing, so the platform's spec stays. The file has the spec of the
+    merge base, which its operator has not edited; without a merge base, it has
+    an earlier spec of the object, so the file is outdated. REFUSED: nothing,
+    since both this and another operator have changed it since the merge base.
     """
 
     WRITE = "write"
@@ -112,20 +114,24 @@
 def plan(
     wanted: collections.abc.Mapping[store.Key, Spec],
     current: collections.abc.Mapping[store.Key, StoredObject],
-    base: collections.abc.Mapping[store.Key, Spec] | None = None,
+    merge_base: collections.abc.Mapping[store.Key, Spec] | None = None,
 ) -> list[PlanStep]:
     """Merges a submission with those of other operators.
 
     Args:
       wanted: the objects of the file; None removes an object.
       current: the objects on the platform.
-      base: the state from which the file was edited, if known. Objects that
-        are equal in both were not changed by this operator; objects that are
-        only in the base were removed.
+      merge_base: the objects from which the file was edited, if known. Those
+        that are equal in both were not changed by this operator; those that
+        are only in the merge base were removed.
     """
-    removed = {} if base is None else dict.fromkeys(base.keys() - wanted.keys())
+    removed = (
+        {}
+        if merge_base is None
+        else dict.fromkeys(merge_base.keys() - wanted.keys())
+    )
     return [
-        _plan_step(key, spec, current.get(key, StoredObject()), base)
+        _plan_step(key, spec, current.get(key, StoredObject()), merge_base)
         for key, spec in {**wanted, **removed}.items()
     ]
 
@@ -134,21 +140,21 @@
     key: store.Key,
     spec: Spec,
     current: StoredObject,
-    base: collections.abc.Mapping[store.Key, Spec] | None,
+    merge_base: collections.abc.Mapping[store.Key, Spec] | None,
 ) -> PlanStep:
     if current.spec == spec:
         return PlanStep(key, Action.SAME, spec, current)
     changes = tuple(find_differences(current.spec, spec))
     if current.envelope is None:
         return PlanStep(key, Action.WRITE, spec, current, changes)
-    if base is None:
+    if merge_base is None:
         is_outdated = (
             spec is not None
             and _spec_fingerprint(spec) in current.envelope.ancestors
         )
         action = Action.KEPT if is_outdated else Action.WRITE
         return PlanStep(key, action, spec, current, changes)
-    origin = base.get(key)
+    origin = merge_base.get(key)
     if spec == origin:
         return PlanStep(key, Action.KEPT, spec, current, changes)
     if current.spec == origin:
@@ -159,8 +165,8 @@
 
 def replan(step: PlanStep, current: StoredObject) -> PlanStep:
     """Plans a step anew after its object has changed since it was read."""
-    base = {step.key: step.current.spec}
-    return _plan_step(step.key, step.spec, current, base)
+    merge_base = {step.key: step.current.spec}
+    return _plan_step(step.key, step.spec, current, merge_base)
 
 
 def make_envelope(
@@ -172,20 +178,22 @@
     whichever is higher. So it grows with every write and, after the platform
     has lost its store, is still above the versions that nodes hold.
     """
-    clock = int(now.timestamp() * 1_000_000)
+    now_us = int(now.timestamp() * 1_000_000)
     read = step.current
     ancestors: tuple[str, ...] = ()
     if read.envelope is not None:
         ancestors = read.envelope.ancestors
         if read.envelope.spec is not None:
             ancestors = (*ancestors, _spec_fingerprint(read.envelope.spec))
-    wanted = "" if step.spec is None else _spec_fingerprint(step.spec)
-    kept_ancestors = tuple(item for item in ancestors if item != wanted)
+    new_fingerprint = "" if step.spec is None else _spec_fingerprint(step.spec)
+    kept_ancestors = tuple(
+        item for item in ancestors if item != new_fingerprint
+    )
     return store.Envelope(
         spec=step.spec,
         operation=operation,
         author=author,
-        version=max(clock, read.version + 1),
+        version=max(now_us, read.version + 1),
         time=now.isoformat(timespec="milliseconds"),
         replaced_version=read.version,
         replaced_operation=read.envelope.operation if read.envelope else "",
--- a/endivewind/config/proof_tree.py
+++ b/endivewind/config/proof_tree.py
@@ -16,9 +16,10 @@
 
 MemberT = TypeVar("MemberT", bound=watchers.Member)
 
-# Shares of the revocation bound. The primary reader reads once in a fifth of
-# it. With a query every eighth, a proof is at most 0.6 of the bound old three
-# hops from the reader, and stays within the bound if one query is lost.
+# Shares of the revocation bound. The primary reader lets its proof become 1/5
+# of the bound old. Each hop away from it adds at most one query period, 1/8, so
+# three hops away a proof is at most 1/5 + 3/8, about 0.6, of the bound old. It
+# stays within the bound if one query is lost.
 READER_PROOF_AGE_SHARE = 0.2
 QUERY_PERIOD_SHARE = 1 / 8
 # Proof age, as a share of the bound, at which other nodes read as well: one
@@ -27,12 +28,13 @@
 STANDBY_STEP_SHARE = 0.05
 RANDOM_READ_AGE_SHARE = 0.8
 # Time, in multiples of the bound, for which a node that had to stand in for the
-# primary reader keeps reading as often as that would.
+# primary reader keeps reading as often as a primary reader.
 STANDBY_DURATION_BOUNDS = 4
 # A proof that is still older than this after a query does not come from a
 # reader that works.
 STALE_PROOF_AGE_SHARE = 0.45
-# Nodes that query the same parent, each a few times per second.
+# Maximum number of nodes that query the same parent; each sends a few queries
+# per second.
 MAX_CHILDREN = 16
 # Oldest nodes, queried in addition if a node's parent has no fresh proof.
 FALLBACK_READERS = 3
@@ -99,8 +101,8 @@
 ) -> bool:
     """Returns whether a node should read the platform now.
 
-    Load: the primary reader is killed, or the platform refuses its calls.
-    Harm: the proofs of all nodes expire and all requests that need a key are
+    Scenario: the primary reader is killed, or the platform refuses its calls.
+    Risk: the proofs of all nodes expire and all requests that need a key are
     refused; or, if all nodes read at once, the platform's rate limit is
     exhausted.
 
--- a/endivewind/config/readiness.py
+++ b/endivewind/config/readiness.py
@@ -12,8 +12,8 @@
 class Readiness:
     """Decides when a starting node is ready; does no I/O.
 
-    Load: a node is replaced while the platform is unavailable. Harm: it would
-    refuse requests for routes that are in force everywhere else. A complete
+    Scenario: a node is replaced while the platform is unavailable. Risk: it
+    refuses requests for routes that are in force everywhere else. A complete
     listing from the platform suffices, since the platform loses nothing that
     it has acknowledged. Without one, several peers with the same configuration
     suffice, since a change reaches all of them within seconds.
@@ -27,7 +27,7 @@
         """Creates the check for a node without configuration.
 
         Args:
-          replicator: tells which peers have the same configuration.
+          replicator: knows which peers have the same configuration.
           kinds: the kinds of objects that have to be listed.
         """
         self._replicator = replicator
@@ -38,7 +38,10 @@
         self._unlisted.discard(kind)
 
     def not_ready_reason(self, known_peers: int) -> str | None:
-        """Returns why the node is not ready yet; None if it is ready."""
+        """Returns why the node is not ready yet; None if it is ready.
+
+        Once ready, the node stays ready: the first None marks the replicator.
+        """
         if self._replicator.is_ready:
             return None
         agreed = len(self._replicator.agreeing_peers)
@@ -47,6 +50,6 @@
             self._replicator.is_ready = True
             return None
         return (
-            "no configuration yet: the platform has not answered, and "
+            "no configuration yet: the platform has not responded, and "
             f"{agreed} of {required} peers agree"
         )
--- a/endivewind/config/replication.py
+++ b/endivewind/config/replication.py
@@ -20,11 +20,13 @@
 # Peers that receive a rumour at once. With one it spreads too slowly; with
 # more, most messages reach nodes that have the version already.
 FANOUT = 2
-# A node sends a rumour ln(N) + this many times: each message divides the share
-# of nodes that have not received it by e, and one message in ten is lost.
+# A node sends a rumour ln(N) + this many times. Each send divides the share of
+# nodes that have not received it by e, so that ln(N) sends leave about one node
+# without it. The extra sends also cover the loss of one message in ten.
 EXTRA_SENDS = 4
 # Maximum size of an object sent within a rumour. Larger objects are requested
-# by the receiver, so that a node receives each about once.
+# by the receiver, so that a node receives each about once. A rumour contains
+# about eight times as many bytes of objects at most.
 MAX_PUSH_BYTES = 512
 TICK_INTERVAL = datetime.timedelta(milliseconds=250)
 # If nothing differs, a comparison costs two messages with one number each.
@@ -33,9 +35,10 @@
 # because it isn't ready before several peers agree.
 JOINING_DIGEST_PERIOD = datetime.timedelta(milliseconds=100)
 JOINING_DIGEST_PEERS = 3
-# If one message in ten is lost, one request in five gets no response. The last
-# peer that advertised the object is then asked again, because rumours have
-# ended by then and anti-entropy takes several periods.
+# If one message in ten is lost, one request in five gets no response. It is then
+# sent again, to the last peer that advertised the object. Waiting for another
+# advertisement would take longer: rumours have ended by then, and anti-entropy
+# takes several periods.
 WANT_TIMEOUT = datetime.timedelta(milliseconds=400)
 MAX_WANT_ATTEMPTS = 8
 # Limits of one message. A single object, up to a megabyte, is always sent.
@@ -154,7 +157,8 @@
     remaining: float = BURST_BYTES
     refilled_at: datetime.timedelta = datetime.timedelta()
 
-    def refill(self, now: datetime.timedelta) -> bool:
+    def refill_and_check(self, now: datetime.timedelta) -> bool:
+        """Refills the bucket; returns whether a message may be sent."""
         gained = (now - self.refilled_at).total_seconds() * BYTES_PER_SECOND
         self.remaining = min(self.remaining + gained, BURST_BYTES)
         self.refilled_at = now
@@ -262,12 +266,14 @@
                 self.add_rumour(item.key)
 
     def _due_rumours(self, now: datetime.timedelta) -> list[OutgoingMessage]:
-        if not self._rumour_sends_left or not self._budget.refill(now):
+        if not self._rumour_sends_left or not self._budget.refill_and_check(
+            now
+        ):
             return []
         outgoing = []
         for peer in self._choose_peers(FANOUT):
-            # Rumours with the most sends left go first, because most peers
-            # lack a version that has only just arrived.
+            # Rumours with the most remaining sends go first, because most peers
+            # lack a version that was received recently.
             keys = sorted(
                 self._rumour_sends_left,
                 key=lambda key: -self._rumour_sends_left[key],
@@ -331,7 +337,7 @@
         period = DIGEST_PERIOD if self._ready else JOINING_DIGEST_PERIOD
         # Jitter keeps nodes that started together from staying in step.
         self._next_digest = now + period * self._rng.uniform(0.5, 1.5)
-        if not self._budget.refill(now):
+        if not self._budget.refill_and_check(now):
             return []
         message = self._make_message(digest=(self._store.combined_hash,))
         chosen = self._choose_peers(1 if self._ready else JOINING_DIGEST_PEERS)
@@ -411,7 +417,10 @@
     def _fitting_objects(
         self, keys: list[store.Key]
     ) -> tuple[PackedObject, ...]:
-        """Returns as many as fit; the next comparison brings the rest."""
+        """Returns as many objects as fit into one message, at least one.
+
+        The peer requests the rest after the next comparison of digests.
+        """
         chosen: list[PackedObject] = []
         total = 0
         for key in keys[:MAX_ENTRIES]:
--- a/endivewind/config/services.py
+++ b/endivewind/config/services.py
@@ -16,7 +16,10 @@
         return self._service_or_default(service).slots
 
     def floor(self, service: str) -> int:
-        """Returns the capacity floor in slots per region; 0 if a share."""
+        """Returns the capacity floor in slots per region.
+
+        0 means that the floor is a share of the region's slots (floor_share).
+        """
         return self._service_or_default(service).floor_slots
 
     def floor_share(self, service: str) -> float:
--- a/endivewind/config/settings.py
+++ b/endivewind/config/settings.py
@@ -46,8 +46,9 @@
     """What identifies a request that must not run more than once.
 
     TICKET: an idempotency key that this system issues; the caller may resend
-    it to any node. REQUEST_ID: the id of each request sent, which arrives
-    once, at one node; a resend is a new request.
+    it to any node. REQUEST_ID: the id that each request carries. A request
+    arrives once, at one node; if the caller resends it, it gets a new id and
+    counts as a new request.
     """
 
     TICKET = "ticket"
@@ -119,9 +120,9 @@
     )
 
 
-# Share of the fleet's retry budget that nodes spend. The rest covers retries
-# spent twice while counts propagate, retries sent just before they are charged,
-# and windows that slide in steps.
+# Share of the fleet's retry budget that nodes spend. The rest covers inaccurate
+# counts: nodes may spend the same retries while their counts propagate, retries
+# may be sent shortly before they are counted, and the windows move in steps.
 NODE_RETRY_SHARE = 0.75
 
 
--- a/endivewind/config/settings_reloader.py
+++ b/endivewind/config/settings_reloader.py
@@ -23,7 +23,7 @@
     """Passes changed settings to a callback; ignores an invalid file."""
 
     def __init__(self, path: str, on_reload: ReloadCallback) -> None:
-        """Reads the file's present content as the one in effect.
+        """Reads the file, whose content is taken to be in effect already.
 
         Args:
           path: the settings file.
@@ -58,6 +58,7 @@
         loaded = base.load_bytes(raw, str(self._path), settings.NodeSettings)
         if loaded.is_error():
             messages = [str(item) for item in loaded.error]
+            # The file is invalid, so the settings in effect stay.
             log.error("settings kept", extra=logs.fields(findings=messages))
             return
         self._on_reload(loaded.ok.model)
@@ -66,6 +67,6 @@
         try:
             return self._path.read_bytes()
         except OSError as error:
-            # It may just be being replaced; the next poll reads it.
+            # Another process may be replacing the file; the next poll reads it.
             log.warning("settings file can't be read: %s", error)
             return None
--- a/endivewind/config/store.py
+++ b/endivewind/config/store.py
@@ -32,8 +32,8 @@
 MAX_VALUE_BYTES = 1_048_576
 # Versions are sent as signed 64-bit integers.
 MAX_VERSION = 2**62
-# Groups of objects that are compared by one hash each. With 650 objects, a
-# difference in one object leads to a list of about ten.
+# Groups of objects that peers compare by one hash each. With 650 objects, a
+# bucket has about ten. If one object differs, a peer lists only its bucket.
 BUCKET_COUNT = 64
 
 _MODELS: dict[str, type[pydantic.BaseModel]] = {
@@ -58,7 +58,7 @@
       replaced_version: version that this one replaced; 0 if none.
       replaced_operation: operation that wrote the replaced version.
       ancestors: fingerprints of earlier specs. A submitted file with one of
-        them is recognised as outdated instead of as a change back.
+        these specs is considered outdated and does not revert the object.
     """
 
     spec: dict[str, Any] | None
@@ -218,23 +218,23 @@
 
     def stamp(self, key: Key) -> Stamp:
         """Returns the highest state known of an object, or ABSENT_STAMP."""
-        held = self._objects.get(key)
-        return held.stamp if held else ABSENT_STAMP
+        state = self._objects.get(key)
+        return state.stamp if state else ABSENT_STAMP
 
     def packed(self, key: Key) -> bytes | None:
         """Returns the highest value known, compressed."""
-        held = self._objects.get(key)
-        return held.packed if held else None
+        state = self._objects.get(key)
+        return state.packed if state else None
 
     def value(self, key: Key) -> dict[str, Any] | None:
         """Returns the highest value known, as stored on the platform."""
-        held = self._objects.get(key)
-        return unpack(held.packed) if held else None
+        state = self._objects.get(key)
+        return unpack(state.packed) if state else None
 
     def version_in_force(self, key: Key) -> int:
         """Returns the version in force of an object; 0 if there is none."""
-        held = self._objects.get(key)
-        return held.in_force if held else 0
+        state = self._objects.get(key)
+        return state.in_force if state else 0
 
     def keys_in_bucket(self, bucket: int) -> list[Key]:
         """Returns the keys of the objects in a bucket."""
@@ -314,14 +314,14 @@
             )
         return expression.Ok(True)
 
-    def _put(self, key: Key, held: _ObjectState) -> None:
+    def _put(self, key: Key, state: _ObjectState) -> None:
         bucket = bucket_of(key)
         known = self._objects.get(key)
         if known:
             self._buckets[bucket] ^= _state_hash(key, known.stamp)
-        self._buckets[bucket] ^= _state_hash(key, held.stamp)
-        self._objects[key] = held
-        self._version = max(self._version, held.stamp.version)
+        self._buckets[bucket] ^= _state_hash(key, state.stamp)
+        self._objects[key] = state
+        self._version = max(self._version, state.stamp.version)
 
     def _validate_spec(
         self, kind: str, envelope: Envelope
--- a/endivewind/config/watchers.py
+++ b/endivewind/config/watchers.py
@@ -38,12 +38,13 @@
 def is_watcher(me: Member, members: collections.abc.Iterable[Member]) -> bool:
     """Returns whether a node is a watcher of its zone or region.
 
-    Load: part of the fleet restarts all the time. Harm: if a joining node
+    Scenario: part of the fleet restarts all the time. Risk: if a joining node
     could take over the watch from a running one, each restart would cost the
     platform an additional listing and watch. With the longest-running nodes, a
-    watch moves only when its holder stops. Nodes that know different members
-    may select one watcher more, which costs only a call. A node that knows no
-    other members is a watcher.
+    watch moves only when its holder stops. Nodes with different lists of
+    members may consider different nodes watchers, so that there is one watcher
+    too many; that costs only a call. A node that knows no other members is a
+    watcher.
     """
     zone = region = 0
     own_start = start_order(me)
--- a/endivewind/configuration_reader.py
+++ b/endivewind/configuration_reader.py
@@ -1,7 +1,7 @@
 """Reads the configuration from the platform for this node and its peers.
 
-A node watches the platform while it is one of the few watchers, lists if its
-peers tell it nothing, and reads on demand to prove that the configuration in
+A node watches the platform while it is one of the few watchers, lists if no
+peer responds, and reads on demand to prove that the configuration in
 force is the newest.
 """
 
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        config: collections.abc.Callable[[], settings.NodeSettings],
+        get_settings: collections.abc.Callable[[], settings.NodeSettings],
         platform: client.PlatformClient,
         peer: configuration.ConfigurationPeer,
         has_complete_view: collections.abc.Callable[[], bool],
@@ -52,23 +52,23 @@
         """Builds a reader.
 
         Args:
-          config: returns the settings in force.
+          get_settings: returns the settings in force.
           platform: the store that holds the configuration.
           peer: applies the objects read and forwards them to peers.
           has_complete_view: whether this node knows the nodes that started
-            before it, so that it can tell whether it is a watcher.
+            before it, so that it can determine whether it is a watcher.
           freshness_tracker: records that the configuration read is the newest.
           clock: its boot time includes the time that the VM is suspended.
           rng: adds jitter to repeated calls.
         """
-        self._config = config
+        self._get_settings = get_settings
         self._platform = platform
         self._peer = peer
         self._has_complete_view = has_complete_view
         self._freshness_tracker = freshness_tracker
         self._clock = clock
-        # The configuration at the last whole read.
-        self._newest: _Newest | None = None
+        # The store's revision and the configuration's version at the last listing.
+        self._last_read: _LastRead | None = None
         self._rng = rng
 
     def make_watchers(self) -> list[watcher.Watcher]:
@@ -80,7 +80,7 @@
 
     @property
     def _interface(self) -> settings.Interface:
-        return self._config().interface
+        return self._get_settings().interface
 
     def _make_watcher(self, kind: str) -> watcher.Watcher:
         on_object: collections.abc.Callable[[messages.StoredObject], object]
@@ -127,21 +127,24 @@
         """
         try:
             async with asyncio.timeout(timeout.total_seconds()):
-                if await self._is_unchanged():
+                if await self._prove_unchanged():
                     return True
                 return (await self._read_fresh()).is_ok()
         except TimeoutError:
             log.warning("no proof of freshness from the platform in time")
             return False
 
-    async def _is_unchanged(self) -> bool:
-        if self._newest is None:
+    async def _prove_unchanged(self) -> bool:
+        """Records a proof if the store's revision is still the last one read."""
+        if self._last_read is None:
             return False
         started_at = self._clock.time_since_boot()
         result = await self._platform.get_revision(names.CONFIGURATION_KIND)
-        if result.is_error() or result.ok != self._newest.revision:
+        if result.is_error() or result.ok != self._last_read.revision:
             return False
-        self._freshness_tracker.record_proof(self._newest.version, started_at)
+        self._freshness_tracker.record_proof(
+            self._last_read.version, started_at
+        )
         return True
 
     async def _read_fresh(
@@ -150,12 +153,14 @@
         started_at = self._clock.time_since_boot()
         result = await self._platform.list(names.CONFIGURATION_KIND)
         if result.is_error():
-            log.warning("platform: %s", result.error)
+            log.warning(
+                "platform: listing configuration failed: %s", result.error
+            )
             return result
         for stored in result.ok.objects:
             version = self._apply(stored)
             if version is not None:
-                self._newest = _Newest(result.ok.revision, version)
+                self._last_read = _LastRead(result.ok.revision, version)
                 self._freshness_tracker.record_proof(version, started_at)
         return result
 
@@ -175,26 +180,26 @@
         """
         if stored.name != names.CONFIGURATION_NAME or not stored.value:
             return None
-        defaults = self._config().effective_defaults
+        defaults = self._get_settings().effective_defaults
         decoded = operator_configuration.decode(stored, defaults)
         if decoded.is_error():
             fields = logs.fields(revision=stored.version, problem=decoded.error)
             log.error("invalid configuration", extra=fields)
             return None
         self._peer.apply_platform_object(decoded.ok)
-        # Operators may write the first configuration after the nodes have
-        # started, so a listing without it is not complete.
+        # Only a listing that contains the configuration is complete: operators
+        # may write the first one after the nodes have started.
         self._peer.mark_listed(stored.kind)
         return store.stamp_of(decoded.ok.version, decoded.ok.value).version
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Newest:
-    """The configuration at a revision of the platform's store."""
+class _LastRead:
+    """The configuration's version at a revision of the platform's store."""
 
     revision: int
     version: int
 
 
 def _ignore_listing(kind: str) -> None:
-    """Ignores a listing; _apply() tells when this kind is complete."""
+    """Ignores a listing; _apply() marks this kind as listed."""
--- a/endivewind/durable/audit_recorder.py
+++ b/endivewind/durable/audit_recorder.py
@@ -1,7 +1,7 @@
 """Records a node's actions in the audit trail.
 
 The actions are ejections and returns of targets, drains, and the node's own
-joins and leaves. Records are queued and written in batches, so that no action
+joining and leaving of the fleet. Records are queued and written in batches, so that no action
 waits for the platform.
 """
 
@@ -22,7 +22,8 @@
 
 log = logging.getLogger(__name__)
 
-# The mean delay of a write, so that records close in time share one.
+# Mean delay of a write, so that records made at about the same time are written
+# together.
 BATCH_DELAY = datetime.timedelta(seconds=1)
 # During long outages of the platform the oldest records are dropped first.
 MAX_PENDING_RECORDS = 500
--- a/endivewind/durable/conditional_writes.py
+++ b/endivewind/durable/conditional_writes.py
@@ -64,10 +64,11 @@
 ) -> WriteResult:
     """Writes one object exactly once, also if responses are lost.
 
-    Failure: the response is lost after the write took effect. Symptom: a
-    plain retry conflicts with its own first attempt, or writes twice. Every
+    Scenario: the response is lost after the write took effect. Risk: a plain
+    retry would conflict with its own first attempt, or write twice. Here every
     retry is conditional on the version first read, so at most one attempt
-    takes effect; the operation id in the value tells whether it was ours.
+    takes effect; the operation id in the value shows whether it was this
+    write's.
 
     Args:
       platform: the store to write to.
@@ -119,8 +120,9 @@
     if may_be_written and replaced == operation:
         return WriteResult(WriteOutcome.WRITTEN, current, is_superseded=True)
     if may_be_written and replaced != value.get("replaced_operation"):
-        # More than one write has followed, and the object names only the
-        # last one that was replaced.
+        # Several other writes have replaced the version first read. The object
+        # names only the operation before the latest one, so this write may be
+        # among the earlier ones.
         return WriteResult(
             WriteOutcome.UNKNOWN, current, "several other writes have followed"
         )
--- a/endivewind/durable/membership.py
+++ b/endivewind/durable/membership.py
@@ -1,7 +1,7 @@
 """The directory of nodes in the platform's store, one list for each zone.
 
 Each node registers at its start; others find it there when they join the
-fleet. Gossip, not this directory, tells which nodes are alive.
+fleet. Which nodes are alive is determined by gossip, not by this directory.
 """
 
 import asyncio
@@ -63,7 +63,7 @@
 class Directory:
     """The directory in which nodes register, zone by zone.
 
-    Load: hundreds of nodes start at once. Harm: with one list for all, each
+    Scenario: hundreds of nodes start at once. Risk: with one list for all, each
     starting node reads the objects of all nodes, so that the bytes of all
     starts grow with the square of the fleet's size. With a list for each zone
     a node reads only its own zone and learns of the others by gossip.
@@ -103,7 +103,7 @@
     async def list_zone(self, zone: str) -> ZoneListingResult:
         """Lists the nodes of a zone; the listing may be some seconds old.
 
-        A stale listing costs a fraction of a fresh one. Its revision tells
+        A stale listing costs a fraction of a fresh one. Its revision shows
         whether it includes a recent write.
         """
         result = await self._platform.list(self._kind(zone), stale=True)
@@ -122,10 +122,15 @@
             async with asyncio.timeout(START_TIMEOUT.total_seconds()):
                 result = await self.list_zone(zone)
         except TimeoutError:
-            log.warning("earlier incarnation unknown: no response in time")
+            log.warning(
+                "earlier incarnation unknown: listing the zone timed out"
+            )
             return None
         if result.is_error():
-            log.warning("earlier incarnation unknown: %s", result.error)
+            log.warning(
+                "earlier incarnation unknown: listing the zone failed: %s",
+                result.error,
+            )
             return None
         return result.ok
 
@@ -173,10 +178,10 @@
 def registered_incarnation(listing: ZoneListing | None, name: str) -> int:
     """Returns the incarnation under which a node is registered.
 
-    Failure: a VM's clock goes back and its node is restarted. Symptom: the
-    new incarnation is lower than the old one, and the fleet considers the
-    node dead for ever. A node that starts with an incarnation above the
-    registered one is the later one, whatever its clock says.
+    Scenario: a VM's clock goes back and its node is restarted. Risk: if the
+    clock alone determined the new incarnation, it would be lower than the old
+    one, and the fleet would consider the node dead for ever. So a node starts
+    with an incarnation above the registered one, whatever its clock says.
 
     Returns:
       The incarnation; 0 if there is none, or if the platform did not respond.
--- a/endivewind/durable/retries.py
+++ b/endivewind/durable/retries.py
@@ -28,13 +28,17 @@
     def next_seconds(
         self, error: messages.PlatformError | None = None
     ) -> float:
-        """Returns the wait before the next call, at least the retry-after."""
+        """Returns the wait before the next call.
+
+        If the platform has requested a wait (Retry-After), that is added to the
+        backoff.
+        """
         max_wait = min(
             INITIAL_BACKOFF.total_seconds() * 2**self._failures,
             MAX_BACKOFF.total_seconds(),
         )
-        # The backoff has reached its maximum long before; this bounds the
-        # power of two.
+        # Bounds the power of two. The backoff reaches its maximum after six
+        # failures already.
         self._failures = min(self._failures + 1, 16)
         wait = max_wait * self._rng.uniform(0.5, 1)
         if error is not None and error.retry_after is not None:
@@ -45,8 +49,8 @@
 class CallBudget:
     """Limits a node's calls: those in progress, and those per second.
 
-    Load: a whole fleet starts, or the platform returns after an outage of
-    hours. Harm: each node alone makes few calls, but all together use up the
+    Scenario: a whole fleet starts, or the platform returns after an outage of
+    hours. Risk: each node alone makes few calls, but all together use up the
     platform's rate limits, and operators' writes fail. The rate is therefore
     a share of a rate for the whole fleet and falls as the fleet grows. A
     watch is a call in progress for as long as it waits.
@@ -80,12 +84,19 @@
         self._node_count = max(1, nodes)
 
     def refill(self, calls: float) -> None:
-        """Allows more calls than the burst, for commands that make many."""
+        """Sets the calls allowed at once, for commands that make many.
+
+        The number is also the new capacity if it exceeds the present one.
+        """
         self._tokens = calls
         self._capacity = max(self._capacity, calls)
 
     def try_start(self, now: datetime.timedelta) -> datetime.timedelta:
-        """Starts a call and returns zero, or returns the wait until a retry."""
+        """Starts a call if the limits allow it.
+
+        Returns:
+          Zero if the call was started, else the wait before trying again.
+        """
         if self._refilled_at is not None:
             added = (
                 now - self._refilled_at
--- a/endivewind/durable/watcher.py
+++ b/endivewind/durable/watcher.py
@@ -1,8 +1,7 @@
 """Follows the objects of one kind in the platform: a listing, then watches.
 
 The configuration reader runs a watcher for each kind. Only a few nodes watch;
-the others receive changes from their peers and list only if those tell them
-nothing.
+the others receive changes from their peers and list only if no peer responds.
 """
 
 import asyncio
@@ -20,22 +19,21 @@
 
 log = logging.getLogger(__name__)
 
-# A node that lists because its peers tell it nothing repeats the listing after
-# this interval, which doubles each time. While it has no configuration its
-# callers wait for the next listing.
+# A node that lists because no peer responds repeats the listing after this
+# interval, which doubles each time. It is short at first because callers wait
+# while the node has no configuration.
 INITIAL_LIST_INTERVAL = datetime.timedelta(seconds=1)
 MAX_LIST_INTERVAL = datetime.timedelta(seconds=30)
 # How often a node checks whether it has to read: it becomes a watcher when
-# other nodes leave, and lists when its peers tell it nothing any more.
+# other nodes stop, and lists when its peers no longer respond.
 MODE_CHECK_INTERVAL = datetime.timedelta(milliseconds=100)
 
 
 class ReadMode(enum.Enum):
     """What a node has to read in the platform.
 
-    NONE: nothing, as its peers tell it of every change. LIST: a listing, as
-    no peer tells it anything. WATCH: every change, as one of the few watching
-    nodes.
+    NONE: nothing, as its peers send it every change. LIST: a listing, as no
+    peer responds. WATCH: every change, as one of the few watching nodes.
     """
 
     NONE = "nothing"
@@ -43,7 +41,7 @@
     WATCH = "always"
 
 
-# Lists the objects; the argument tells whether the listing may be stale.
+# Lists the objects; the argument is whether the listing may be stale.
 ListObjects = collections.abc.Callable[
     [bool],
     collections.abc.Awaitable[
@@ -120,7 +118,9 @@
             if result.error.failure is messages.Failure.COMPACTED:
                 self._revision = None
                 self._accepts_stale = False
-            log.warning("platform: %s", result.error)
+            log.warning(
+                "platform: reading configuration failed: %s", result.error
+            )
             await asyncio.sleep(self._backoff.next_seconds(result.error))
 
     async def _read(
@@ -128,7 +128,8 @@
     ) -> expression.Result[messages.Listing, messages.PlatformError]:
         """Makes one listing or watch.
 
-        A listing may be some seconds old, which costs a tenth. The watch after
+        A listing may be stale by some seconds; it then costs a tenth of a fresh
+        one. The watch after
         it starts at its revision and reports the later changes; a node that
         does not watch receives these from its peers. If the platform has
         compacted the later changes, only a fresh listing includes them.
--- a/endivewind/exchange.py
+++ b/endivewind/exchange.py
@@ -91,7 +91,7 @@
       headers: end-to-end headers, in order.
       service: the service that the route names.
       workspace: the caller's workspace; empty if none was given.
-      remaining_time: time left until the deadline.
+      remaining_time: time until the deadline.
       ticket: token with which a non-idempotent request is executed at most
         once, even if it is sent again; empty for idempotent requests.
       attempt: number of the attempt under the ticket, from 1.
--- a/endivewind/logs.py
+++ b/endivewind/logs.py
@@ -43,9 +43,9 @@
 class RateLimitFilter(logging.Filter):
     """Limits the rate of each message by a token bucket; counts the rest.
 
-    Failure: a dependency fails for minutes, and every request logs a line
-    about it. Symptom: the node spends its processor time on identical lines.
-    The next line that passes tells how many were left out.
+    Scenario: a dependency fails for minutes, and every request logs a line
+    about it. Risk: the node spends its processor time on identical lines. The
+    next line that passes contains the number of lines dropped.
     """
 
     def __init__(self) -> None:
--- a/endivewind/node.py
+++ b/endivewind/node.py
@@ -68,9 +68,9 @@
 
 log = logging.getLogger(__name__)
 
-# The longest time that an announcement waits for the peers' state of this
-# home. Targets consider an announcement accepted if the response arrives
-# within a second.
+# The longest time that an announcement waits until this node has received what
+# its peers know of its targets. Targets consider an announcement accepted if
+# the response arrives within a second.
 PEER_STATE_TIMEOUT = datetime.timedelta(milliseconds=500)
 PEER_STATE_POLL_INTERVAL = datetime.timedelta(milliseconds=20)
 LEASE_CHECK_INTERVAL = datetime.timedelta(milliseconds=200)
@@ -95,20 +95,20 @@
 
     def __init__(
         self,
-        config: settings.NodeSettings,
+        node_settings: settings.NodeSettings,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
-        self._settings = config
+        self._settings = node_settings
         self._clock = clock
         self._rng = rng
         self._configuration = store.ConfigurationStore()
         self._fleet = view.FleetView()
         self._traffic = traffic.TrafficMeter(
-            config.region, config.zone, self._fleet
+            node_settings.region, node_settings.zone, self._fleet
         )
         self._pool = links.LinkPool(
-            clock, tls.make_link_context(config.nodes_tls), self._traffic
+            clock, tls.make_link_context(node_settings.nodes_tls), self._traffic
         )
         self._link_server = link_server.LinkServer(self, self._traffic)
         self._update_publisher = peer_updates.TargetUpdatePublisher()
@@ -117,7 +117,7 @@
         self._services = services.ServiceSettings(self._configuration)
         self._freshness_tracker = freshness.FreshnessTracker(
             lambda: self._configuration.document_version,
-            config.revocation.bound,
+            node_settings.revocation.bound,
         )
         self._is_stopping = False
         self._created_at = clock.monotonic()
@@ -146,12 +146,12 @@
     @classmethod
     def from_settings(
         cls,
-        config: settings.NodeSettings,
+        node_settings: settings.NodeSettings,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> "Node":
         """Builds a node; start() runs it."""
-        return cls(config, clock, rng)
+        return cls(node_settings, clock, rng)
 
     async def start(self) -> Addresses:
         """Joins the fleet, binds every address and starts the tasks.
@@ -170,14 +170,14 @@
             self._settings.platform, self._session
         )
         await self._build_identity()
-        self._build_requests()
+        self._build_request_path()
         self._build_configuration()
-        nodes = await self._bind_links()
-        self._build_membership(nodes)
+        node_address = await self._bind_links()
+        self._build_fleet_services(node_address)
         self._build_reports()
-        bound = await self._bind(nodes)
+        bound = await self._bind(node_address)
         await self._link_server.serve()
-        await self._gossip.start(nodes)
+        await self._gossip.start(node_address)
         for work in (
             *(item.run() for item in self._reader.make_watchers()),
             self._audit_recorder.run(),
@@ -193,26 +193,31 @@
 
     async def _build_identity(self) -> None:
         """Determines the incarnation and builds the target registry."""
-        config = self._settings
-        self._directory = membership.Directory(self._platform, config.zones)
+        node_settings = self._settings
+        self._directory = membership.Directory(
+            self._platform, node_settings.zones
+        )
         self._initial_listing = await self._directory.list_zone_at_start(
-            config.zone
+            node_settings.zone
         )
         registered = membership.registered_incarnation(
-            self._initial_listing, config.name
+            self._initial_listing, node_settings.name
         )
         now_us = int(self._clock.now().timestamp() * 1_000_000)
         self._incarnation = max(now_us, registered + 1)
         identity = registry.HomeIdentity(
-            config.name, self._incarnation, config.region, config.zone
+            node_settings.name,
+            self._incarnation,
+            node_settings.region,
+            node_settings.zone,
         )
         self._targets = registry.TargetRegistry(
             identity, self._clock, self._fleet.find_target
         )
 
-    def _build_requests(self) -> None:
+    def _build_request_path(self) -> None:
         """Builds the request path, from the listener to the dispatcher."""
-        config = self._settings
+        node_settings = self._settings
         self._outlier_monitor = outlier_monitor.OutlierMonitor(
             self._targets,
             self._services.profile,
@@ -226,7 +231,9 @@
             self._header_names,
         )
         self._placement = placement.Placement(
-            placement.Locality(config.name, config.region, config.zone),
+            placement.Locality(
+                node_settings.name, node_settings.region, node_settings.zone
+            ),
             self._fleet,
             self._services.floor,
             self._clock,
@@ -234,7 +241,7 @@
             floor_share_of=self._services.floor_share,
         )
         self._gateway = gateway.Gateway(
-            config.name,
+            node_settings.name,
             self._placement,
             self._configuration,
             self._fleet,
@@ -244,7 +251,7 @@
             self._outlier_monitor.record_remote,
             self._rng,
             entry_routes.EntryRoutes(
-                self._clock, self._dispatcher if config.beside else None
+                self._clock, self._dispatcher if node_settings.beside else None
             ),
             quota_client.QuotaClient(
                 lambda workspace, count: self._quota_peer.request_tokens(
@@ -253,9 +260,11 @@
                 self._clock,
             ),
         )
-        max_kept_bytes = config.limits.kept_answer_bytes
+        max_kept_bytes = node_settings.limits.kept_answer_bytes
         self._ticket_handler = ticketing.TicketHandler(
-            tickets.Issuer.for_incarnation(config.name, self._incarnation),
+            tickets.Issuer.for_incarnation(
+                node_settings.name, self._incarnation
+            ),
             ticket_store.TicketStore(kept_answer_bytes=max_kept_bytes),
             self._gateway,
             self._fleet,
@@ -266,7 +275,7 @@
         self._listener = listener.Listener(
             self._gateway,
             self._ticket_handler,
-            config.limits,
+            node_settings.limits,
             authorization.ConfigurationStatus(
                 lambda: self._configuration_peer.missing(),
                 self._is_configuration_fresh,
@@ -280,21 +289,26 @@
 
     def _build_configuration(self) -> None:
         """Builds the parts for configuration and for the audit trail."""
-        config = self._settings
+        node_settings = self._settings
         self._audit_recorder = audit_recorder.AuditRecorder(
-            config.name,
+            node_settings.name,
             self._incarnation,
             self._platform,
             self._clock,
             self._rng,
-            to_platform=config.audit is settings.AuditDestination.PLATFORM,
+            to_platform=node_settings.audit
+            is settings.AuditDestination.PLATFORM,
         )
         self._configuration_peer = configuration.ConfigurationPeer(
             view.NodeRecord(
-                config.name, self._incarnation, "", config.region, config.zone
+                node_settings.name,
+                self._incarnation,
+                "",
+                node_settings.region,
+                node_settings.zone,
             ),
             self._configuration,
-            configuration_reader.configuration_kinds(config.interface),
+            configuration_reader.configuration_kinds(node_settings.interface),
             self._fleet,
             self._pool,
             self._platform.budget,
@@ -332,22 +346,22 @@
             self._settings.once is settings.DeduplicationKey.TICKET,
         )
 
-    def _build_membership(self, nodes: str) -> None:
+    def _build_fleet_services(self, node_address: str) -> None:
         """Builds this node's record and the parts that depend on gossip.
 
         Args:
-          nodes: the address that is bound for other nodes.
+          node_address: the address that is bound for other nodes.
         """
-        config = self._settings
+        node_settings = self._settings
         self._self_record = view.NodeRecord(
-            config.name,
+            node_settings.name,
             self._incarnation,
-            config.nodes_advertised or nodes,
-            config.region,
-            config.zone,
+            node_settings.nodes_advertised or node_address,
+            node_settings.region,
+            node_settings.zone,
         )
         self._gossip = gossip_service.GossipService(
-            config,
+            node_settings,
             self._self_record,
             gossip_service.ReplicatedState(
                 self._fleet, self._targets, self._handle_peer_update
@@ -362,12 +376,12 @@
         )
         self._quota_peer = quotas.QuotaPeer(
             self._self_record,
-            len(config.zones),
+            len(node_settings.zones),
             self._gateway.workspaces.quota,
             self._fleet,
             self._pool,
             self._clock,
-            config.quota_tolerance.tolerance,
+            node_settings.quota_tolerance.tolerance,
         )
         self._proof_peer = proofs.ProofPeer(
             self._self_record,
@@ -386,15 +400,15 @@
             return await self._quota_peer.handle_query(query.quota_ask)
         return self._proof_peer.response_frame()
 
-    def reload(self, config: settings.NodeSettings) -> None:
+    def reload(self, node_settings: settings.NodeSettings) -> None:
         """Applies reloadable settings; logs those that need a restart."""
-        new_values = config.model_dump()
+        new_values = node_settings.model_dump()
         old_values = self._settings.model_dump()
         changed = {
             key for key in new_values if new_values[key] != old_values[key]
         }
         applied = {
-            key: getattr(config, key)
+            key: getattr(node_settings, key)
             for key in changed & settings.RELOADABLE_KEYS
         }
         self._settings = self._settings.model_copy(update=applied)
@@ -436,10 +450,11 @@
         await self._session.close()
 
     def _announce_leave(self) -> None:
-        """Tells the fleet to send no more requests to the local target.
+        """Announces that the local target, if any, takes no more requests.
 
-        A local target cannot move to another home; its announcements are
-        still accepted.
+        A local target cannot move to another home. So its requests have to stop
+        before the node does, and its announcements are still accepted. Without
+        one, the targets move to other homes, and nothing is announced.
         """
         if self._settings.beside is not None:
             self._gossip.announce_leave()
@@ -454,7 +469,7 @@
         return min(timeout, max(grace - SHUTDOWN_MARGIN, SHUTDOWN_MARGIN))
 
     async def _leave_fleet(self) -> None:
-        """Waits until the targets have moved, then leaves the fleet.
+        """Waits until the targets have moved, then stops gossip.
 
         The node's object stays in the platform: the next incarnation needs
         it. The objects of nodes that do not return are removed by other nodes
@@ -527,28 +542,28 @@
             )
         )
 
-    async def _bind(self, nodes: str) -> Addresses:
-        config = self._settings
+    async def _bind(self, node_address: str) -> Addresses:
+        node_settings = self._settings
         callers = await self._http.serve(
             web.ServerRunner(
                 self._listener.make_server(),
                 shutdown_timeout=graceful_shutdown.FORCED_CLOSE_TIMEOUT.total_seconds(),
             ),
-            config.callers,
-            tls.make_server_context(config.callers_tls),
+            node_settings.callers,
+            tls.make_server_context(node_settings.callers_tls),
         )
         targets = await self._http.serve_application(
-            self._target_application(), config.targets
+            self._target_application(), node_settings.targets
         )
-        if config.readiness is not None:
+        if node_settings.readiness is not None:
             await self._http.serve_application(
                 readiness.make_application(self._not_ready_reason),
-                config.readiness,
+                node_settings.readiness,
             )
         operators_address = await self._http.serve_application(
-            self._operator_application(), config.operators
+            self._operator_application(), node_settings.operators
         )
-        return Addresses(callers, targets, nodes, operators_address)
+        return Addresses(callers, targets, node_address, operators_address)
 
     def _target_application(self) -> web.Application:
         target_registration = registration.Registration(
@@ -567,7 +582,7 @@
         ).make_application()
 
     async def _wait_for_peer_state(self) -> None:
-        """Waits for the peers' state of this home, for a limited time.
+        """Waits for the peers' state of this node's targets, up to a limit.
 
         It usually arrives within milliseconds. If all nodes start at once, no
         peer has any state, so the limit keeps the targets' wait short.
@@ -588,10 +603,10 @@
     def _check_announcement(self, announcement: registry.Announcement) -> str:
         """Returns why an announcement can't come from the local target.
 
-        Failure: another process sends announcements, with a service that does
-        not exist or another address. Symptom: if accepted, such an
-        announcement replaces the target's own record until its next one, or
-        misroutes its requests.
+        Scenario: another process sends announcements, with a service that does
+        not exist or another address. Risk: if accepted, such an announcement
+        would replace the target's own record until its next announcement, or
+        its requests would go to the wrong process.
 
         Returns:
           The reason; empty if the announcement is acceptable.
@@ -640,7 +655,7 @@
         self._gateway.configure(key.kind, key.name)
 
     def _record_join(self) -> None:
-        """Records that this incarnation is registered."""
+        """Adds to the audit trail that this node has joined the fleet."""
         self._audit_recorder.record_membership(audit.Action.JOIN)
 
     async def _run_lease_checks(self) -> None:
@@ -659,10 +674,11 @@
             self._publish_updates()
 
     def _publish_updates(self) -> None:
-        """Sends target updates and more to the zone's nodes and this entry.
+        """Sends what entry nodes need to the zone's other nodes.
 
-        The updates tell the entry nodes of unhealthy targets, of the use of
-        retry budgets and of ingress routes.
+        The update contains the health of this home's targets, which is also
+        applied to this node's own placement, the use of retry budgets, and
+        the routes by which callers' requests enter the fleet.
         """
         now = self._clock.monotonic()
         snapshots = [
--- a/endivewind/operators/__init__.py
+++ b/endivewind/operators/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' interface: a configuration library, and HTTP pages.
+"""The operators' interface: a configuration library and a node's HTTP API.
 
 A program builds a `Firm`, adds services, routes and workspaces to it and
 prints it as YAML, which `endivewind submit -` reads:
--- a/endivewind/operators/builder.py
+++ b/endivewind/operators/builder.py
@@ -58,7 +58,7 @@
           slots: concurrent requests per target.
           targets_per_region: targets that a region should have.
           floor_targets: the capacity floor: the number of targets per region
-            whose slots ejections must leave available.
+            whose slots ejections must keep available.
           timeout: deadline of a request without a deadline of its own.
           queue_limit: requests that may wait for a slot at one entry node.
           retry_percent: retries allowed, as a share of recent requests.
@@ -165,7 +165,10 @@
         return self._dump()
 
     def print(self) -> None:
-        """Prints the YAML; on errors prints these and exits with their code."""
+        """Prints the YAML; if it is invalid, prints the error and exits.
+
+        The error is printed to stderr; it determines the exit code.
+        """
         try:
             sys.stdout.write(self.to_yaml())
         except exceptions.EndivewindError as error:
--- a/endivewind/operators/configuration.py
+++ b/endivewind/operators/configuration.py
@@ -17,11 +17,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetMembers:
-    """What the response tells of the fleet's nodes.
+    """What the response contains on the fleet besides versions.
 
     Attributes:
       zones: all zones, if nodes register zone by zone.
-      departed_nodes: returns the nodes that have left as planned; their
+      departed_nodes: returns the nodes that have stopped gracefully; their
         registrations may remain.
     """
 
@@ -31,7 +31,7 @@
 
 def add_route(
     application: web.Application,
-    fleet: version_queries.VersionQueries,
+    queries: version_queries.VersionQueries,
     members: FleetMembers,
 ) -> None:
     """Adds the path; each `?object=KIND/NAME` names an object to query."""
@@ -46,12 +46,12 @@
             return web.json_response(
                 {
                     "title": "bad query",
-                    "detail": "object=KIND/NAME, once to "
-                    f"{version_queries.MAX_KEYS_PER_QUERY} times",
+                    "detail": "needs valid parameters object=KIND/NAME, 1 to "
+                    f"{version_queries.MAX_KEYS_PER_QUERY} of them",
                 },
                 status=400,
             )
-        versions = await fleet.query_fleet([key for key in keys if key])
+        versions = await queries.query_fleet([key for key in keys if key])
         return web.json_response(
             {
                 "silent": versions.unresponsive,
--- a/endivewind/operators/operator_api.py
+++ b/endivewind/operators/operator_api.py
@@ -22,7 +22,8 @@
       not_ready_reason: returns None if the node is ready, else why it is not.
       status: returns the node's status, which can be encoded as JSON.
       metrics: renders the node's metrics in Prometheus' text format.
-      members: returns the numbers of known nodes by state.
+      members: returns the numbers of known nodes by state, and the state of
+        gossip.
     """
 
     not_ready_reason: collections.abc.Callable[[], str | None]
--- a/endivewind/operators/request_trace.py
+++ b/endivewind/operators/request_trace.py
@@ -1,10 +1,10 @@
 """Reconstructs the trace of a request from the log lines of several nodes.
 
-The command `endivewind explain` uses it. Nodes' clocks differ. A call that a
-target makes while it runs a request is logged by another node, under an id
-that begins with the request's. The call started after the request was sent to
-the target and ended before the target's response, which gives a lower bound
-of the difference between the clocks.
+The command `endivewind explain` uses it. A call that a target makes while it
+runs a request may be logged by another node, whose clock differs. The call's id
+begins with the request's. It must have started after the request was sent to
+the target and ended before the target's response, so its times are shifted as
+far as that requires.
 """
 
 import collections.abc
@@ -31,7 +31,7 @@
     Attributes:
       node: the node that wrote it.
       time: its time by that node's clock.
-      message: the message, which tells the kind of line.
+      message: the message, which identifies the kind of line.
       fields: the other keys.
     """
 
@@ -51,7 +51,8 @@
       start: time from the request's arrival to the attempt's start.
       duration: time until the response, or until the attempt was abandoned.
       suspicion: the entry node's probability that the target was unhealthy.
-      result: a status, or a reason and an outcome.
+      result: the HTTP status; without a response, `REASON (OUTCOME)` or
+        `cancelled`.
     """
 
     target: str
@@ -95,7 +96,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestTrace:
-    """Everything that the log lines tell of one request.
+    """Everything that the log lines contain on one request.
 
     Attributes:
       request: the request itself.
@@ -120,9 +121,9 @@
     """Parses the log lines in a text and skips everything else.
 
     Args:
-      text: the lines; the last word before a line's JSON object is the name
-        of its node, where log collectors add it.
-      node: the node of lines that do not name it.
+      text: the lines. Log collectors may put words before a line's JSON
+        object; the last of these is then taken for the name of the node.
+      node: the node of all other lines.
 
     Yields:
       The log lines.
--- a/endivewind/platform/client.py
+++ b/endivewind/platform/client.py
@@ -143,7 +143,7 @@
         Args:
           kind: the kind of objects.
           stale: whether a listing that is some seconds old is acceptable; it
-            costs a tenth, and a watch from its revision catches up.
+            costs a tenth of a fresh one, and a watch from its revision catches up.
         """
         query = {"allow_stale": 1} if stale else {}
         objects: list[messages.StoredObject] = []
@@ -169,9 +169,11 @@
     ) -> expression.Result[int, messages.PlatformError]:
         """Reads the store's current revision.
 
-        If it equals an earlier one, nothing has changed since. The call
-        requests an empty last page of a listing, which transfers no objects.
-        A watch would not prove this, as it may be cut off from changes.
+        If it equals an earlier one, nothing in the store has changed since. The
+        revision is that of the whole store; the kind only selects a listing.
+        The call requests the page after the last possible name, which is
+        empty, so no objects are transferred. A pending watch would prove
+        nothing: one that is cut off from changes looks like one without them.
         """
         result = await self._call(
             "GET",
@@ -342,7 +344,10 @@
     kind: str,
     name: str,
 ) -> expression.Result[messages.StoredObject, messages.PlatformError]:
-    """Rejects a response for another object, from a mixed-up connection."""
+    """Rejects a response for another object than the requested one.
+
+    This happens if a connection delivers the response to another request.
+    """
     if result.is_ok() and result.ok.name != name:
         received = f"{kind}/{result.ok.name}"
         return _error(
--- a/endivewind/platform/configuration.py
+++ b/endivewind/platform/configuration.py
@@ -1,4 +1,6 @@
-"""Decodes the operators' configuration into the project's own document.
+"""Converts the operators' configuration into an object of kind `document`.
+
+That is the project's own format of a configuration in one object.
 
 The configuration reader calls decode() for each object that it reads from
 the platform's store.
@@ -129,11 +131,11 @@
 def decode(
     stored: messages.StoredObject, defaults: objects.Service
 ) -> expression.Result[messages.StoredObject, str]:
-    """Decodes the operator's object into the project's own document object.
+    """Converts the operators' object into one of kind `document`.
 
     Args:
       stored: the object as the platform stores it.
-      defaults: the settings of a service that the operator leaves out.
+      defaults: the settings of a service that the operators omit.
 
     Returns:
       The document under the operator's version, or why it is invalid.
@@ -141,10 +143,12 @@
     try:
         decoded = _Configuration.model_validate(stored.value)
         document = _decode_document(decoded.resources, defaults)
-        unrouted = [item for item in document.routes if not _has_service(item)]
-        if unrouted:
+        without_service = [
+            item for item in document.routes if not _has_service(item)
+        ]
+        if without_service:
             return expression.Error(
-                f"{unrouted[0].prefix}: the route names no service"
+                f"{without_service[0].prefix}: the route names no service"
             )
         keys = _decode_keys(decoded.resources)
         if keys.is_error():
--- a/endivewind/platform/heartbeats.py
+++ b/endivewind/platform/heartbeats.py
@@ -57,7 +57,7 @@
 
 
 class _Deregistration(pydantic.BaseModel):
-    """A target's departure; most targets leave out their start time."""
+    """A target's departure; most targets omit their start time."""
 
     born: pydantic.StrictInt = pydantic.Field(default=0, ge=0)
 
@@ -66,7 +66,7 @@
 
 
 async def no_wait() -> None:
-    """Returns at once, for a home that need not wait for its peers."""
+    """Returns at once, for a node that need not wait for its peers."""
 
 
 class HeartbeatApi:
@@ -74,7 +74,7 @@
 
     def __init__(
         self,
-        targets: registration.Registration,
+        target_registration: registration.Registration,
         heartbeat_ms: collections.abc.Callable[[], int],
         clock: clocks.Clock,
         wait_for_peers: WaitForPeers = no_wait,
@@ -82,16 +82,17 @@
         """Builds the API.
 
         Args:
-          targets: receives the announcements.
+          target_registration: receives the announcements.
           heartbeat_ms: returns the heartbeat interval of the targets.
-          clock: the clock of the targets' VM, from which they take their
-            incarnations.
-          wait_for_peers: waits until this home has received its peers' state
-            of its targets.
+          clock: the clock of the VM on which the targets run, too. They use it
+            for their incarnations, so a deregistration applies to incarnations
+            up to the present time.
+          wait_for_peers: waits until this node has received what its peers
+            know of the targets whose home it is.
         """
         self._clock = clock
         self._wait_for_peers = wait_for_peers
-        self._targets = targets
+        self._target_registration = target_registration
         self._heartbeat_ms = heartbeat_ms
 
     def make_application(self) -> web.Application:
@@ -109,7 +110,7 @@
         except pydantic.ValidationError as error:
             return _bad_request(target, error)
         await self._wait_for_peers()
-        refusal = self._targets.announce(target, announcement)
+        refusal = self._target_registration.announce(target, announcement)
         if refusal is not None:
             return web.json_response({"title": refusal}, status=409)
         return web.json_response({})
@@ -122,7 +123,7 @@
         except pydantic.ValidationError as error:
             return _bad_request(target, error)
         now_ms = round(self._clock.now().timestamp() * 1000)
-        self._targets.withdraw(
+        self._target_registration.withdraw(
             target, deregistration.born, max_incarnation=now_ms
         )
         return web.json_response({})
--- a/endivewind/reports.py
+++ b/endivewind/reports.py
@@ -44,7 +44,7 @@
       pool: the links to other nodes.
       traffic: the bytes sent to other nodes.
       platform: the client, for its counts of calls.
-      members: returns the numbers of nodes by state.
+      members: returns the numbers of nodes by state, and the state of gossip.
     """
 
     name: str
@@ -64,29 +64,29 @@
 class Reports:
     """Renders status and metrics on demand, and logs traffic periodically."""
 
-    def __init__(self, parts: ReportSources) -> None:
-        self._parts = parts
+    def __init__(self, report_sources: ReportSources) -> None:
+        self._report_sources = report_sources
         self._metrics: metrics.NodeMetrics | None = None
 
     def status(self) -> dict[str, object]:
         """Returns the node's status, which can be encoded as JSON."""
-        parts = self._parts
+        report_sources = self._report_sources
         return {
-            "node": parts.name,
-            "incarnation": parts.incarnation,
-            "version": parts.configuration.version,
-            "nodes": sorted(parts.fleet.nodes),
-            "members": parts.members(),
+            "node": report_sources.name,
+            "incarnation": report_sources.incarnation,
+            "version": report_sources.configuration.version,
+            "nodes": sorted(report_sources.fleet.nodes),
+            "members": report_sources.members(),
             "targets": [
                 {
                     **dataclasses.asdict(item),
-                    "reason": parts.outlier_monitor.ejection_causes.get(
+                    "reason": report_sources.outlier_monitor.ejection_causes.get(
                         item.id, ""
                     ),
                 }
-                for item in parts.fleet.all_targets()
+                for item in report_sources.fleet.all_targets()
             ],
-            "in_flight": parts.in_flight(),
+            "in_flight": report_sources.in_flight(),
         }
 
     def render_metrics(self) -> operator_api.Page:
@@ -97,31 +97,31 @@
         """
         module = importlib.import_module("endivewind.metrics")
         if self._metrics is None:
-            self._metrics = module.NodeMetrics(self._sources(module))
+            self._metrics = module.NodeMetrics(self._metric_sources(module))
         return operator_api.Page(self._metrics.render(), module.CONTENT_TYPE)
 
     async def log_traffic(self) -> None:
         """Logs bytes sent and calls made by kind, until cancelled."""
         while True:
             await asyncio.sleep(TRAFFIC_LOG_INTERVAL.total_seconds())
-            sent = self._parts.traffic.by_kind()
+            sent = self._report_sources.traffic.by_kind()
             log.info("bytes sent", extra=logs.fields(**sent))
             calls = {
                 f"{call.word} {call.kind}": count
-                for call, count in self._parts.platform.call_counts.items()
+                for call, count in self._report_sources.platform.call_counts.items()
             }
             log.info("platform calls", extra=logs.fields(**calls))
 
-    def _sources(self, module: Any) -> "metrics.Sources":
-        parts = self._parts
+    def _metric_sources(self, module: Any) -> "metrics.Sources":
+        report_sources = self._report_sources
         sources: metrics.Sources = module.Sources(
-            requests=parts.requests,
-            health_changes=parts.outlier_monitor.status_change_counts,
-            targets=parts.targets.target_records,
-            nodes=lambda: len(parts.fleet.nodes),
-            idle_links=lambda: parts.pool.idle_count,
-            version=lambda: parts.configuration.version,
-            sent_bytes=parts.traffic.counts,
-            platform_calls=parts.platform.call_counts,
+            requests=report_sources.requests,
+            health_changes=report_sources.outlier_monitor.status_change_counts,
+            targets=report_sources.targets.target_records,
+            nodes=lambda: len(report_sources.fleet.nodes),
+            idle_links=lambda: report_sources.pool.idle_count,
+            version=lambda: report_sources.configuration.version,
+            sent_bytes=report_sources.traffic.counts,
+            platform_calls=report_sources.platform.call_counts,
         )
         return sources
--- a/endivewind/tests/config/freshness_tests.py
+++ b/endivewind/tests/config/freshness_tests.py
@@ -35,9 +35,9 @@
 
     def test_delayed_response_makes_an_older_proof(self):
         """A delayed response must not extend the use of a revoked key."""
-        answer = freshness.ProofResponse(3, seconds(1))
+        proof_response = freshness.ProofResponse(3, seconds(1))
 
-        self.proof.handle_response(answer, query_time=seconds(10))
+        self.proof.handle_response(proof_response, query_time=seconds(10))
 
         self.assertEqual(seconds(4), self.proof.age(seconds(13)))
 
@@ -114,10 +114,10 @@
 
     @stateful.rule(
         asker=strategies.sampled_from(NODES),
-        answerer=strategies.sampled_from(NODES),
+        responder=strategies.sampled_from(NODES),
     )
-    def a_node_queries(self, asker, answerer):
-        self.send("query_received", asker, self.clock(asker), answerer)
+    def a_node_queries(self, asker, responder):
+        self.send("query_received", asker, self.clock(asker), responder)
 
     def send(self, kind, node, moment, *arguments):
         self.messages.append(
@@ -141,16 +141,18 @@
         if start == self.incarnations[node]:
             self.proofs[node].record_proof(version, moment)
 
-    def query_received(self, node, start, moment, answerer):
-        answer = self.proofs[answerer].make_response(self.clock(answerer))
-        if answer is not None:
+    def query_received(self, node, start, moment, responder):
+        proof_response = self.proofs[responder].make_response(
+            self.clock(responder)
+        )
+        if proof_response is not None:
             self.messages.append(
-                ("response_received", node, start, moment, answer)
+                ("response_received", node, start, moment, proof_response)
             )
 
-    def response_received(self, node, start, moment, answer):
+    def response_received(self, node, start, moment, proof_response):
         if start == self.incarnations[node]:
-            self.proofs[node].handle_response(answer, moment)
+            self.proofs[node].handle_response(proof_response, moment)
 
     @stateful.precondition(lambda self: self.messages)
     @stateful.rule(data=strategies.data())
--- a/endivewind/tests/config/planning_tests.py
+++ b/endivewind/tests/config/planning_tests.py
@@ -13,10 +13,10 @@
 
 def _submit(spec, current=None, operation="op"):
     """Returns the object on the platform after submitting a spec."""
-    held = current or planning.StoredObject()
-    step = planning.PlanStep(A, planning.Action.WRITE, spec, held)
+    stored = current or planning.StoredObject()
+    step = planning.PlanStep(A, planning.Action.WRITE, spec, stored)
     envelope = planning.make_envelope(step, operation, "ana", NOW)
-    return planning.StoredObject(held.platform_version + 1, envelope)
+    return planning.StoredObject(stored.platform_version + 1, envelope)
 
 
 class PlanTest(unittest.TestCase):
@@ -69,29 +69,31 @@
         self.assertIsNone(step.spec)
 
     def test_without_a_base_missing_objects_are_not_removed(self):
-        held = {A: _submit({"slots": 3})}
+        stored = {A: _submit({"slots": 3})}
 
-        self.assertEqual({"b": "write"}, self._actions({B: {}}, held))
+        self.assertEqual({"b": "write"}, self._actions({B: {}}, stored))
 
     def test_versions_grow_even_if_the_clock_is_behind(self):
-        held = _submit({"slots": 3})
-        later = planning.PlanStep(A, planning.Action.WRITE, {"slots": 4}, held)
+        stored = _submit({"slots": 3})
+        later = planning.PlanStep(
+            A, planning.Action.WRITE, {"slots": 4}, stored
+        )
 
         early = NOW - datetime.timedelta(days=400)
         envelope = planning.make_envelope(later, "op", "ana", early)
 
-        self.assertEqual(held.version + 1, envelope.version)
+        self.assertEqual(stored.version + 1, envelope.version)
 
     def test_spec_can_be_restored_and_changed_again(self):
-        held = _submit({"slots": 3})
-        held = _submit({"slots": 9}, held)
-        held = _submit({"slots": 3}, held)
+        stored = _submit({"slots": 3})
+        stored = _submit({"slots": 9}, stored)
+        stored = _submit({"slots": 3}, stored)
 
         self.assertEqual(
-            {"a": "write"}, self._actions({A: {"slots": 5}}, {A: held})
+            {"a": "write"}, self._actions({A: {"slots": 5}}, {A: stored})
         )
         self.assertEqual(
-            {"a": "same"}, self._actions({A: {"slots": 3}}, {A: held})
+            {"a": "same"}, self._actions({A: {"slots": 3}}, {A: stored})
         )
 
     def test_concurrent_change_of_the_same_object_is_refused(self):
--- a/endivewind/tests/config/replication_tests.py
+++ b/endivewind/tests/config/replication_tests.py
@@ -22,7 +22,7 @@
 
 
 class _Pair:
-    """Two replicators that exchange messages until none is left."""
+    """Two replicators that exchange messages until none remains."""
 
     def __init__(self) -> None:
         self.stores = {name: store.ConfigurationStore() for name in ("a", "b")}
@@ -146,9 +146,11 @@
 
         rumours = pair.cores["a"].tick(SECOND)
         digest = pair.cores["b"].tick(SECOND)[0].message
-        answer = pair.cores["a"].handle_message(digest, SECOND).outgoing
+        digest_responses = (
+            pair.cores["a"].handle_message(digest, SECOND).outgoing
+        )
 
-        for item in (*rumours, *answer):
+        for item in (*rumours, *digest_responses):
             self.assertLessEqual(
                 len(item.message.have) + len(item.message.objects),
                 replication.MAX_ENTRIES,
@@ -280,8 +282,8 @@
         before = {item.name for item in self.watching(members)}
         gone = min(before)
 
-        left = [item for item in members if item.name != gone]
-        after = {item.name for item in self.watching(left)}
+        remaining_members = [item for item in members if item.name != gone]
+        after = {item.name for item in self.watching(remaining_members)}
 
         self.assertEqual(before - {gone}, before & after)
         self.assertEqual(2, len(after))
--- a/endivewind/tests/fuzz_border_tests.py
+++ b/endivewind/tests/fuzz_border_tests.py
@@ -146,10 +146,10 @@
         return self._run(send)
 
     def _check(self, body: bytes):
-        status, answer = self._put("riders-1", body)
+        status, response_text = self._put("riders-1", body)
         self.assertIn(status, (200, 400, 409))
         if status == 400:
-            self.assertTrue(json.loads(answer)["findings"])
+            self.assertTrue(json.loads(response_text)["findings"])
 
     @_SETTINGS
     @hypothesis.given(st.binary(max_size=60))
--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -350,7 +350,7 @@
         '        return await self._call("DELETE", path, lambda body: None)\n',
         "        path = _object_path(kind, name)\n"
         '        return await self._call("DELETE", path, lambda body: None)\n',
-        "durable.membership_tests",
+        "durable.node_directory_tests",
     ),
     Mutant(
         "a home node does not learn that the caller disconnected",
--- a/endivewind/tests/platform/client_tests.py
+++ b/endivewind/tests/platform/client_tests.py
@@ -265,7 +265,7 @@
         """760 nodes return at once after an outage.
 
         Each calls as often as its budget allows for a minute. The platform's
-        rate limits must still leave room for operators' writes.
+        rate limits must still suffice for operators' writes.
         """
         budget = retries.CallBudget()
         budget.set_node_count(760)
--- a/endivewind/tests/tls_tests.py
+++ b/endivewind/tests/tls_tests.py
@@ -55,9 +55,9 @@
                     ssl=trusted,
                     server_hostname="localhost",
                 ) as response:
-                    answer = await response.json()
+                    response_body = await response.json()
 
-            self.assertEqual("riders-1", answer["target"])
+            self.assertEqual("riders-1", response_body["target"])
             self.assertIn(
                 'endivewind_requests_total{outcome="answered",reason="",'
                 'service="riders"} 1.0',
@@ -91,11 +91,11 @@
                 "127.0.0.1", self._port, ssl=context
             )
             writer.write(b"frame")
-            answer = await reader.read(5)
+            received = await reader.read(5)
         except (ssl.SSLError, ConnectionError):
             return b""
         writer.close()
-        return answer
+        return received
 
     async def test_certificate_of_the_same_authority_is_accepted(self):
         context = tls.make_link_context(settings.Tls(**_tls("node")))
--- a/endivewind/tls.py
+++ b/endivewind/tls.py
@@ -37,7 +37,7 @@
 
 
 def _load(context: ssl.SSLContext, tls: settings.Tls) -> None:
-    """Loads the files and names them in errors, which ssl leaves out."""
+    """Loads the files and names them in errors, which ssl does not."""
     try:
         context.load_cert_chain(tls.certificate, tls.key)
         if tls.authority:
