--- a/endivewind/config/replication.py
+++ b/endivewind/config/replication.py
@@ -181,7 +181,7 @@
         self._store = configuration
         self._peers = peers
         self._rng = rng
-        self._rumour_sends_left: dict[store.Key, int] = {}
+        self._remaining_rumour_sends: dict[store.Key, int] = {}
         self._pending_requests: dict[store.Key, _PendingRequest] = {}
         self._next_digest = datetime.timedelta()
         self._budget = _Budget()
@@ -214,7 +214,7 @@
     def add_rumour(self, key: store.Key) -> None:
         """Queues the new version of an object to be sent as a rumour."""
         count = len(self._peers()) + 1
-        self._rumour_sends_left[key] = (
+        self._remaining_rumour_sends[key] = (
             math.ceil(math.log(count + 1)) + EXTRA_SENDS
         )
 
@@ -266,8 +266,9 @@
                 self.add_rumour(item.key)
 
     def _due_rumours(self, now: datetime.timedelta) -> list[OutgoingMessage]:
-        if not self._rumour_sends_left or not self._budget.refill_and_check(
-            now
+        if (
+            not self._remaining_rumour_sends
+            or not self._budget.refill_and_check(now)
         ):
             return []
         outgoing = []
@@ -275,8 +276,8 @@
             # Rumours with the most remaining sends go first, because most peers
             # lack a version that was received recently.
             keys = sorted(
-                self._rumour_sends_left,
-                key=lambda key: -self._rumour_sends_left[key],
+                self._remaining_rumour_sends,
+                key=lambda key: -self._remaining_rumour_sends[key],
             )
             message = self._make_rumour(keys[:MAX_ENTRIES])
             outgoing.append(OutgoingMessage(peer.name, message))
@@ -327,11 +328,11 @@
         return self._make_message(have=tuple(have), objects=tuple(objects))
 
     def _count_rumour_send(self, key: store.Key) -> None:
-        remaining = self._rumour_sends_left.get(key, 0) - 1
+        remaining = self._remaining_rumour_sends.get(key, 0) - 1
         if remaining > 0:
-            self._rumour_sends_left[key] = remaining
+            self._remaining_rumour_sends[key] = remaining
         else:
-            self._rumour_sends_left.pop(key, None)
+            self._remaining_rumour_sends.pop(key, None)
 
     def _due_digests(self, now: datetime.timedelta) -> list[OutgoingMessage]:
         period = DIGEST_PERIOD if self._ready else JOINING_DIGEST_PERIOD
@@ -419,7 +420,7 @@
     ) -> tuple[PackedObject, ...]:
         """Returns as many objects as fit into one message, at least one.
 
-        The peer requests the rest after the next comparison of digests.
+        The rest is exchanged after the next comparison of digests.
         """
         chosen: list[PackedObject] = []
         total = 0
--- a/endivewind/node.py
+++ b/endivewind/node.py
@@ -436,10 +436,10 @@
             self._link_server,
             self._ticket_handler,
             datetime.timedelta(seconds=self._settings.limits.notice_seconds),
-            self._announce_leave,
+            self._announce_departure,
         )
         await shutdown.run(self._drain_timeout())
-        await self._leave_fleet()
+        await self._depart_from_fleet()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -449,7 +449,7 @@
         await self._dispatcher.close()
         await self._session.close()
 
-    def _announce_leave(self) -> None:
+    def _announce_departure(self) -> None:
         """Announces that the local target, if any, takes no more requests.
 
         A local target cannot move to another home. So its requests have to stop
@@ -468,7 +468,7 @@
         grace = datetime.timedelta(seconds=limits.grace_seconds)
         return min(timeout, max(grace - SHUTDOWN_MARGIN, SHUTDOWN_MARGIN))
 
-    async def _leave_fleet(self) -> None:
+    async def _depart_from_fleet(self) -> None:
         """Waits until the targets have moved, then stops gossip.
 
         The node's object stays in the platform: the next incarnation needs
@@ -479,9 +479,9 @@
             await self._gossip.wait_targets_moved()
         await self._gossip.stop()
         if self._settings.audit is settings.AuditDestination.PLATFORM:
-            await self._record_leave()
+            await self._record_departure()
 
-    async def _record_leave(self) -> None:
+    async def _record_departure(self) -> None:
         """Writes the last records; waits at most as long as for one call."""
         self._audit_recorder.record_membership(audit.Action.LEAVE)
         try:
--- a/endivewind/platform/client.py
+++ b/endivewind/platform/client.py
@@ -45,8 +45,8 @@
 # Sorts after every valid object name.
 _LAST_NAME = "~"
 
-AnswerT = TypeVar("AnswerT")
-Decode = collections.abc.Callable[[bytes], AnswerT]
+DecodedT = TypeVar("DecodedT")
+Decode = collections.abc.Callable[[bytes], DecodedT]
 
 _FAILURES = {
     404: messages.Failure.NOT_FOUND,
@@ -245,10 +245,10 @@
         self,
         method: str,
         path: str,
-        decode: Decode[AnswerT],
+        decode: Decode[DecodedT],
         value: dict[str, Any] | None = None,
         timeout: datetime.timedelta = CALL_TIMEOUT,
-    ) -> expression.Result[AnswerT, messages.PlatformError]:
+    ) -> expression.Result[DecodedT, messages.PlatformError]:
         if not await self._wait_for_budget():
             return _error(messages.Failure.THROTTLED, "call budget exhausted")
         self._calls[_call_labels(method, path)] += 1
