--- a/endivewind/bench/experiment.py
+++ b/endivewind/bench/experiment.py
@@ -22,7 +22,7 @@
 IDEMPOTENT_SHARE = 0.8
 LONG_RUN_SECONDS = 3600.0
 ERROR_LATENCY_SECONDS = 0.005
-_FAILURES = frozenset(
+_RETRYABLE_KINDS = frozenset(
     {
         evidence.ResultKind.ERROR,
         evidence.ResultKind.SHED,
@@ -37,11 +37,12 @@
     """Result of one experiment.
 
     Attributes:
-      detection_seconds: from the first request that the fault affects to the
-        ejection of the unhealthy target, or to its last request under normal
-        load balancing if that is later; None if it was not ejected while
-        unhealthy.
-      sick_requests: number of requests that an unhealthy target received.
+      detection_seconds: time to detection, from the first request that the
+        fault affects. Detection is the ejection of the unhealthy target. If
+        the target still receives a request under normal load balancing after
+        that, detection is the time of the last such request. None if the
+        target was not ejected while unhealthy.
+      unhealthy_target_requests: number of requests that an unhealthy target received.
       work_lost: number of requests that failed for their callers.
       false_ejections: number of ejections of healthy targets.
       true_ejections: number of ejections of unhealthy targets.
@@ -72,15 +73,15 @@
 
 
 class _Request:
-    __slots__ = ("ended", "is_idempotent", "started", "tried", "work")
+    __slots__ = ("ended", "is_idempotent", "properties", "started", "tried")
 
     def __init__(
         self,
-        work: scenarios.RequestProfile,
+        properties: scenarios.RequestProfile,
         is_idempotent: bool,
         started: float,
     ) -> None:
-        self.work = work
+        self.properties = properties
         self.is_idempotent = is_idempotent
         self.started = started
         self.tried: set[str] = set()
@@ -101,7 +102,11 @@
 
 
 class Experiment:
-    """Poisson arrivals (open loop) at one entry node; targets with slots."""
+    """Simulates callers, one entry node with a policy, and the targets.
+
+    Requests arrive as a Poisson process, regardless of responses (open loop).
+    Each target serves as many requests at once as it has slots.
+    """
 
     def __init__(
         self,
@@ -127,9 +132,11 @@
         self._request_count = self._attempt_count = self._failed_count = (
             self._refused_count
         ) = 0
-        self._false_ejections = self._true_ejections = self._sick_requests = 0
+        self._false_ejections = self._true_ejections = (
+            self._unhealthy_target_requests
+        ) = 0
         self._first_affected_at: float | None = None
-        self._last_normal_at: float | None = None
+        self._last_affected_at: float | None = None
         self._detected_at: float | None = None
         self._ejected_targets: set[int] = set()
         self._returned_at: float | None = None
@@ -139,7 +146,7 @@
         """Runs the experiment and returns its result."""
         if self._scenario.fault is not None:
             self._time.call_later(
-                scenarios.FAULT_START_SECONDS, self._start_fault
+                scenarios.FAULT_START_SECONDS, self._fail_crashed_attempts
             )
         self._handle_arrival()
         self._time.run(self._scenario.end)
@@ -175,9 +182,9 @@
         self._time.call_later(self._rng.expovariate(rate), self._handle_arrival)
 
     def _create_request(self) -> None:
-        work = self._scenario.draw_request(self._rng)
+        properties = self._scenario.draw_request(self._rng)
         is_idempotent = self._rng.random() < IDEMPOTENT_SHARE
-        request = _Request(work, is_idempotent, self._time.seconds)
+        request = _Request(properties, is_idempotent, self._time.seconds)
         self._request_count += 1
         self._budget.record_request(self._time.monotonic())
         if self._start_attempt(request):
@@ -203,13 +210,13 @@
     def _serve(self, attempt: _Attempt, in_use: int) -> None:
         now = self._time.seconds
         target = policies.target_number(attempt.target)
-        work = attempt.request.work
+        properties = attempt.request.properties
         effect = scenarios.HEALTHY
         if self._scenario.is_unhealthy(target, now):
             self._record_affected_request(attempt.target, now)
             assert self._scenario.fault is not None
             since = now - scenarios.FAULT_START_SECONDS
-            effect = self._scenario.fault(work, in_use, since, self._rng)
+            effect = self._scenario.fault(properties, in_use, since, self._rng)
         remaining = DEADLINE_SECONDS - (now - attempt.request.started)
         if effect.refuses or effect.sheds or effect.fails:
             kind = evidence.ResultKind.ERROR
@@ -222,7 +229,7 @@
                 functools.partial(self._end_attempt, attempt, kind),
             )
             return
-        seconds = work.seconds * effect.factor
+        seconds = properties.seconds * effect.factor
         if effect.hangs or seconds >= remaining:
             kind, seconds = evidence.ResultKind.TIMEOUT, max(remaining, 0.0)
         else:
@@ -232,14 +239,14 @@
         )
 
     def _record_affected_request(self, target: str, now: float) -> None:
-        self._sick_requests += 1
+        self._unhealthy_target_requests += 1
         if self._first_affected_at is None:
             self._first_affected_at = now
         is_propagated = self._detected_at is not None and (
             now > self._detected_at + 2 * policies.GOSSIP_DELAY_SECONDS
         )
         if not is_propagated and self._policy.is_normal(target):
-            self._last_normal_at = now
+            self._last_affected_at = now
 
     def _end_attempt(
         self, attempt: _Attempt, kind: evidence.ResultKind
@@ -271,7 +278,7 @@
         not_run = kind is evidence.ResultKind.REFUSED_CONNECTION
         is_repeatable = request.is_idempotent or not_run
         can_retry = (
-            kind in _FAILURES
+            kind in _RETRYABLE_KINDS
             and is_repeatable
             and len(request.tried) < MAX_ATTEMPTS
         )
@@ -283,7 +290,11 @@
         self._failed_count += 1
 
     def _is_measured(self, request: _Request) -> bool:
-        """Whether to record latency: from the fault on; 1 % in long runs."""
+        """Whether to record the latency of a request.
+
+        Only requests since the start of the fault are measured, and only one
+        in a hundred of them in long runs.
+        """
         if self._scenario.end > LONG_RUN_SECONDS and self._request_count % 100:
             return False
         return request.started >= scenarios.FAULT_START_SECONDS
@@ -299,7 +310,7 @@
                 return
             self._queue.popleft()
 
-    def _start_fault(self) -> None:
+    def _fail_crashed_attempts(self) -> None:
         """Fails the running requests of targets whose fault is a crash."""
         for target in self._scenario.unhealthy_targets:
             if self._crashes(target):
@@ -310,9 +321,9 @@
 
     def _crashes(self, target: int) -> bool:
         fault = self._scenario.fault
-        work = scenarios.RequestProfile(0.0, 0, 0)
+        properties = scenarios.RequestProfile(0.0, 0, 0)
         return fault is not None and (
-            fault(work, 0, 0.0, random.Random(0)).refuses
+            fault(properties, 0, 0.0, random.Random(0)).refuses
         )
 
     def _record_status_change(self, target: int, is_ejected: bool) -> None:
@@ -349,9 +360,10 @@
             self._detected_at is not None
             and self._first_affected_at is not None
         ):
-            last_normal_at = self._last_normal_at or self._detected_at
+            last_affected_at = self._last_affected_at or self._detected_at
             detection = (
-                max(last_normal_at, self._detected_at) - self._first_affected_at
+                max(last_affected_at, self._detected_at)
+                - self._first_affected_at
             )
         returned = None
         if self._returned_at is not None:
@@ -362,7 +374,7 @@
             seed=self._seed,
             requests=self._request_count,
             detection_seconds=detection,
-            sick_requests=self._sick_requests,
+            sick_requests=self._unhealthy_target_requests,
             work_lost=self._failed_count,
             false_ejections=self._false_ejections,
             true_ejections=self._true_ejections,
--- a/endivewind/bench/policies.py
+++ b/endivewind/bench/policies.py
@@ -95,10 +95,10 @@
         profile: objects.Profile,
         time: virtual_time.VirtualTime,
         rng: random.Random,
-        ejected: EjectionCallback,
+        on_status_change: EjectionCallback,
     ) -> None:
         self._time = time
-        self._on_ejection = ejected
+        self._on_status_change = on_status_change
         home = registry.HomeIdentity("node-a", 1, _REGION, _ZONE)
         self._registry = registry.TargetRegistry(home, time)
         self._announce()
@@ -193,7 +193,9 @@
 
     def _notify(self, target: int, health: records.EjectionStatus) -> None:
         if health is not records.EjectionStatus.TRIAL:
-            self._on_ejection(target, health is records.EjectionStatus.EJECTED)
+            self._on_status_change(
+                target, health is records.EjectionStatus.EJECTED
+            )
 
     def _publish_state(self) -> None:
         self._fleet.put_home_state(
@@ -278,11 +280,11 @@
     )
 
     def __init__(
-        self, time: virtual_time.VirtualTime, ejected: EjectionCallback
+        self, time: virtual_time.VirtualTime, on_status_change: EjectionCallback
     ) -> None:
         super().__init__()
         self._time = time
-        self._on_ejection = ejected
+        self._on_status_change = on_status_change
         self._consecutive_errors = dict.fromkeys(self._names, 0)
         self._ejection_counts = dict.fromkeys(self._names, 0)
         self._ejected_until: dict[str, float] = {}
@@ -318,12 +320,12 @@
             self.BASE_EJECTION_SECONDS * self._ejection_counts[target]
         )
         self._ejected_until[target] = self._time.seconds + ejection_seconds
-        self._on_ejection(target_number(target), True)
+        self._on_status_change(target_number(target), True)
 
     def _sweep(self) -> None:
         for name, until in list(self._ejected_until.items()):
             if until <= self._time.seconds:
                 del self._ejected_until[name]
                 self._consecutive_errors[name] = 0
-                self._on_ejection(target_number(name), False)
+                self._on_status_change(target_number(name), False)
         self._time.call_later(self.SWEEP_INTERVAL_SECONDS, self._sweep)
--- a/endivewind/bench/scenarios.py
+++ b/endivewind/bench/scenarios.py
@@ -19,7 +19,8 @@
 FAULT_START_SECONDS = 20.0
 FAULT_END_SECONDS = 50.0
 DURATION_SECONDS = 90.0
-# Two seeds of it make a day; one takes a quarter of an hour of CPU time.
+# Duration of the half-day scenarios: two seeds simulate a day. One seed takes a
+# quarter of an hour of CPU time.
 HALF_DAY_SECONDS = 12 * 3600.0
 UNHEALTHY_TARGET = 0
 
@@ -27,8 +28,10 @@
 class Expectation(enum.StrEnum):
     """The ejection behaviour that a scenario expects.
 
-    GRAY is a partial fault and HARD a crash, both to be ejected. INNOCENT has
-    nothing to eject: all targets are healthy, shed load or fail alike.
+    GRAY: a target still accepts connections, but responds with errors, slowly
+    or not at all. HARD: a target has crashed and refuses connections. Both are
+    to be ejected. INNOCENT: no target is to be ejected, since all are healthy,
+    shed load or fail alike.
     """
 
     GRAY = "gray"
@@ -137,7 +140,7 @@
 
 def _random_errors(share: float) -> Fault:
     def fault(
-        work: RequestProfile,
+        properties: RequestProfile,
         in_use: int,
         seconds_since_start: float,
         rng: random.Random,
@@ -149,7 +152,7 @@
 
 def _constant_fault(effect: Effect) -> Fault:
     def fault(
-        work: RequestProfile,
+        properties: RequestProfile,
         in_use: int,
         seconds_since_start: float,
         rng: random.Random,
@@ -160,25 +163,25 @@
 
 
 def _failing_route(
-    work: RequestProfile,
+    properties: RequestProfile,
     in_use: int,
     seconds_since_start: float,
     rng: random.Random,
 ) -> Effect:
-    return Effect(fails=work.route == 0)
+    return Effect(fails=properties.route == 0)
 
 
 def _failing_workspaces(
-    work: RequestProfile,
+    properties: RequestProfile,
     in_use: int,
     seconds_since_start: float,
     rng: random.Random,
 ) -> Effect:
-    return Effect(fails=work.workspace < 3)
+    return Effect(fails=properties.workspace < 3)
 
 
 def _slow_when_loaded(
-    work: RequestProfile,
+    properties: RequestProfile,
     in_use: int,
     seconds_since_start: float,
     rng: random.Random,
@@ -187,7 +190,7 @@
 
 
 def _cold_start(
-    work: RequestProfile,
+    properties: RequestProfile,
     in_use: int,
     seconds_since_start: float,
     rng: random.Random,
--- a/endivewind/commands/bench_control.py
+++ b/endivewind/commands/bench_control.py
@@ -50,14 +50,15 @@
     "sweep", False, "Measure several sizes and fit slopes."
 )
 _CHECK = flags.DEFINE_string(
-    "check", "", "Page with a table to compare the figures with."
+    "check", "", "Markdown file with the table to compare the figures with."
 )
 
 FULL_FLEET_NODES = 760
 REAL_NODE = "node-real"
-# Changes per target and second. On an ordinary day with 12,000 targets, 2,269
-# VMs fail or restart, with about five changes each, and all targets of 135
-# nodes move: 15,400 changes. The rate is twice that.
+# Changes of target records per target and second. On an ordinary day in a
+# fleet with 12,000 targets, 2,269 VMs fail or restart, with about five changes
+# each, and all targets of 135 nodes move to other homes: 15,400 changes a day,
+# 0.18 per second. The benchmark makes twice as many, 0.36 per second.
 CHANGES_PER_TARGET_SECOND = 0.36 / 12_000
 RESTARTED_SHARE = 0.2
 RESTART_DURATION = datetime.timedelta(seconds=10)
@@ -133,12 +134,12 @@
         raise exceptions.UsageError(f"usage: endivewind-bench {USAGE}")
     sizes = SWEEP_SIZES if _SWEEP.value else ((nodes, _TARGETS.value),)
     reports = [uvloop.run(_measure(*size)) for size in sizes]
-    found: dict[str, Any] = {
+    report: dict[str, Any] = {
         "reports": [dataclasses.asdict(item) for item in reports]
     }
     if _SWEEP.value:
-        found["slopes"] = fit_slopes(reports)
-    options.print_result(found, json.dumps(found, indent=2))
+        report["slopes"] = fit_slopes(reports)
+    options.print_result(report, json.dumps(report, indent=2))
     if _CHECK.value:
         text = pathlib.Path(_CHECK.value).read_text(encoding="utf-8")
         differences = find_differences(text, reports)
@@ -151,15 +152,15 @@
 def fit_slopes(reports: list[SizeReport]) -> dict[str, dict[str, float]]:
     """Fits each figure as a linear function of the number of nodes."""
     nodes = [item.nodes for item in reports]
-    found = {}
+    slopes = {}
     for field in dataclasses.fields(NodeLoad):
         values = [getattr(item.day, field.name) for item in reports]
         line = statistics.linear_regression(nodes, values)
-        found[field.name] = {
+        slopes[field.name] = {
             "at_0": round(line.intercept, 4),
             "per_node": round(line.slope, 6),
         }
-    return found
+    return slopes
 
 
 # On a shared machine, CPU time varies more than memory.
@@ -167,7 +168,7 @@
 
 
 def find_differences(page: str, reports: list[SizeReport]) -> list[str]:
-    """Returns the differences between the page's table and the reports.
+    """Returns the differences between a Markdown table and the reports.
 
     The rows of the table are `| nodes | targets | cpu % | RSS MB | bytes/s |`.
     """
@@ -178,11 +179,11 @@
             values = [float(cell) for cell in cells[1:6]]
             if len(values) == 5:
                 rows[int(values[0]), int(values[1])] = values[2:]
-    found = []
+    differences = []
     for report in reports:
         size = (report.nodes, report.targets)
         if size not in rows:
-            found.append(f"the page has no row for {size}")
+            differences.append(f"the page has no row for {size}")
             continue
         measured = (
             report.day.cpu_percent,
@@ -193,8 +194,10 @@
             _RELATIVE_TOLERANCES, rows[size], measured, strict=True
         ):
             if abs(new - old) > _RELATIVE_TOLERANCES[name] * old:
-                found.append(f"{size}: {name}: page {old}, measured {new:.2f}")
-    return found
+                differences.append(
+                    f"{size}: {name}: page {old}, measured {new:.2f}"
+                )
+    return differences
 
 
 def _bytes_per_second(report: SizeReport) -> float:
@@ -220,12 +223,12 @@
         fleet: control_fleet.SimulatedFleet,
         session: aiohttp.ClientSession,
         pid: int,
-        listening: dict[str, Any],
+        listening_line: dict[str, Any],
     ) -> None:
         self._fleet = fleet
         self._session = session
         self._pid = pid
-        self._listening = listening
+        self._listening_line = listening_line
         self._renewal_bytes = 0
         self._own_targets = fleet.targets_of(len(fleet.nodes))
 
@@ -251,13 +254,13 @@
             control_fleet.start_node_process(file)
         )
         assert child.stdout is not None
-        listening: dict[str, Any] = {}
-        while listening.get("message") != "listening":
-            listening = json.loads(await child.stdout.readline())
+        listening_line: dict[str, Any] = {}
+        while listening_line.get("message") != "listening":
+            listening_line = json.loads(await child.stdout.readline())
         drain = asyncio.create_task(_discard_lines(child.stdout))
         stack.callback(drain.cancel)
-        fleet.real_address = listening["nodes"]
-        return cls(fleet, session, child.pid, listening)
+        fleet.real_address = listening_line["nodes"]
+        return cls(fleet, session, child.pid, listening_line)
 
     async def run(self) -> SizeReport:
         """Measures the join, ordinary load, withdrawals and a mass restart."""
@@ -288,8 +291,10 @@
 
     @property
     def _target_count(self) -> int:
-        played = range(len(self._fleet.nodes) + 1)
-        return sum(len(self._fleet.targets_of(number)) for number in played)
+        node_numbers = range(len(self._fleet.nodes) + 1)
+        return sum(
+            len(self._fleet.targets_of(number)) for number in node_numbers
+        )
 
     async def _wait_for_complete_view(self) -> float:
         loop = asyncio.get_running_loop()
@@ -313,14 +318,14 @@
         """Measures the time until all simulated nodes know of a withdrawal."""
         loop = asyncio.get_running_loop()
         target = self._own_targets[0]
-        played = self._fleet.nodes
-        before = played[0].view.home_version(REAL_NODE).sequence
+        simulated_nodes = self._fleet.nodes
+        before = simulated_nodes[0].view.home_version(REAL_NODE).sequence
         async with self._session.delete(self._target_url(target)) as response:
             response.raise_for_status()
         start = loop.time()
         limit = start + JOIN_TIMEOUT.total_seconds()
         while self._fleet.count_nodes_knowing(REAL_NODE, before + 1) < len(
-            played
+            simulated_nodes
         ):
             if loop.time() > limit:
                 raise exceptions.UnavailableError(
@@ -371,13 +376,13 @@
         )
 
     async def _query_members(self) -> dict[str, Any]:
-        url = f"http://{self._listening['operators']}/v1/members"
+        url = f"http://{self._listening_line['operators']}/v1/members"
         async with self._session.get(url) as response:
-            found: dict[str, Any] = await response.json()
-            return found
+            members: dict[str, Any] = await response.json()
+            return members
 
     async def _is_ready(self) -> bool:
-        url = f"http://{self._listening['operators']}/readyz"
+        url = f"http://{self._listening_line['operators']}/readyz"
         async with self._session.get(url) as response:
             return response.status == 200
 
@@ -401,7 +406,7 @@
             due = max(due + period, loop.time())
 
     def _target_url(self, target: str) -> str:
-        return f"http://{self._listening['targets']}/v1/targets/{target}"
+        return f"http://{self._listening_line['targets']}/v1/targets/{target}"
 
     async def _renew_lease(self, target: str) -> None:
         body = json.dumps(
@@ -415,13 +420,19 @@
         async with self._session.put(
             self._target_url(target), data=body
         ) as response:
-            answer = await response.read()
+            response_body = await response.read()
             sent = response.request_info.headers
             got = response.raw_headers
-        lines = sum(len(key) + len(value) + 4 for key, value in sent.items())
-        lines += sum(len(key) + len(value) + 4 for key, value in got)
-        first = len(f"PUT {target} HTTP/1.1") + len("/v1/targets/HTTP/1.1 200")
-        self._renewal_bytes += lines + first + len(body) + len(answer)
+        header_bytes = sum(
+            len(key) + len(value) + 4 for key, value in sent.items()
+        )
+        header_bytes += sum(len(key) + len(value) + 4 for key, value in got)
+        start_line_bytes = len(f"PUT {target} HTTP/1.1") + len(
+            "/v1/targets/HTTP/1.1 200"
+        )
+        self._renewal_bytes += (
+            header_bytes + start_line_bytes + len(body) + len(response_body)
+        )
 
 
 def _write_settings(folder: str, url: str) -> str:
--- a/endivewind/commands/bench_decisions.py
+++ b/endivewind/commands/bench_decisions.py
@@ -31,7 +31,7 @@
 POLICIES = ("own", "consecutive-errors", "round-robin")
 
 _SCENARIO = flags.DEFINE_list(
-    "scenario", [], "Scenarios to run; default: all except those of half a day."
+    "scenario", [], "Scenarios to run; by default all but the half-day ones."
 )
 _PROFILE = flags.DEFINE_enum_class(
     "profile",
@@ -87,13 +87,13 @@
     unknown = sorted(set(_POLICIES.value) - set(POLICIES))
     if unknown:
         raise exceptions.UsageError(f"--policies: unknown {unknown}")
-    found = [
+    figures = [
         measure(scenario, policy, _PROFILE.value, seeds)
         for scenario in selected
         for policy in _POLICIES.value
     ]
     options.print_result(
-        [dataclasses.asdict(item) for item in found], _format_table(found)
+        [dataclasses.asdict(item) for item in figures], _format_table(figures)
     )
     return 0
 
@@ -166,7 +166,7 @@
     return None if value is None else round(value, 3)
 
 
-def _format_table(found: list[Figures]) -> str:
+def _format_table(figures: list[Figures]) -> str:
     titles = (
         "scenario",
         "policy",
@@ -198,7 +198,7 @@
             item.amplification,
             item.least_slots,
         )
-        for item in found
+        for item in figures
     ]
     return tables.format_table(titles, rows)
 
--- a/endivewind/commands/bench_matrix.py
+++ b/endivewind/commands/bench_matrix.py
@@ -1,6 +1,7 @@
 """endivewind-bench matrix: every fault at every step of an exchange.
 
-Runs single faults, and pairs with --pairs. Each case compares the results
+An exchange is one request on its way from the caller through the nodes to a
+target, and its response. Runs single faults, and pairs with --pairs. Each case compares the results
 that callers received with what ran. It is deterministic and uses no network.
 """
 
--- a/endivewind/commands/bench_overhead.py
+++ b/endivewind/commands/bench_overhead.py
@@ -36,7 +36,11 @@
     "saturation_seconds", 5, "Seconds of saturation on each path."
 )
 _TURNS = flags.DEFINE_integer(
-    "turns", 4, "Number of turns of each path.", lower_bound=1
+    "turns",
+    4,
+    "Number of rounds that measure each path in turn; each path gets its share"
+    " of --seconds in each of them.",
+    lower_bound=1,
 )
 flags.declare_key_flag("format")
 
@@ -44,6 +48,7 @@
 ONE_HOP = "one bare hop"
 TWO_HOPS = "two bare hops"
 AT_HOME = "endivewind at home"
+# The request enters at another node than the target's home.
 ACROSS_NODES = "endivewind across"
 
 _HOST = "overhead.example"
@@ -95,8 +100,8 @@
 
 
 async def _run_benchmark() -> int:
-    async with children.ChildProcesses() as started:
-        paths = await _start_paths(started)
+    async with children.ChildProcesses() as processes:
+        paths = await _start_paths(processes)
         async with load_generator.make_session() as session:
             await _measure_latency(session, paths)
         for path in paths:
@@ -113,12 +118,12 @@
     return 0 if all(goal["reached"] for goal in goals.values()) else 1
 
 
-async def _start_paths(started: children.ChildProcesses) -> list[Path]:
-    platform = await started.start("platform", "standin", "platform")
+async def _start_paths(processes: children.ChildProcesses) -> list[Path]:
+    platform = await processes.start("platform", "standin", "platform")
     url = f"http://{platform.listening_line['address']}"
-    home = await started.start_node(_node_settings("node-home", url))
-    entry = await started.start_node(_node_settings("node-entry", url))
-    target = await started.start(
+    home = await processes.start_node(_node_settings("node-home", url))
+    entry = await processes.start_node(_node_settings("node-entry", url))
+    target = await processes.start(
         "target",
         "standin",
         "target",
@@ -126,15 +131,17 @@
         f"--service={_SERVICE}",
         f"--nodes={home.listening_line['targets']}",
     )
-    hop = await _start_hop(started, "hop-1", target.listening_line["address"])
-    second = await _start_hop(started, "hop-2", hop.listening_line["address"])
-    for child in (platform, home, entry, target, hop, second):
+    hop = await _start_hop(processes, "hop-1", target.listening_line["address"])
+    second_hop = await _start_hop(
+        processes, "hop-2", hop.listening_line["address"]
+    )
+    for child in (platform, home, entry, target, hop, second_hop):
         child.ignore_output()
     await _submit_configuration(url)
     paths = [
         _make_path(DIRECT, target.listening_line["address"]),
         _make_path(ONE_HOP, hop.listening_line["address"]),
-        _make_path(TWO_HOPS, second.listening_line["address"]),
+        _make_path(TWO_HOPS, second_hop.listening_line["address"]),
         _make_path(AT_HOME, home.listening_line["callers"]),
         _make_path(ACROSS_NODES, entry.listening_line["callers"]),
     ]
@@ -145,9 +152,9 @@
 
 
 async def _start_hop(
-    started: children.ChildProcesses, name: str, address: str
+    processes: children.ChildProcesses, name: str, address: str
 ) -> children.ChildProcess:
-    return await started.start(
+    return await processes.start(
         name, "standin", "hop", f"--next=http://{address}"
     )
 
@@ -212,7 +219,7 @@
 
 
 async def _measure_saturation(path: Path) -> None:
-    found = await asyncio.gather(
+    load_results = await asyncio.gather(
         *(
             children.run_json_command(
                 "standin",
@@ -225,8 +232,8 @@
             for _ in range(_LOAD_PROCESSES)
         )
     )
-    path.saturation = sum(item["per_second"] for item in found)
-    path.saturation_failures = sum(item["failures"] for item in found)
+    path.saturation = sum(item["per_second"] for item in load_results)
+    path.saturation_failures = sum(item["failures"] for item in load_results)
 
 
 def check_goals(
--- a/endivewind/commands/bench_soak.py
+++ b/endivewind/commands/bench_soak.py
@@ -115,11 +115,11 @@
     if not (_SHRINK.value and outcome.findings):
         return outcome
 
-    async def is_red(smaller: schedules.Schedule) -> bool:
+    async def run_fails(smaller: schedules.Schedule) -> bool:
         outcome_again = await _make_run(smaller, folder / "shrink").execute()
         return bool(outcome_again.findings)
 
-    smallest = await schedules.shrink(schedule, is_red)
+    smallest = await schedules.shrink(schedule, run_fails)
     print(f"{len(smallest.faults)} faults remain:\n{smallest.to_json()}")
     return outcome
 
--- a/endivewind/commands/bench_spreading.py
+++ b/endivewind/commands/bench_spreading.py
@@ -35,7 +35,7 @@
 SAME_REGION_LATENCY = datetime.timedelta(milliseconds=1.5)
 CROSS_REGION_LATENCY = datetime.timedelta(milliseconds=30)
 RUN_TIMEOUT = datetime.timedelta(seconds=60)
-# Long enough that digests are most of the traffic of an idle node.
+# Covers many digest periods: an idle node sends a digest every two seconds.
 QUIET_DURATION = datetime.timedelta(seconds=30)
 INITIAL_OBJECTS = 50
 CHANGED_KEY = store.Key(store.SERVICE, "riders")
@@ -105,7 +105,11 @@
         self.stores = {name: _make_store() for name in self.members}
         self.replicators = {
             name: replication.Replicator(
-                name, member.region, self.stores[name], self._peers(name), rng
+                name,
+                member.region,
+                self.stores[name],
+                self._make_peer_provider(name),
+                rng,
             )
             for (name, member), rng in zip(
                 self.members.items(), self._make_rngs(), strict=False
@@ -114,8 +118,8 @@
         self.sent_bytes = dict.fromkeys(self.members, 0)
         self.now = datetime.timedelta()
         self.blocked_routes: set[tuple[str, str]] = set()
-        for name, core in self.replicators.items():
-            core.is_ready = True
+        for name, replicator in self.replicators.items():
+            replicator.is_ready = True
             phase = self._rng.uniform(
                 0, replication.TICK_INTERVAL.total_seconds()
             )
@@ -146,14 +150,16 @@
     def _step(self) -> None:
         seconds, _, name, message = heapq.heappop(self._queue)
         self.now = datetime.timedelta(seconds=seconds)
-        core = self.replicators[name]
+        replicator = self.replicators[name]
         if message is None:
             self._push(
                 seconds + replication.TICK_INTERVAL.total_seconds(), name, None
             )
-            self._send(name, core.tick(self.now))
+            self._send(name, replicator.tick(self.now))
         else:
-            self._send(name, core.handle_message(message, self.now).outgoing)
+            self._send(
+                name, replicator.handle_message(message, self.now).outgoing
+            )
 
     def _send(
         self, name: str, outgoing: list[replication.OutgoingMessage]
@@ -179,7 +185,7 @@
         item = (seconds, next(self._event_numbers), name, message)
         heapq.heappush(self._queue, item)
 
-    def _peers(
+    def _make_peer_provider(
         self, name: str
     ) -> collections.abc.Callable[[], list[replication.Peer]]:
         peers: list[replication.Peer] = [
@@ -218,42 +224,48 @@
 ) -> SpreadingRun:
     """Simulates one change that a single node receives from the platform.
 
-    All other watchers have lost the platform. Messages from the zone of this
-    node to the other region are lost, while those in the other direction
-    arrive, so the change has to take a path through other zones.
+    No other node gets the change from the platform, as if it were unavailable
+    to all other watchers. Messages from the zone of this node to the other
+    region are lost, while those in the other direction arrive, so the change
+    has to take a path through other zones.
     """
     key, value = changed or (CHANGED_KEY, make_service_value(5, 2))
-    cores = SimulatedReplicators(nodes, loss, seed)
-    source = next(iter(cores.members.values()))
+    simulation = SimulatedReplicators(nodes, loss, seed)
+    source = next(iter(simulation.members.values()))
     other = {region for region, _ in ZONES if region != source.region}
-    cores.blocked_routes = {(source.zone, region) for region in other}
-    cores.run_for(QUIET_DURATION)
+    simulation.blocked_routes = {(source.zone, region) for region in other}
+    simulation.run_for(QUIET_DURATION)
     quiet_bytes_per_second = (
-        statistics.mean(cores.sent_bytes.values())
+        statistics.mean(simulation.sent_bytes.values())
         / QUIET_DURATION.total_seconds()
     )
-    cores.sent_bytes = dict.fromkeys(cores.members, 0)
-    start = cores.now
-    cores.write(source.name, key, value)
-    stores = cores.stores.values()
-    pending = set(cores.members)
+    simulation.sent_bytes = dict.fromkeys(simulation.members, 0)
+    start = simulation.now
+    simulation.write(source.name, key, value)
+    stores = simulation.stores.values()
+    pending = set(simulation.members)
 
     def done() -> bool:
         while pending:
             name = next(iter(pending))
-            if cores.stores[name].version_in_force(key) != value["version"]:
+            if (
+                simulation.stores[name].version_in_force(key)
+                != value["version"]
+            ):
                 return False
             pending.discard(name)
         return all(
             item.version_in_force(key) == value["version"] for item in stores
         )
 
-    reached = cores.run_until(done)
-    seconds = (cores.now - start).total_seconds() if reached else float("inf")
+    reached = simulation.run_until(done)
+    seconds = (
+        (simulation.now - start).total_seconds() if reached else float("inf")
+    )
     return SpreadingRun(
         seconds,
-        statistics.mean(cores.sent_bytes.values()),
-        max(cores.sent_bytes.values()),
+        statistics.mean(simulation.sent_bytes.values()),
+        max(simulation.sent_bytes.values()),
         quiet_bytes_per_second,
     )
 
--- a/endivewind/commands/children.py
+++ b/endivewind/commands/children.py
@@ -125,7 +125,7 @@
     async def start(
         self,
         name: str,
-        binary: str,
+        program_module: str,
         *arguments: str,
         checkout: pathlib.Path | None = None,
     ) -> ChildProcess:
@@ -133,12 +133,12 @@
 
         Args:
           name: name in error messages.
-          binary: module of the program in commands/.
+          program_module: name of the program's module in commands/.
           *arguments: arguments of the program.
           checkout: folder whose code it runs; None runs the code of this
             process.
         """
-        process = await spawn(binary, *arguments, checkout=checkout)
+        process = await spawn(program_module, *arguments, checkout=checkout)
         child = ChildProcess(name, process)
         self._stack.push_async_callback(child.stop)
         child.listening_line = await child.wait_for_line(
@@ -163,10 +163,10 @@
 
 
 async def spawn(
-    binary: str, *arguments: str, checkout: pathlib.Path | None = None
+    program_module: str, *arguments: str, checkout: pathlib.Path | None = None
 ) -> asyncio.subprocess.Process:
     """Starts a program by its module in commands/, with piped output."""
-    code = f"from endivewind.commands import {binary}; {binary}.run()"
+    code = f"from endivewind.commands import {program_module}; {program_module}.run()"
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
@@ -179,12 +179,12 @@
     )
 
 
-async def run_json_command(binary: str, *arguments: str) -> Any:
+async def run_json_command(program_module: str, *arguments: str) -> Any:
     """Runs a program until it exits and returns its JSON output."""
-    process = await spawn(binary, *arguments)
+    process = await spawn(program_module, *arguments)
     output, _ = await process.communicate()
     if process.returncode:
         raise exceptions.EndivewindError(
-            f"{binary} exited with code {process.returncode}"
+            f"{program_module} exited with code {process.returncode}"
         )
     return json.loads(output)
--- a/endivewind/commands/control_fleet.py
+++ b/endivewind/commands/control_fleet.py
@@ -31,8 +31,9 @@
     ("andina", "andina-c"),
     ("caribe", "caribe-a"),
 )
-# The real node is alone in the fifth zone, so that it watches the platform,
-# which is the more expensive of the two roles.
+# The real node is alone in the fifth zone, so that it is that zone's watcher: it
+# watches the platform and replicates changes to the other nodes. This costs
+# more than only receiving them from other nodes.
 REAL_ZONE = ("caribe", "caribe-b")
 SERVICE_COUNT = 310
 TICK_INTERVAL = datetime.timedelta(milliseconds=100)
@@ -145,7 +146,7 @@
         self._fleet.record_received(codec.messages.Frame(configuration=message))
         if not message.digest:
             return
-        for answer in (
+        for response in (
             codec.messages.Configuration(
                 sender=self.name, ready=True, same=True
             ),
@@ -153,7 +154,7 @@
                 sender=self.name, ready=True, digest=message.digest
             ),
         ):
-            frame = codec.messages.Frame(configuration=answer)
+            frame = codec.messages.Frame(configuration=response)
             self._fleet.send_frame(self._fleet.real_address, frame)
 
     async def stop(self) -> None:
@@ -218,10 +219,10 @@
 
         The number after the last simulated node is the real node's.
         """
-        homes = len(self.nodes) + 1
+        node_count = len(self.nodes) + 1
         return [
             f"target-{index:05}"
-            for index in range(number, self._targets, homes)
+            for index in range(number, self._targets, node_count)
         ]
 
     def send_frame(self, address: str, frame: Any) -> None:
--- a/endivewind/commands/demo.py
+++ b/endivewind/commands/demo.py
@@ -60,12 +60,13 @@
 _GRAY_ERROR_SHARE = 0.5
 _REQUESTS_PER_SECOND = 100
 _START_TIMEOUT_SECONDS = 10
-# A target counts as avoided below this share of the mean number of responses. A
-# suspect target still gets occasional requests; the least used healthy target
-# had a third of the mean.
+# A target counts as avoided below this share of the mean number of responses
+# per target. A suspect target still gets occasional requests; a healthy one has
+# been seen with as few as a third of the mean.
 AVOIDED_TRAFFIC_SHARE = 0.2
-# The key whose digest is in the configuration, and the object that holds it.
+# The API key of the workspace; the configuration contains its digest.
 _WORKSPACE_KEY = "demo-key-of-the-crew"
+# Name of the configuration object that contains this digest.
 _SHARD_KEY = store.Key(store.WORKSPACE_SHARD, "camerino")
 # Concurrent requests of the workspace, several times its quota.
 _BURST_REQUESTS = 80
@@ -119,7 +120,7 @@
 
     @property
     def unknown_outcome_count(self) -> int:
-        """Number of callers not told whether their request ran."""
+        """Number of refusals that don't say whether the request ran."""
         return sum(
             count
             for reason, count in self.refused.items()
@@ -182,26 +183,27 @@
         url = "http://" + await _serve_application(
             stack, api.make_application()
         )
-        nodes = await _start_fleet(stack, url)
+        node_addresses = await _start_fleet(stack, url)
         results = CallerResults()
-        await _send_requests(nodes, results)
-        ejected = await _find_ejected(nodes)
-        keyed = await _try_workspace_key(nodes, url)
+        await _send_requests(node_addresses, results)
+        ejected = await _find_ejected(node_addresses)
+        workspace_results = await _try_workspace_key(node_addresses, url)
     value = {
         "callers": results.as_json(),
         "gray_target": _GRAY_TARGET,
         "ejected": ejected,
         "avoided": results.avoided_targets,
-        "workspace": dataclasses.asdict(keyed),
+        "workspace": dataclasses.asdict(workspace_results),
     }
     options.print_result(
-        value, format_report(results, ejected) + "\n\n" + keyed.as_table()
+        value,
+        format_report(results, ejected) + "\n\n" + workspace_results.as_table(),
     )
     without_traffic = set(ejected) | set(results.avoided_targets)
     passed = (
         not results.unknown_outcome_count
         and without_traffic == {_GRAY_TARGET}
-        and keyed.is_as_expected
+        and workspace_results.is_as_expected
     )
     return 0 if passed else 1
 
@@ -211,12 +213,14 @@
 ) -> list[node.Addresses]:
     await _submit_configuration(url)
     members = [_make_node(name, zone, url) for name, zone in _NODES]
-    nodes = [await member.start() for member in members]
+    node_addresses = [await member.start() for member in members]
     stack.push_async_callback(_stop_nodes, members)
     for number, name in enumerate(_TARGETS):
-        await _start_target(stack, name, nodes[number % len(nodes)].targets)
-    await _wait_for_targets(nodes)
-    return nodes
+        await _start_target(
+            stack, name, node_addresses[number % len(node_addresses)].targets
+        )
+    await _wait_for_targets(node_addresses)
+    return node_addresses
 
 
 async def _serve_application(
@@ -274,11 +278,11 @@
         await task
 
 
-async def _wait_for_targets(nodes: list[node.Addresses]) -> None:
+async def _wait_for_targets(node_addresses: list[node.Addresses]) -> None:
     try:
         async with asyncio.timeout(_START_TIMEOUT_SECONDS):
             while True:
-                known = [await _get_status(item) for item in nodes]
+                known = [await _get_status(item) for item in node_addresses]
                 if all(len(item["targets"]) == len(_TARGETS) for item in known):
                     return
                 await asyncio.sleep(0.05)
@@ -296,7 +300,7 @@
 
 
 async def _send_requests(
-    nodes: list[node.Addresses], results: CallerResults
+    node_addresses: list[node.Addresses], results: CallerResults
 ) -> None:
     """Sends requests at a fixed rate, alternating between the nodes."""
     start = time.monotonic()
@@ -307,7 +311,7 @@
             await asyncio.sleep(
                 start + number / _REQUESTS_PER_SECOND - time.monotonic()
             )
-            address = nodes[number % len(nodes)].callers
+            address = node_addresses[number % len(node_addresses)].callers
             early = number < total // 2
             calls.append(
                 asyncio.create_task(
@@ -339,22 +343,26 @@
 
 
 async def _try_workspace_key(
-    nodes: list[node.Addresses], url: str
+    node_addresses: list[node.Addresses], url: str
 ) -> WorkspaceResults:
     """Sends requests with and without a key, then revokes the key."""
     async with aiohttp.ClientSession() as session:
-        without_key = await _request_plan(session, nodes[0], "")
-        with_key = await _request_plan(session, nodes[0], _WORKSPACE_KEY)
+        without_key = await _get_plan_status(session, node_addresses[0], "")
+        with_key = await _get_plan_status(
+            session, node_addresses[0], _WORKSPACE_KEY
+        )
         burst = await asyncio.gather(
             *(
-                _request_plan(
-                    session, nodes[number % len(nodes)], _WORKSPACE_KEY
+                _get_plan_status(
+                    session,
+                    node_addresses[number % len(node_addresses)],
+                    _WORKSPACE_KEY,
                 )
                 for number in range(_BURST_REQUESTS)
             )
         )
         await _revoke_key(url, session)
-        revoked = await _wait_for_revocation(session, nodes)
+        revoked = await _wait_for_revocation(session, node_addresses)
     over_quota = burst.count(_TOO_MANY_REQUESTS)
     return WorkspaceResults(
         without_key, with_key, len(burst) - over_quota, over_quota, revoked
@@ -362,7 +370,7 @@
 
 
 async def _wait_for_revocation(
-    session: aiohttp.ClientSession, nodes: list[node.Addresses]
+    session: aiohttp.ClientSession, node_addresses: list[node.Addresses]
 ) -> int:
     """Returns 401 once all nodes reject the key, else a status still seen."""
     found: set[int] = set()
@@ -371,13 +379,13 @@
             while found != {_UNAUTHORIZED}:
                 await asyncio.sleep(0.1)
                 found = {
-                    await _request_plan(session, item, _WORKSPACE_KEY)
-                    for item in nodes
+                    await _get_plan_status(session, item, _WORKSPACE_KEY)
+                    for item in node_addresses
                 }
     return min(found - {_UNAUTHORIZED}, default=_UNAUTHORIZED)
 
 
-async def _request_plan(
+async def _get_plan_status(
     session: aiohttp.ClientSession, addresses: node.Addresses, key: str
 ) -> int:
     """Returns the status of a request to a route that requires a key."""
@@ -402,10 +410,10 @@
         raise exceptions.UnavailableError(str(written.error))
 
 
-async def _find_ejected(nodes: list[node.Addresses]) -> dict[str, str]:
+async def _find_ejected(node_addresses: list[node.Addresses]) -> dict[str, str]:
     """Returns ejected targets by id, with the reason given by their home."""
     ejected: dict[str, str] = {}
-    for addresses in nodes:
+    for addresses in node_addresses:
         status = await _get_status(addresses)
         for item in status["targets"]:
             if item["health"] != "normal" and item["home"] == status["node"]:
--- a/endivewind/commands/diff.py
+++ b/endivewind/commands/diff.py
@@ -1,10 +1,10 @@
 """endivewind diff: shows what submitting a file would change.
 
-An object that the file holds in an earlier state is shown as "kept": another
-operator has changed it since, and submit leaves it as it is. With
---base=FILE, the file as it was before editing, an object that both operators
-changed is shown as "refused", with both changes. The exit code is 1 if
-anything differs and 0 otherwise.
+An object is shown as "kept" if the file holds a state of it that was on the
+platform before the present one: another operator has changed it since, and
+submit keeps it as it is on the platform. With --base=FILE, the file as it was
+before editing, an object that both operators changed is shown as "refused",
+with both changes. The exit code is 1 if anything differs and 0 otherwise.
 """
 
 from absl import flags
--- a/endivewind/commands/explain.py
+++ b/endivewind/commands/explain.py
@@ -108,7 +108,9 @@
     fields = call.line.fields
     clock_note = ""
     if call.clock_offset:
-        clock_note = f" (clock moved by {_milliseconds(call.clock_offset)} ms)"
+        clock_note = (
+            f" (times shifted by {_milliseconds(call.clock_offset)} ms)"
+        )
     results = ", ".join(
         f"{item.target} {item.result}" for item in call.attempts
     )
--- a/endivewind/commands/node.py
+++ b/endivewind/commands/node.py
@@ -39,7 +39,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Runs a node until it is told to shut down."""
+    """Runs a node until it is signalled to shut down."""
     if arguments or _SETTINGS.value is None:
         raise exceptions.UsageError(f"usage: {USAGE}")
     loaded = base.load_file(_SETTINGS.value, settings.NodeSettings)
--- a/endivewind/commands/submit.py
+++ b/endivewind/commands/submit.py
@@ -1,11 +1,13 @@
 """endivewind submit: writes a configuration file to the platform.
 
-Each object that differs is written by a conditional update. An object that
-the file holds in an earlier state is kept: another operator has changed it
-since. With --base=FILE, the file as it was before editing, nothing is written
-if both operators changed the same object; the differences are shown. If a
-response is lost, the operation id shows whether the write took effect, so
-that nothing is written twice.
+Each object that differs is written by a conditional update. If the file holds
+a state of an object that was on the platform before the present one, the
+object is kept as it is on the platform: another operator has changed it since.
+Earlier states are recognised by fingerprints stored with the object. With
+--base=FILE, the file as it was before editing, nothing is written if both
+operators changed the same object; the differences are shown. If a response is
+lost, the operation id shows whether the write took effect, so that nothing is
+written twice.
 
 --wait queries the nodes, through the operator address of one of them, until
 the change is in force on all known nodes. The exit code is 1 if anything was
@@ -36,7 +38,7 @@
 from endivewind.durable import conditional_writes
 from endivewind.durable import membership
 from endivewind.durable import retries
-from endivewind.operators import configuration as operators
+from endivewind.operators import configuration as configuration_query
 from endivewind.platform import client
 
 USAGE = (
@@ -226,7 +228,7 @@
     )
     results = await submission.run(steps)
     wait_result = None
-    versions = _written_versions(results)
+    versions = _expected_versions(results)
     if _WAIT.value and versions:
         wait_result = await _wait_until_in_force(platform, versions)
     value = {
@@ -267,7 +269,7 @@
     return item.step.current.version
 
 
-def _written_versions(results: list[ObjectResult]) -> dict[str, int]:
+def _expected_versions(results: list[ObjectResult]) -> dict[str, int]:
     return {
         str(item.step.key): _result_version(item)
         for item in results
@@ -352,7 +354,7 @@
     query = [("object", name) for name in versions][:_MAX_OBJECTS_PER_QUERY]
     problem = ""
     for address in options.OPERATORS.value:
-        url = f"http://{address}{operators.PATH}"
+        url = f"http://{address}{configuration_query.PATH}"
         try:
             async with session.get(url, params=query) as response:
                 response.raise_for_status()
--- a/endivewind/commands/watch.py
+++ b/endivewind/commands/watch.py
@@ -78,7 +78,9 @@
                 printer.print_change(item)
             revision = found.ok.revision
             continue
-        # Listing is retried with backoff while the platform is unavailable.
+        # The listing gives the revision to continue from if the old one was
+        # compacted. After other failures it only serves to wait: it is
+        # retried with backoff until the platform is available again.
         listing = await submissions.list_objects(platform, kind)
         if found.error.failure is messages.Failure.COMPACTED:
             print("# some changes may be missing here", flush=True)
--- a/endivewind/soak/callers.py
+++ b/endivewind/soak/callers.py
@@ -155,7 +155,7 @@
             _seconds_since(run_start),
             status,
             outcome,
-            _streamed_work_id(body, work_id)
+            _work_id_if_complete(body, work_id)
             if is_streamed
             else _work_id_in(body),
             was_cut,
@@ -167,8 +167,11 @@
     return asyncio.get_running_loop().time() - run_start
 
 
-def _streamed_work_id(body: bytes, work_id: str) -> str:
-    """Returns the work id if the stream is complete; it contains no id."""
+def _work_id_if_complete(body: bytes, work_id: str) -> str:
+    """Returns the given work id if the body is complete, else an empty string.
+
+    A streamed body contains no work id, so only its length is checked.
+    """
     expected_bytes = target.CHUNK_BYTES * target.STREAM_CHUNKS
     return work_id if len(body) == expected_bytes else ""
 
--- a/endivewind/soak/checks.py
+++ b/endivewind/soak/checks.py
@@ -67,7 +67,7 @@
     streamed: bool = False
 
 
-# Value of Outage.node: the outage affects the callers of all nodes.
+# Value of Outage.node: the outage may break streamed responses of all nodes.
 ANY_NODE = ""
 
 
@@ -76,9 +76,11 @@
     """A period in which a node's callers may lose their connections.
 
     Attributes:
-      node: a node that was killed; ANY_NODE if a link, a home or a target
-        failed. An entry node must not end a streamed response through these
-        as if it were complete, so it closes the caller's connection.
+      node: the node that was killed, which breaks all connections of its
+        callers; STREAMS_AT_ALL_NODES if a link, a home or a target failed.
+        An entry node that streams a response over a failed link, or from a
+        failed home or target, closes the caller's connection, since it must
+        not end the response as if it were complete.
       started_at: in seconds after the start of the run.
       ended_at: in seconds after the start of the run.
     """
@@ -88,28 +90,29 @@
     ended_at: float
 
 
-# A request that is sent while the process closes its keep-alive connections
-# may be lost; the caller then knows that it was not run.
+# A request that is sent while a stopping process closes its keep-alive
+# connections may be lost before the process reads it, so that it is not run. A
+# request whose connection breaks within this time is taken for such a one.
 KEEPALIVE_CLOSE_SECONDS = 0.2
 
 
 def check_requests(
-    told: collections.abc.Iterable[RequestRecord],
-    runs: collections.Counter[str],
+    records: collections.abc.Iterable[RequestRecord],
+    run_counts: collections.Counter[str],
     outages: collections.abc.Sequence[Outage],
 ) -> list[Finding]:
     """Checks each request against what the targets ran.
 
     Args:
-      told: records of all callers.
-      runs: number of runs of each work id, over all incarnations of all
+      records: records of all callers.
+      run_counts: number of runs of each work id, over all incarnations of all
         targets.
       outages: periods with unplanned failures; other stops were graceful.
     """
     return [
         finding
-        for item in told
-        for finding in _check_request(item, runs[item.work], outages)
+        for item in records
+        for finding in _check_request(item, run_counts[item.work], outages)
     ]
 
 
@@ -170,14 +173,14 @@
 
 
 def check_retries(
-    told: collections.abc.Iterable[RequestRecord],
-    runs: collections.Counter[str],
+    records: collections.abc.Iterable[RequestRecord],
+    run_counts: collections.Counter[str],
     share: float,
     reserve: float,
 ) -> list[Finding]:
     """Checks that the repeated runs of requests stay within the budget."""
-    work_ids = [item.work for item in told]
-    repeated_runs = sum(max(0, runs[work] - 1) for work in work_ids)
+    work_ids = [item.work for item in records]
+    repeated_runs = sum(max(0, run_counts[work] - 1) for work in work_ids)
     limit = share * len(work_ids) + reserve
     if repeated_runs <= limit:
         return []
--- a/endivewind/soak/fleets.py
+++ b/endivewind/soak/fleets.py
@@ -20,8 +20,9 @@
 from endivewind.soak import schedules
 from endivewind.standins import relay
 
-# Restarted processes bind their old ports. Outgoing connections leave
-# from another address, so they can't take these ports meanwhile.
+# A restarted process binds its old ports again. Outgoing connections use
+# 127.0.0.1 as their local address, so that none of them can occupy these ports
+# while the process is down.
 LISTEN_ADDRESS = "127.0.0.2"
 ZONES = ("andina-a", "andina-b", "caribe-a", "caribe-a")
 SERVICE = "ledger"
@@ -210,15 +211,17 @@
         self._children.write_settings(self._settings[name])
         self.processes[name].send_signal(signal.SIGHUP)
 
-    async def submit(self, configuration: dict[str, Any], name: str) -> None:
+    async def submit(
+        self, configuration: dict[str, Any], file_stem: str
+    ) -> None:
         """Submits by the command line; conflicts and failures are ignored."""
-        file = self._folder / f"{name}.yaml"
+        file = self._folder / f"{file_stem}.yaml"
         file.write_text(yaml.safe_dump(configuration))
         process = await children.spawn(
             "main", "submit", str(file), f"--platform={self.platform_url}"
         )
         output, _ = await process.communicate()
-        (self._folder / f"{name}.out").write_bytes(output)
+        (self._folder / f"{file_stem}.out").write_bytes(output)
 
     async def call_platform_control(self, action: str) -> None:
         """Calls a control path of the platform stand-in."""
--- a/endivewind/soak/runs.py
+++ b/endivewind/soak/runs.py
@@ -27,12 +27,13 @@
 
 CALLER_COUNT = 6
 POLL_INTERVAL_SECONDS = 0.5
-# Time to recover after the last fault: a target's lease lasts two seconds, the
-# suspicion of a node four, and a repair comes after ten.
+# Time to recover after the last fault. A target's lease lasts two seconds, a
+# suspected node counts as dead after four, and nodes that lost contact try to
+# reach each other every ten.
 RECOVERY_TIMEOUT_SECONDS = 25.0
 PROBES_PER_NODE = 20
-# A silent link or target is detected after some seconds, even if the fault has
-# ended before.
+# A silent link or target is detected after some seconds. A short fault may end
+# before that, so its effects on callers last until this long after its end.
 DETECTION_SECONDS = 4.0
 _STREAM_BREAKING_KINDS = frozenset(
     {
@@ -127,10 +128,10 @@
             await fleet.start()
             await self._wait_for_recovery()
             self._findings.clear()
-            told = await self._run_with_faults()
+            records = await self._run_with_faults()
             await self._wait_for_recovery()
             await self._wait_for_agreement()
-            return self._check(told)
+            return self._check(records)
 
     async def _run_with_faults(self) -> list[checks.RequestRecord]:
         rng = random.Random(self._schedule.seed)
@@ -153,7 +154,7 @@
             item.stop()
         await asyncio.gather(*tasks)
         recording.cancel()
-        return [told for item in all_callers for told in item.records]
+        return [record for item in all_callers for record in item.records]
 
     async def _inject_fault(self, fault: schedules.Fault) -> None:
         """Starts one fault at its time and ends it after its duration."""
@@ -323,13 +324,13 @@
         end = self._now() + RECOVERY_TIMEOUT_SECONDS
         failure = "no probe was sent"
         while self._now() < end:
-            failure = await self._probe()
+            failure = await self._find_failed_lookup()
             if not failure:
                 return
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
         self._add_finding(checks.Guarantee.RECOVERY, failure)
 
-    async def _probe(self) -> str:
+    async def _find_failed_lookup(self) -> str:
         """Returns the first failed look-up at any node, or an empty string."""
         timeout = aiohttp.ClientTimeout(total=4)
         async with aiohttp.ClientSession(timeout=timeout) as session:
@@ -360,27 +361,29 @@
                 await asyncio.sleep(POLL_INTERVAL_SECONDS)
         self._add_finding(checks.Guarantee.CONVERGENCE, json.dumps(versions))
 
-    def _check(self, told: list[checks.RequestRecord]) -> RunResult:
-        runs = self._fleet.run_counts
+    def _check(self, records: list[checks.RequestRecord]) -> RunResult:
+        run_counts = self._fleet.run_counts
         findings = [
             *self._findings,
-            *checks.check_requests(told, runs, self._outages),
+            *checks.check_requests(records, run_counts, self._outages),
             *checks.check_versions(self._versions),
             *checks.check_retries(
-                told,
-                runs,
+                records,
+                run_counts,
                 fleets.RETRY_PERCENT / 100,
                 # The reserve applies to each window of ten seconds.
                 fleets.RETRY_RESERVE * (1 + self._schedule.seconds / 10),
             ),
         ]
-        lines = [json.dumps(dataclasses.asdict(item)) for item in told]
+        lines = [json.dumps(dataclasses.asdict(item)) for item in records]
         (self._folder / "told.jsonl").write_text("\n".join(lines))
-        answered = sum(item.status == 200 for item in told)
-        return RunResult(self._schedule, len(told), answered, tuple(findings))
+        answered_count = sum(item.status == 200 for item in records)
+        return RunResult(
+            self._schedule, len(records), answered_count, tuple(findings)
+        )
 
-    def _add_finding(self, promise: checks.Guarantee, detail: str) -> None:
-        self._findings.append(checks.Finding(promise, detail))
+    def _add_finding(self, guarantee: checks.Guarantee, detail: str) -> None:
+        self._findings.append(checks.Finding(guarantee, detail))
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time() - self._run_start
--- a/endivewind/soak/schedules.py
+++ b/endivewind/soak/schedules.py
@@ -18,9 +18,9 @@
     A stopped or killed process is restarted when the fault ends, a paused one
     is resumed. LINK_*: faults of the relay in front of one node's address for
     other nodes; DEAF drops bytes to the node, MUTE bytes from it.
-    PLATFORM_*: faults of the platform stand-in; FORGETS discards its log of
-    writes, EMPTIES the whole store, and RESTORES restores the state at the
-    start of the run. SUBMIT_RACE: two operators submit concurrently.
+    PLATFORM_*: faults of the platform stand-in. FORGETS discards its log of
+    writes. EMPTIES discards the whole store. RESTORES restores the state at
+    the start of the run. SUBMIT_RACE: two operators submit concurrently.
     """
 
     NODE_STOPS = "node-stops"
@@ -153,7 +153,7 @@
 
 async def shrink(
     schedule: Schedule,
-    is_red: collections.abc.Callable[
+    run_fails: collections.abc.Callable[
         [Schedule], collections.abc.Awaitable[bool]
     ],
 ) -> Schedule:
@@ -161,7 +161,7 @@
     index = 0
     while index < len(schedule.faults):
         smaller = schedule.without(index)
-        if await is_red(smaller):
+        if await run_fails(smaller):
             schedule = smaller
         else:
             index += 1
--- a/endivewind/standins/fault_matrix.py
+++ b/endivewind/standins/fault_matrix.py
@@ -20,8 +20,8 @@
     """Result of one run of the matrix.
 
     Attributes:
-      cells: number of cases run.
-      red: cases that violated a guarantee, each with the violation.
+      cases: number of cases run.
+      violations: cases that violated a guarantee, each with the violation.
       unreached: number of cases in which a fault was never triggered.
     """
 
@@ -32,40 +32,40 @@
 
 def single_faults() -> collections.abc.Iterator[tuple[InjectedFault, ...]]:
     """Yields each fault at each step."""
-    for cell in itertools.product(
+    for injected_fault in itertools.product(
         simulated_cluster.ExchangeStep, simulated_cluster.Fault
     ):
-        yield (cell,)
+        yield (injected_fault,)
 
 
 def fault_pairs() -> collections.abc.Iterator[tuple[InjectedFault, ...]]:
     """Yields each pair of faults at two different steps."""
-    cells = itertools.product(
+    injected_faults = itertools.product(
         simulated_cluster.ExchangeStep, simulated_cluster.Fault
     )
-    for first, second in itertools.combinations(cells, 2):
+    for first, second in itertools.combinations(injected_faults, 2):
         if first[0] != second[0]:
             yield (first, second)
 
 
 def run_matrix(
-    cells: collections.abc.Iterable[tuple[InjectedFault, ...]],
+    cases: collections.abc.Iterable[tuple[InjectedFault, ...]],
 ) -> MatrixResult:
     """Runs each case in a simulated cluster of its own."""
-    red = []
+    violations = []
     count = 0
     unreached = 0
-    for cell in cells:
+    for case in cases:
         count += 1
-        violation, untriggered = run_case(cell)
+        violation, untriggered = run_case(case)
         if violation:
-            name = " + ".join(f"{step}:{fault}" for step, fault in cell)
-            red.append(f"{name}: {violation}")
+            name = " + ".join(f"{step}:{fault}" for step, fault in case)
+            violations.append(f"{name}: {violation}")
         unreached += bool(untriggered)
-    return MatrixResult(count, tuple(red), unreached)
+    return MatrixResult(count, tuple(violations), unreached)
 
 
-def run_case(cell: tuple[InjectedFault, ...]) -> tuple[str, int]:
+def run_case(case: tuple[InjectedFault, ...]) -> tuple[str, int]:
     """Runs one non-idempotent request with the faults in two topologies.
 
     First the entry node, the issuer of the ticket and the home are three
@@ -76,34 +76,41 @@
       The violated guarantee, or an empty string; and the number of faults
       that were not triggered in the topology of three nodes.
     """
-    violation, untriggered = _run_cell(cell, *simulated_cluster.ENTRY_NODES)
+    violation, untriggered = _run_in_topology(
+        case, *simulated_cluster.ENTRY_NODES
+    )
     if not violation:
-        violation, _ = _run_cell(
-            cell,
+        violation, _ = _run_in_topology(
+            case,
             simulated_cluster.HOME_NODES[0],
             simulated_cluster.HOME_NODES[0],
         )
     return violation, untriggered
 
 
-def _run_cell(
-    cell: tuple[InjectedFault, ...], issuer: str, entry: str
+def _run_in_topology(
+    case: tuple[InjectedFault, ...], issuer: str, entry: str
 ) -> tuple[str, int]:
-    """Sends two requests, resends one to every node, then both once more."""
+    """Sends two requests with the faults and checks the guarantees.
+
+    The first request, which the faults hit, is then resent to every node with
+    its ticket, as its caller may do. After all requests have ended, both are
+    sent once more, and the guarantees are checked again.
+    """
     cluster = simulated_cluster.SimulatedCluster(virtual_loop.VirtualLoop())
     try:
-        key = cluster.issue_key(issuer)
-        other = cluster.issue_key(entry)
-        cluster.faults.update(cell)
-        cluster.run(_send_and_wait(cluster, entry, key))
-        cluster.run(_send_and_wait(cluster, issuer, other))
+        ticket = cluster.issue_key(issuer)
+        other_ticket = cluster.issue_key(entry)
+        cluster.faults.update(case)
+        cluster.run(_send_and_wait(cluster, entry, ticket))
+        cluster.run(_send_and_wait(cluster, issuer, other_ticket))
         untriggered = len(cluster.faults)
         for name in cluster.node_names:
             cluster.announce_node(name)
-            cluster.run(_send_and_wait(cluster, name, key))
+            cluster.run(_send_and_wait(cluster, name, ticket))
         cluster.check_guarantees()
         cluster.settle()
-        for sent in (key, other):
+        for sent in (ticket, other_ticket):
             cluster.run(_send_and_wait(cluster, issuer, sent))
         cluster.check_guarantees()
     except simulated_cluster.GuaranteeViolation as error:
@@ -114,9 +121,9 @@
 
 
 async def _send_and_wait(
-    cluster: simulated_cluster.SimulatedCluster, entry: str, key: str
+    cluster: simulated_cluster.SimulatedCluster, entry: str, ticket: str
 ) -> None:
-    task = cluster.send(entry, key)
+    task = cluster.send(entry, ticket)
     await asyncio.wait([task])
     # A crash of the node closes the connections of its callers.
     if not task.cancelled():
--- a/endivewind/standins/platform.py
+++ b/endivewind/standins/platform.py
@@ -41,7 +41,11 @@
 
     @property
     def change_event(self) -> asyncio.Event:
-        """Event set by the next write, which also replaces it by a new one."""
+        """Event that is set at the next change of the store.
+
+        Writes, restore and compact change it. Each change sets the event and
+        replaces it by a new one for the following change.
+        """
         return self._change_event
 
     def copy(self) -> "ObjectStore":
--- a/endivewind/standins/relay.py
+++ b/endivewind/standins/relay.py
@@ -58,7 +58,7 @@
         port = self._server.sockets[0].getsockname()[1]
         loop = asyncio.get_running_loop()
         self._datagram_transport, _ = await loop.create_datagram_endpoint(
-            lambda: _Datagrams(self), local_addr=("127.0.0.1", port)
+            lambda: _DatagramForwarder(self), local_addr=("127.0.0.1", port)
         )
         return self
 
@@ -113,9 +113,9 @@
         has_lost_bytes = False
         try:
             while data := await reader.read(65_536):
-                # TCP never delivers bytes after a gap: once bytes were lost,
-                # this direction of the connection stays silent, even when
-                # new connections pass again.
+                # TCP never delivers bytes after a gap. Once bytes were lost,
+                # this direction of the connection stays silent for good, also
+                # when the mode is PASS again. New connections then work.
                 has_lost_bytes = has_lost_bytes or mode() is DirectionMode.DROP
                 if has_lost_bytes:
                     self.loss_event.set()
@@ -145,7 +145,7 @@
     await writer.drain()
 
 
-class _Datagrams(asyncio.DatagramProtocol):
+class _DatagramForwarder(asyncio.DatagramProtocol):
     """Forwards datagrams to the upstream and its replies to the senders.
 
     Each sender has its own socket to the upstream, so that replies can be
--- a/endivewind/standins/simulated_cluster.py
+++ b/endivewind/standins/simulated_cluster.py
@@ -56,7 +56,11 @@
 
 
 class ExchangeStep(enum.StrEnum):
-    """A step of an exchange at which a fault can be injected."""
+    """A step of an exchange at which a fault can be injected.
+
+    An exchange is one request on its way from the caller through the nodes to
+    a target, and its response.
+    """
 
     ISSUER_CONNECT = "issuer-connect"
     ISSUER_REQUEST = "issuer-request"
@@ -73,13 +77,16 @@
 class Fault(enum.StrEnum):
     """What happens at a step.
 
-    DROP and TRUNCATE break the connection and lose the message. CROSS breaks
-    it, too, but a request over a link is still delivered. DUPLICATE delivers
-    a request over a link twice; DELAY delivers a message later. PARTITION and
-    SILENCE deliver nothing while the connection stays open; so does PAUSE,
-    but the receiver handles a request after its pause. CRASH crashes the
-    receiver. A fault that does not apply to a step has no effect there. At the
-    step CALLER_RESPONSE, every fault makes the caller disconnect.
+    DROP, TRUNCATE: the connection breaks and the message is lost.
+    CROSS: as DROP, but a request over a link is still delivered.
+    DUPLICATE: a request over a link is delivered twice.
+    DELAY: the message is delivered later.
+    PARTITION, SILENCE: nothing is delivered; the connection stays open.
+    PAUSE: as SILENCE, but a request is delivered after the receiver's pause.
+    CRASH: the receiver crashes.
+
+    A fault that does not apply to a step has no effect there. At the step
+    CALLER_RESPONSE, every fault makes the caller disconnect.
     """
 
     DROP = "drop"
@@ -104,7 +111,7 @@
 
     connect: ExchangeStep
     request: ExchangeStep
-    answer: ExchangeStep
+    response: ExchangeStep
 
 
 _ISSUER_STEPS = _LinkSteps(
@@ -121,11 +128,11 @@
 
 @dataclasses.dataclass(slots=True)
 class WorkRecord:
-    """The work of one key and the results that its callers received.
+    """The work of one ticket and the results that its callers received.
 
     Attributes:
-      work: id of the work.
-      results: results of the requests sent with the key.
+      work_id: id of the work.
+      results: results of the requests sent with the ticket.
     """
 
     work_id: str
@@ -157,14 +164,14 @@
         self.run(asyncio.sleep(LEASE_RENEWAL_SECONDS))
 
     def announce_node(self, name: str) -> None:
-        """Tells all nodes a node's present incarnation and its target."""
+        """Announces a node's current incarnation and target to all nodes."""
         member = self.nodes[name]
         for node in self.nodes.values():
             node.add_node(member)
             member.add_node(node)
 
     def crash(self, name: str) -> None:
-        """Crashes a node and restarts it, without telling the other nodes."""
+        """Crashes a node and restarts it, without informing the other nodes."""
         self.nodes[name].crash()
         fresh = Member(self, name, next(self._counter))
         self.nodes[name] = fresh
@@ -176,15 +183,15 @@
         return self.faults.pop(step, None)
 
     def issue_key(self, entry: str) -> str:
-        """Issues a new key (a ticket) at a node and assigns work to it."""
-        key = self.nodes[entry].ticketing.issue("boat")
-        self.work_by_key[key] = WorkRecord(f"work-{next(self._counter)}")
-        return key
+        """Issues a new ticket at a node and assigns work to it."""
+        ticket = self.nodes[entry].ticketing.issue("boat")
+        self.work_by_key[ticket] = WorkRecord(f"work-{next(self._counter)}")
+        return ticket
 
-    def send(self, entry: str, key: str) -> asyncio.Task[Any]:
-        """Sends the work of a key to a node, as a caller does."""
+    def send(self, entry: str, ticket: str) -> asyncio.Task[Any]:
+        """Sends the work of a ticket to a node, as a caller does."""
         member = self.nodes[entry]
-        return member.start_task(self._send(member, key))
+        return member.start_task(self._send(member, ticket))
 
     def settle(self) -> None:
         """Lets time pass until all pending requests have ended."""
@@ -211,15 +218,15 @@
         Raises:
           GuaranteeViolation: work ran twice, or a result is false.
         """
-        for key, record in self.work_by_key.items():
+        for ticket, record in self.work_by_key.items():
             runs = self.runs[record.work_id]
             if runs > 1:
                 raise GuaranteeViolation(f"{record.work_id} ran {runs} times")
             for result in record.results:
-                _check_result(record, result, runs, key)
+                _check_result(record, result, runs, ticket)
 
-    async def _send(self, member: "Member", key: str) -> None:
-        record = self.work_by_key[key]
+    async def _send(self, member: "Member", ticket: str) -> None:
+        record = self.work_by_key[ticket]
         head = exchange.RequestHead(
             request_id=record.work_id,
             method="POST",
@@ -228,7 +235,7 @@
             service=SERVICE,
             workspace="boat",
             remaining_time=DEADLINE,
-            ticket=key,
+            ticket=ticket,
         )
         body = exchange.RequestBody(record.work_id.encode())
         sending = member.ticketing.serve(ROUTE, head, body)
@@ -242,7 +249,7 @@
 
 
 def _check_result(
-    record: WorkRecord, result: ResponseResult, runs: int, key: str
+    record: WorkRecord, result: ResponseResult, runs: int, ticket: str
 ) -> None:
     if result.is_ok():
         if result.ok.body != record.work_id.encode():
@@ -257,7 +264,7 @@
     outcome = result.error.outcome
     if outcome is exchange.ExecutionOutcome.NOT_RUN and runs:
         raise GuaranteeViolation(
-            f"{record.work_id} ran after {result.error} ({key})"
+            f"{record.work_id} ran after {result.error} ({ticket})"
         )
     if outcome is exchange.ExecutionOutcome.RAN and runs != 1:
         raise GuaranteeViolation(
@@ -269,9 +276,9 @@
     """One incarnation of a node; homes have one target."""
 
     def __init__(
-        self, world: SimulatedCluster, name: str, incarnation: int
+        self, cluster: SimulatedCluster, name: str, incarnation: int
     ) -> None:
-        self._world = world
+        self._cluster = cluster
         self.name = name
         self.is_alive = True
         self.record = view.NodeRecord(name, incarnation, name, "r", "z")
@@ -279,31 +286,31 @@
         self._tasks: set[asyncio.Task[Any]] = set()
         rng = random.Random(incarnation)
         identity = registry.HomeIdentity(name, incarnation, "r", "z")
-        self.targets = registry.TargetRegistry(identity, world.clock)
-        session = cast(aiohttp.ClientSession, _FaultySession(world))
+        self.targets = registry.TargetRegistry(identity, cluster.clock)
+        session = cast(aiohttp.ClientSession, _FaultySession(cluster))
         self.dispatcher = dispatch.Dispatcher(
             self.targets,
             session,
             session,
-            world.clock,
+            cluster.clock,
             dispatch.NullObserver(),
             attempt_log.AttemptLog(),
         )
-        pool = cast(links.LinkPool, _FaultyLinkPool(world, self))
-        served = gateway.Gateway(
+        pool = cast(links.LinkPool, _FaultyLinkPool(cluster, self))
+        node_gateway = gateway.Gateway(
             name,
             placement.Placement(
                 placement.Locality(name, "r", "z"),
                 self.fleet,
                 lambda service: 0,
-                world.clock,
+                cluster.clock,
                 rng,
             ),
             store.ConfigurationStore(),
             self.fleet,
             self.dispatcher,
             pool,
-            world.clock,
+            cluster.clock,
         )
         nonces = itertools.count()
         issuer = tickets.Issuer(
@@ -315,10 +322,10 @@
         self.ticketing = ticketing.TicketHandler(
             issuer,
             ticket_store.TicketStore(kept_answer_bytes=_MAX_KEPT_BYTES),
-            served,
+            node_gateway,
             self.fleet,
             pool,
-            world.clock,
+            cluster.clock,
             _MAX_KEPT_BYTES,
         )
         if name in HOME_NODES:
@@ -362,7 +369,7 @@
         self, work: collections.abc.Coroutine[Any, Any, Any]
     ) -> asyncio.Task[Any]:
         """Starts a task that ends with this incarnation of the node."""
-        task = self._world.loop.create_task(work)
+        task = self._cluster.loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -381,10 +388,14 @@
 
 
 class _FaultyLinkPool:
-    """A fake links.LinkPool that injects faults and returns its results."""
+    """A fake links.LinkPool that injects faults.
+
+    It calls the receiving node directly. After a fault it returns the refusal
+    that the real links.LinkPool returns.
+    """
 
-    def __init__(self, world: SimulatedCluster, owner: Member) -> None:
-        self._world = world
+    def __init__(self, cluster: SimulatedCluster, owner: Member) -> None:
+        self._cluster = cluster
         self._owner = owner
 
     async def forward(
@@ -431,7 +442,7 @@
         deliver: Deliver,
         failures: links.FailureRefusals,
     ) -> ResponseResult:
-        match self._world.take_fault(steps.connect):
+        match self._cluster.take_fault(steps.connect):
             case None | Fault.DUPLICATE | Fault.CROSS | Fault.TRUNCATE:
                 pass
             case Fault.DELAY:
@@ -439,7 +450,7 @@
             case Fault.DROP:
                 return expression.Error(failures.connect_failed("refused"))
             case Fault.CRASH:
-                self._world.crash(name)
+                self._cluster.crash(name)
                 return expression.Error(failures.connect_failed("refused"))
             case _:
                 await asyncio.sleep(links.CONNECT_TIMEOUT.total_seconds())
@@ -453,17 +464,17 @@
         self, name: str, steps: _LinkSteps, deliver: Deliver
     ) -> ResponseResult | None:
         """Sends over an open link; returns None if the link was lost."""
-        member = self._world.nodes[name]
-        silence = links.HEARTBEAT_TIMEOUT.total_seconds()
-        fault = self._world.take_fault(steps.request)
+        member = self._cluster.nodes[name]
+        heartbeat_timeout = links.HEARTBEAT_TIMEOUT.total_seconds()
+        fault = self._cluster.take_fault(steps.request)
         if fault is Fault.CRASH:
-            self._world.crash(name)
+            self._cluster.crash(name)
             return None
         if fault is Fault.PAUSE:
             # The paused node handles the request in its socket buffer later.
             member.start_task(_deliver_later(PAUSE_SECONDS, deliver, member))
         if fault in _NO_RESPONSE_FAULTS:
-            await asyncio.sleep(silence)
+            await asyncio.sleep(heartbeat_timeout)
             return None
         if fault in (Fault.DROP, Fault.TRUNCATE):
             return None
@@ -483,7 +494,7 @@
         running: asyncio.Task[ResponseResult],
         request_fault: Fault | None,
     ) -> ResponseResult | None:
-        fault = self._world.take_fault(steps.answer)
+        fault = self._cluster.take_fault(steps.response)
         if fault in _NO_RESPONSE_FAULTS:
             await asyncio.sleep(links.HEARTBEAT_TIMEOUT.total_seconds())
             return None
@@ -495,7 +506,7 @@
                 raise
             return None
         if fault is Fault.CRASH:
-            self._world.crash(name)
+            self._cluster.crash(name)
             return None
         if fault is Fault.DELAY:
             await asyncio.sleep(MESSAGE_DELAY_SECONDS)
@@ -518,8 +529,8 @@
 class _FaultySession:
     """A fake HTTP client for targets that injects faults."""
 
-    def __init__(self, world: SimulatedCluster) -> None:
-        self._world = world
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self._cluster = cluster
 
     async def request(
         self,
@@ -534,13 +545,13 @@
         await self._connect()
         trace_request_ctx.has_connection = True
         work = headers["work"]
-        match self._world.take_fault(ExchangeStep.TARGET_REQUEST):
+        match self._cluster.take_fault(ExchangeStep.TARGET_REQUEST):
             case Fault.DROP | Fault.TRUNCATE | Fault.CRASH | Fault.CROSS:
                 raise connections.ConnectionLostError("closed")
             case Fault.SILENCE | Fault.PARTITION:
                 await asyncio.sleep(SETTLE_TIME.total_seconds())
             case Fault.PAUSE:
-                self._world.loop.call_later(
+                self._cluster.loop.call_later(
                     PAUSE_SECONDS, self._record_run, work
                 )
                 await asyncio.sleep(SETTLE_TIME.total_seconds())
@@ -550,7 +561,7 @@
                 pass
         self._record_run(work)
         await asyncio.sleep(WORK_SECONDS)
-        match self._world.take_fault(ExchangeStep.TARGET_RESPONSE):
+        match self._cluster.take_fault(ExchangeStep.TARGET_RESPONSE):
             case Fault.DROP | Fault.TRUNCATE | Fault.CRASH | Fault.CROSS:
                 raise connections.ConnectionLostError("closed")
             case Fault.SILENCE | Fault.PARTITION | Fault.PAUSE:
@@ -562,7 +573,7 @@
         return _Response(work.encode())
 
     async def _connect(self) -> None:
-        match self._world.take_fault(ExchangeStep.TARGET_CONNECT):
+        match self._cluster.take_fault(ExchangeStep.TARGET_CONNECT):
             case Fault.DROP | Fault.CRASH | Fault.TRUNCATE:
                 raise aiohttp.ClientConnectionError("refused")
             case Fault.SILENCE | Fault.PARTITION | Fault.PAUSE:
@@ -574,7 +585,7 @@
                 pass
 
     def _record_run(self, work: str) -> None:
-        self._world.runs[work] += 1
+        self._cluster.runs[work] += 1
 
 
 class _Response:
--- a/endivewind/tests/operators/request_trace_tests.py
+++ b/endivewind/tests/operators/request_trace_tests.py
@@ -161,7 +161,7 @@
         self.assertEqual("n2", call.line.node)
         self.assertEqual(datetime.timedelta(seconds=-3), call.clock_offset)
         self.assertIn(
-            "clock moved by -3000 ms", explain.format_trace(self.explain())
+            "times shifted by -3000 ms", explain.format_trace(self.explain())
         )
 
     def test_status_lines_are_the_latest_before_the_end(self):
--- a/endivewind/tests/proofs/at_most_once_fuzz_tests.py
+++ b/endivewind/tests/proofs/at_most_once_fuzz_tests.py
@@ -36,18 +36,18 @@
 
     def __init__(self):
         super().__init__()
-        self.world = simulated_cluster.SimulatedCluster(
+        self.cluster = simulated_cluster.SimulatedCluster(
             virtual_loop.VirtualLoop()
         )
         self.tasks = []
 
     @stateful.rule(target=keys, node=NODE)
     def ask_for_key(self, node):
-        return self.world.issue_key(node)
+        return self.cluster.issue_key(node)
 
     @stateful.rule(key=keys, node=NODE)
     def send(self, key, node):
-        self.tasks.append(self.world.send(node, key))
+        self.tasks.append(self.cluster.send(node, key))
 
     @stateful.rule(key=keys, nodes=strategies.tuples(NODE, NODE))
     def send_concurrently(self, key, nodes):
@@ -56,41 +56,41 @@
 
     @stateful.rule(step=STEP, fault=FAULT)
     def arm_fault(self, step, fault):
-        self.world.faults[step] = fault
+        self.cluster.faults[step] = fault
 
     @stateful.rule(node=NODE)
     def crash_node(self, node):
-        self.world.crash(node)
+        self.cluster.crash(node)
 
     @stateful.rule(node=NODE)
     def deliver_announcement(self, node):
-        self.world.announce_node(node)
+        self.cluster.announce_node(node)
 
     @stateful.rule(node=NODE)
     def drain_node(self, node):
-        self.world.nodes[node].ticketing.close()
+        self.cluster.nodes[node].ticketing.close()
 
     @stateful.rule(seconds=strategies.sampled_from([0.05, 0.3, 1.5, 7, 65]))
     def wait(self, seconds):
-        self.world.advance(seconds)
+        self.cluster.advance(seconds)
 
     @stateful.invariant()
     def guarantees_hold(self):
-        self.world.check_guarantees()
+        self.cluster.check_guarantees()
 
     def teardown(self):
         try:
-            self.world.settle()
-            for key in list(self.world.work_by_key):
-                for node in self.world.node_names:
-                    self.tasks.append(self.world.send(node, key))
-            self.world.settle()
-            self.world.check_guarantees()
+            self.cluster.settle()
+            for key in list(self.cluster.work_by_key):
+                for node in self.cluster.node_names:
+                    self.tasks.append(self.cluster.send(node, key))
+            self.cluster.settle()
+            self.cluster.check_guarantees()
             for task in self.tasks:
                 if not task.cancelled():
                     task.result()
         finally:
-            self.world.close()
+            self.cluster.close()
 
 
 AtMostOnceMachine.TestCase.settings = hypothesis.settings(
--- a/endivewind/tests/soak/checks_tests.py
+++ b/endivewind/tests/soak/checks_tests.py
@@ -6,13 +6,13 @@
 
 from endivewind.soak import checks
 
-Promise = checks.Guarantee
+Guarantee = checks.Guarantee
 GOOD = checks.RequestRecord("w1", True, "node-0", 1.0, 2.0, 200, named="w1")
 
 
-def _violations(told, runs, outages=()):
+def _violations(record, runs, outages=()):
     findings = checks.check_requests(
-        [told], collections.Counter({"w1": runs}), outages
+        [record], collections.Counter({"w1": runs}), outages
     )
     return [item.guarantee for item in findings]
 
@@ -29,20 +29,24 @@
         )
         cut = dataclasses.replace(GOOD, status=0, named="", cut=True)
         cases = (
-            (GOOD, 2, Promise.AT_MOST_ONCE),
-            (GOOD, 0, Promise.RESPONSE_IMPLIES_RUN),
-            (refused, 1, Promise.NOT_RUN_IS_TRUE),
+            (GOOD, 2, Guarantee.AT_MOST_ONCE),
+            (GOOD, 0, Guarantee.RESPONSE_IMPLIES_RUN),
+            (refused, 1, Guarantee.NOT_RUN_IS_TRUE),
             (
                 dataclasses.replace(GOOD, named="w2"),
                 1,
-                Promise.MATCHING_RESPONSE,
+                Guarantee.MATCHING_RESPONSE,
             ),
-            (dataclasses.replace(GOOD, named=""), 1, Promise.MATCHING_RESPONSE),
-            (cut, 1, Promise.GRACEFUL_STOP),
+            (
+                dataclasses.replace(GOOD, named=""),
+                1,
+                Guarantee.MATCHING_RESPONSE,
+            ),
+            (cut, 1, Guarantee.GRACEFUL_STOP),
         )
-        for told, runs, guarantee in cases:
+        for record, runs, guarantee in cases:
             with self.subTest(guarantee):
-                self.assertEqual([guarantee], _violations(told, runs))
+                self.assertEqual([guarantee], _violations(record, runs))
 
     def test_idempotent_work_may_run_twice(self):
         self.assertEqual(
@@ -67,7 +71,7 @@
             checks.Outage("node-0", 0.2, 0.5),
         ):
             self.assertEqual(
-                [Promise.GRACEFUL_STOP], _violations(cut, 1, [outage])
+                [Guarantee.GRACEFUL_STOP], _violations(cut, 1, [outage])
             )
 
     def test_broken_link_may_cut_only_streamed_responses(self):
@@ -82,8 +86,10 @@
         streamed = dataclasses.replace(cut, streamed=True)
 
         self.assertEqual([], _violations(streamed, 1, [broken]))
-        self.assertEqual([Promise.GRACEFUL_STOP], _violations(cut, 1, [broken]))
-        self.assertEqual([Promise.GRACEFUL_STOP], _violations(streamed, 1))
+        self.assertEqual(
+            [Guarantee.GRACEFUL_STOP], _violations(cut, 1, [broken])
+        )
+        self.assertEqual([Guarantee.GRACEFUL_STOP], _violations(streamed, 1))
 
 
 class RunTest(unittest.TestCase):
@@ -91,16 +97,16 @@
         findings = checks.check_versions({"a": [1, 2, 2, 3], "b": [2, 3, 2]})
 
         self.assertEqual(
-            [Promise.NO_ROLLBACK], [item.guarantee for item in findings]
+            [Guarantee.NO_ROLLBACK], [item.guarantee for item in findings]
         )
         self.assertIn("b", findings[0].detail)
 
     def test_retries_above_budget_are_found(self):
-        told = [
+        records = [
             dataclasses.replace(GOOD, work=f"w{number}", once=False)
             for number in range(10)
         ]
-        twice = collections.Counter({item.work: 2 for item in told})
+        twice = collections.Counter({item.work: 2 for item in records})
 
-        self.assertEqual([], checks.check_retries(told, twice, 0.2, 8))
-        self.assertEqual(1, len(checks.check_retries(told, twice, 0.2, 7)))
+        self.assertEqual([], checks.check_retries(records, twice, 0.2, 8))
+        self.assertEqual(1, len(checks.check_retries(records, twice, 0.2, 7)))
--- a/endivewind/tests/soak/schedules_tests.py
+++ b/endivewind/tests/soak/schedules_tests.py
@@ -53,10 +53,10 @@
         generated = schedules.generate(7, 30)
         wanted = {generated.faults[2], generated.faults[-1]}
 
-        async def is_red(schedule):
+        async def run_fails(schedule):
             return wanted <= set(schedule.faults)
 
-        smallest = asyncio.run(schedules.shrink(generated, is_red))
+        smallest = asyncio.run(schedules.shrink(generated, run_fails))
 
         self.assertEqual(
             dataclasses.replace(
