--- a/endivewind/bench/experiment.py
+++ b/endivewind/bench/experiment.py
@@ -262,7 +262,7 @@
             attempt.number,
             kind,
             now - attempt.started,
-            f"workspace-{request.work.workspace}",
+            f"workspace-{request.properties.workspace}",
         )
         self._handle_result(request, kind)
         self._drain_queue()
--- a/endivewind/soak/runs.py
+++ b/endivewind/soak/runs.py
@@ -294,14 +294,14 @@
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 for name in self._fleet.nodes:
-                    start = self._fleet.start_counts[name]
+                    start_count = self._fleet.start_counts[name]
                     version = await self._version_in_force(session, name)
                     # A new incarnation may have responded instead.
                     is_same_incarnation = (
-                        start == self._fleet.start_counts[name]
+                        start_count == self._fleet.start_counts[name]
                     )
                     if version is not None and is_same_incarnation:
-                        self._versions[f"{name}.{start}"].append(version)
+                        self._versions[f"{name}.{start_count}"].append(version)
                 await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
     async def _version_in_force(
--- a/endivewind/standins/fault_matrix.py
+++ b/endivewind/standins/fault_matrix.py
@@ -93,8 +93,8 @@
 ) -> tuple[str, int]:
     """Sends two requests with the faults and checks the guarantees.
 
-    The first request, which the faults hit, is then resent to every node with
-    its ticket, as its caller may do. After all requests have ended, both are
+    The first request is then resent to every node with its ticket, as a
+    caller may do that got no result. After all requests have ended, both are
     sent once more, and the guarantees are checked again.
     """
     cluster = simulated_cluster.SimulatedCluster(virtual_loop.VirtualLoop())
--- a/endivewind/standins/simulated_cluster.py
+++ b/endivewind/standins/simulated_cluster.py
@@ -83,7 +83,7 @@
     DELAY: the message is delivered later.
     PARTITION, SILENCE: nothing is delivered; the connection stays open.
     PAUSE: as SILENCE, but a request is delivered after the receiver's pause.
-    CRASH: the receiver crashes.
+    CRASH: the called node or target crashes, also at the step of its response.
 
     A fault that does not apply to a step has no effect there. At the step
     CALLER_RESPONSE, every fault makes the caller disconnect.
