--- a/endivewind/bench/scenarios.py
+++ b/endivewind/bench/scenarios.py
@@ -93,7 +93,7 @@
       load: share of all slots that the callers keep busy.
       period: seconds of one healthy and one unhealthy phase of a flapping
         target; 0 if it does not flap.
-      end: duration of the experiment in seconds.
+      duration_seconds: duration of the experiment.
       fault_end: end of the fault in seconds.
       is_skewed: whether few workspaces send most requests, in bursts.
       long_share: share of the requests that take eight times as long.
