--- a/endivewind/standins/simulated_cluster.py
+++ b/endivewind/standins/simulated_cluster.py
@@ -273,7 +273,7 @@
 
 
 class Member:
-    """One incarnation of a node; homes have one target."""
+    """One incarnation of a simulated node; a home has one target."""
 
     def __init__(
         self, cluster: SimulatedCluster, name: str, incarnation: int
