--- a/endivewind/commands/demo.py
+++ b/endivewind/commands/demo.py
@@ -312,10 +312,10 @@
                 start + number / _REQUESTS_PER_SECOND - time.monotonic()
             )
             address = node_addresses[number % len(node_addresses)].callers
-            early = number < total // 2
+            is_in_first_half = number < total // 2
             calls.append(
                 asyncio.create_task(
-                    _send_request(session, address, results, early)
+                    _send_request(session, address, results, is_in_first_half)
                 )
             )
         await asyncio.gather(*calls)
@@ -325,7 +325,7 @@
     session: aiohttp.ClientSession,
     address: str,
     results: CallerResults,
-    early: bool,
+    is_in_first_half: bool,
 ) -> None:
     url = f"http://{address}/riders/42"
     async with session.get(url, headers={"Host": _HOST}) as response:
@@ -339,7 +339,7 @@
             results.complete_by_target[body["target"]] += 1
         else:
             results.failed += 1
-            results.failed_in_first_half += early
+            results.failed_in_first_half += is_in_first_half
 
 
 async def _try_workspace_key(
--- a/endivewind/standins/platform.py
+++ b/endivewind/standins/platform.py
@@ -320,11 +320,11 @@
                 return web.Response(status=410)
             changed = store.change_event
             changes = store.changes_since(kind, revision)
-            left = deadline - asyncio.get_running_loop().time()
-            if changes or left <= 0:
+            remaining_seconds = deadline - asyncio.get_running_loop().time()
+            if changes or remaining_seconds <= 0:
                 return _watch_response(store, changes)
             try:
-                await asyncio.wait_for(changed.wait(), left)
+                await asyncio.wait_for(changed.wait(), remaining_seconds)
             except TimeoutError:
                 continue
 
--- a/endivewind/tests/proofs/at_most_once_tests.py
+++ b/endivewind/tests/proofs/at_most_once_tests.py
@@ -83,13 +83,13 @@
         """
         entry = fleet.nodes["entry"]
         key = await caller.request_key(entry)
-        left = asyncio.create_task(
+        disconnected_task = asyncio.create_task(
             caller.send(entry, key=key, work="left", fault="delay")
         )
         await fleet.targets["ledger-1"].wait_for_message(
             "work runs", work="left"
         )
-        left.cancel()
+        disconnected_task.cancel()
 
         again = await caller.send(entry, key=key, work="left", fault="delay")
 
--- a/endivewind/tests/proofs/stop_tests.py
+++ b/endivewind/tests/proofs/stop_tests.py
@@ -123,8 +123,8 @@
 
             runs = await caller.run_counts(fleet)
             repeated = {work for work, count in runs.items() if count > 1}
-            lost = load_run.answered - set(runs)
-            self.assertGreater(len(load_run.answered), REQUESTS_PER_SECOND)
+            lost = load_run.succeeded - set(runs)
+            self.assertGreater(len(load_run.succeeded), REQUESTS_PER_SECOND)
             self.assertEqual(collections.Counter(), load_run.failures)
             self.assertEqual((set(), set()), (repeated, lost))
 
@@ -197,7 +197,7 @@
         self._caller = caller
         self.stopping_nodes: set[str] = set()
         self.is_stopped = False
-        self.answered: set[str] = set()
+        self.succeeded: set[str] = set()
         self.failures: collections.Counter[str] = collections.Counter()
 
     async def run(self) -> None:
@@ -206,9 +206,9 @@
             async for number in load_generator.pace(REQUESTS_PER_SECOND):
                 if self.is_stopped:
                     return
-                group.create_task(self._send_until_answered(number))
+                group.create_task(self._send_until_success(number))
 
-    async def _send_until_answered(self, number: int) -> None:
+    async def _send_until_success(self, number: int) -> None:
         once = number % 2 == 0
         work = f"w{number}"
         names = itertools.cycle(
@@ -226,7 +226,7 @@
                 path="/once" if once else "/work",
             )
             if response.status == 200:
-                self.answered.add(work)
+                self.succeeded.add(work)
                 return
             if response.reason == "stopping":
                 self.stopping_nodes.add(name)
--- a/endivewind/tests/proofs/truncation_tests.py
+++ b/endivewind/tests/proofs/truncation_tests.py
@@ -136,7 +136,7 @@
         target = fleet.targets["riders-1"]
         work = f"hung-{node.name}"
         far_off = {"Endivewind_Timeout_Ms": "300000"}
-        left = asyncio.create_task(
+        disconnected_task = asyncio.create_task(
             caller.send(
                 node,
                 "GET",
@@ -146,7 +146,7 @@
             )
         )
         await target.wait_for_message("work runs", work=work)
-        left.cancel()
+        disconnected_task.cancel()
 
         await target.wait_for_message("work cancelled", work=work)
 
