--- a/endivewind/standins/platform.py
+++ b/endivewind/standins/platform.py
@@ -41,7 +41,11 @@
 
     @property
     def change_event(self) -> asyncio.Event:
-        """Event set by the next write, which also replaces it by a new one."""
+        """Event that is set at the next change of the store.
+
+        Writes, restore and compact change it. Each change sets the event and
+        replaces it by a new one for the following change.
+        """
         return self._change_event
 
     def copy(self) -> "ObjectStore":
@@ -316,11 +320,11 @@
                 return web.Response(status=410)
             changed = store.change_event
             changes = store.changes_since(kind, revision)
-            left = deadline - asyncio.get_running_loop().time()
-            if changes or left <= 0:
+            remaining_seconds = deadline - asyncio.get_running_loop().time()
+            if changes or remaining_seconds <= 0:
                 return _watch_response(store, changes)
             try:
-                await asyncio.wait_for(changed.wait(), left)
+                await asyncio.wait_for(changed.wait(), remaining_seconds)
             except TimeoutError:
                 continue
 
