--- a/endivewind/targets/registry.py
+++ b/endivewind/targets/registry.py
@@ -156,11 +156,11 @@
 class AnnouncementRefusal(enum.StrEnum):
     """Why an announcement is refused."""
 
-    OLDER_INCARNATION = "a later incarnation of this target is known"
+    OLDER_INCARNATION = "a later start of this target is known"
     MOVED = "a later announcement at another home is known"
     RESUMING = "this home was paused; announce again"
     STOPPING = "this home is stopping; announce elsewhere"
-    DEPARTED = "this incarnation of the target has departed"
+    DEPARTED = "this start of the target has left"
 
 
 RivalLookup = collections.abc.Callable[[str], records.TargetRecord | None]
