--- a/endivewind/callers/caller_requests.py
+++ b/endivewind/callers/caller_requests.py
@@ -78,7 +78,7 @@
 
     @property
     def work_id(self) -> str:
-        """The id by which homes recognize duplicates: ticket or request id.
+        """The id by which homes recognize duplicates: its ticket or request id.
 
         Used only if the request is not idempotent.
         """
--- a/endivewind/callers/client.py
+++ b/endivewind/callers/client.py
@@ -93,7 +93,7 @@
           method: the HTTP method.
           path: path and query.
           body: the whole body.
-          timeout: total time for all sends.
+          timeout: total time for all attempts.
           fields: additional headers.
 
         Returns:
@@ -164,7 +164,7 @@
 
 
 def _should_resend(reply: Reply) -> bool:
-    """Whether another send may run the request or determine its outcome."""
+    """Whether another attempt may run the request or determine its outcome."""
     return reply is NO_RESPONSE or (
         reply.outcome
         in (
--- a/endivewind/callers/listener.py
+++ b/endivewind/callers/listener.py
@@ -436,7 +436,9 @@
             async for data in request.content.iter_chunked(_READ_CHUNK_BYTES):
                 total += len(data)
                 if total > self._configured_body_limit():
-                    detail = f"the body exceeds {self._configured_body_limit()} bytes"
+                    detail = (
+                        f"body exceeds {self._configured_body_limit()} bytes"
+                    )
                     raise exchange.RequestBodyError(detail)
                 yield data
         except (OSError, web.RequestPayloadError) as error:
--- a/endivewind/callers/placement.py
+++ b/endivewind/callers/placement.py
@@ -195,10 +195,10 @@
         """Adds the latency of one response to the moving average.
 
         Scenario: an entry node sends a few requests a second, and latencies
-        have a long tail. Risk: if the average started at the first latency, one response
-        from the tail made a healthy target look several times slower than the
-        others, and it got no requests until that latency expired. So the
-        average starts at the service's usual latency, and it takes several
+        have a long tail. Risk: if the average started at the first latency, one
+        response from the tail made a healthy target look several times slower
+        than the others, and it got no requests until that latency expired. So
+        the average starts at the service's usual latency, and it takes several
         slow responses to raise it.
         """
         if not self.recent_latency(now):
@@ -208,7 +208,7 @@
 
 
 class TargetLoads(load_balancing.TargetInfo):
-    """Load per target, for targets with requests or reports at this entry node."""
+    """Load of each target that has requests or reports at this node."""
 
     def __init__(
         self,
@@ -476,7 +476,7 @@
     def retry_after(self, minimum: datetime.timedelta) -> datetime.timedelta:
         """Returns a randomized Retry-After of one to three times the minimum.
 
-        Without the jitter, callers that were refused together would come back
+        Without the jitter, callers that were refused together would retry
         together and be refused together again.
         """
         return minimum * self._rng.uniform(1, RETRY_AFTER_SPREAD)
--- a/endivewind/callers/quota_client.py
+++ b/endivewind/callers/quota_client.py
@@ -59,9 +59,9 @@
     async def take(self, workspace: str) -> datetime.timedelta | None:
         """Takes one token of a workspace that has a quota.
 
-        Scenario: one workspace sends several times its quota, through all
-        entry nodes. Risk: if each request cost a query, the owner of the bucket
-        would be overloaded with queries. Requests that arrive while a query is in
+        Scenario: one workspace sends several times its quota, through all entry
+        nodes. Risk: if each request cost a query, the owner of the bucket would
+        be overloaded with queries. Requests that arrive while a query is in
         flight share the next one, and requests that arrive shortly after a
         refusal are refused without a query.
 
--- a/endivewind/callers/request_queues.py
+++ b/endivewind/callers/request_queues.py
@@ -97,7 +97,7 @@
             if record is not None:
                 return expression.Ok(record)
         if self._is_unplaceable(request):
-            # Waiting can't help, so the caller is refused at once.
+            # Waiting can't help, so the caller is refused immediately.
             return self._no_target(request.service)
         now = self._clock.monotonic()
         offer_result = queue.offer(request.waiter, now)
--- a/endivewind/callers/routed_request.py
+++ b/endivewind/callers/routed_request.py
@@ -127,8 +127,8 @@
         """Withdraws the cancellation by `abort`, if there was one.
 
         Returns:
-          Whether no other cancellation is pending, as after a disconnect of
-          the caller.
+          Whether only `abort` cancelled it: False if another cancellation is
+          pending, as after a disconnect of the caller.
         """
         if not self._abort_requested or self.task is None:
             return False
@@ -155,7 +155,7 @@
 
     @property
     def can_hedge(self) -> bool:
-        """Whether it may be sent to two targets at once."""
+        """Whether it may be sent to two targets concurrently."""
         return (
             self.is_idempotent
             and self.body.is_replayable
--- a/endivewind/callers/ticket_store.py
+++ b/endivewind/callers/ticket_store.py
@@ -1,9 +1,9 @@
 """Store of idempotency records: the result of each ticket at its issuer.
 
 Called by the ticket handler each time a copy of a request arrives; the caller
-may send several.  Only the issuer writes
-the records of its incarnation's tickets, so at-most-once execution needs no
-consensus with other nodes. Pure: no I/O, and the caller passes the time.
+may send several. Only the issuer writes the records of its incarnation's
+tickets, so at-most-once execution needs no consensus with other nodes. Pure: no
+I/O, and the caller passes the time.
 """
 
 import dataclasses
@@ -27,9 +27,8 @@
 RECORD_BYTES = 1_024
 HEADER_OVERHEAD_BYTES = 128
 # A node has 64 MB of memory, of which libraries take about 49 MB. 6 MiB hold
-# 6,144 records, which is enough for 51 tickets per second during the retention.
-# A node with 184 requests per second, only some of them with tickets, stays
-# below that.
+# 6,144 records: those of 51 tickets per second during the retention, which
+# corresponds to a total load of 184 requests per second.
 MAX_STORE_BYTES = 6 * 1024 * 1024
 FULL_RETRY_AFTER = datetime.timedelta(seconds=5)
 
--- a/endivewind/callers/ticketing.py
+++ b/endivewind/callers/ticketing.py
@@ -54,7 +54,7 @@
 
 
 class TicketHandler:
-    """Issues tickets, forwards requests to the issuer, runs each ticket once."""
+    """Issues tickets, forwards requests to issuers, runs each ticket once."""
 
     def __init__(
         self,
@@ -109,7 +109,7 @@
         head: exchange.RequestHead,
         body: exchange.RequestBody,
     ) -> ResponseResult:
-        """Forwards a request to the issuer of its ticket, or handles it here."""
+        """Forwards a request to its ticket's issuer, or handles it here."""
         ticket = tickets.parse(head.ticket)
         if ticket is None:
             return _error(
--- a/endivewind/targets/attempt_log.py
+++ b/endivewind/targets/attempt_log.py
@@ -1,9 +1,9 @@
 """A home node's log of attempts, which ensures at-most-once execution.
 
-Deduplicates the attempts under a ticket. An attempt is recorded before any
-byte is sent to the target. One that was refused as not run is sealed: it is
-marked as not run, and late duplicates of it are refused, too. Called by the dispatcher. Pure: no I/O, and
-the caller passes the time.
+Deduplicates the attempts under a ticket. An attempt is recorded before any byte
+is sent to the target. One that was refused as not run is sealed: it is marked
+as not run, and late duplicates of it are refused, too. Called by the
+dispatcher. Pure: no I/O, and the caller passes the time.
 """
 
 import dataclasses
--- a/endivewind/targets/dispatch.py
+++ b/endivewind/targets/dispatch.py
@@ -162,10 +162,9 @@
     ) -> ResponseResult:
         """Executes a request at a target of this home node.
 
-        An attempt under a ticket is first recorded, and marked as not run if
-        it ends before any byte was sent to the target. Without the record a
-        duplicate
-        of the request would be executed again.
+        An attempt under a ticket is first recorded, and marked as not run if it
+        ends before any byte was sent to the target. Without the record a
+        duplicate of the request would be executed again.
         """
         if not head.ticket:
             return await self._dispatch(target, head, body)
@@ -278,10 +277,10 @@
     def _unknown_target(self, target: str) -> exchange.Refusal:
         """Returns a refusal that names the target's new home node, if known.
 
-        When this node is shut down, its targets move to other homes within a
-        gossip round, before all entry nodes have received the change. Without
-        the new home's name, requests for a service's only target would be
-        refused in the meantime.
+        When this node shuts down, its targets move to other homes immediately,
+        but the entry node learns of it a gossip round later. Without the new
+        home's name, requests for a service's only target would be refused in
+        the meantime.
         """
         return exchange.Refusal(
             exchange.ExecutionOutcome.NOT_RUN,
@@ -299,11 +298,11 @@
         """Sends a request over a pooled connection or a new one.
 
         Scenario: the target has closed a pooled connection, or a device in
-        between has lost its state. Risk: a non-idempotent request is sent over it,
-        and whether it was executed is unknown. Such requests therefore always
-        get a new connection, and so do all requests to a target whose pooled
-        ones have gone silent. Idempotent requests are retried by the entry
-        node, within its retry budget.
+        between has lost its state. Risk: a non-idempotent request is sent over
+        it, and whether it was executed is unknown. Such requests therefore
+        always get a new connection, and so do all requests to a target whose
+        pooled ones have gone silent. Idempotent requests are retried by the
+        entry node, within its retry budget.
         """
         is_non_idempotent = bool(head.ticket)
         now = self._clock.monotonic()
--- a/endivewind/targets/registration.py
+++ b/endivewind/targets/registration.py
@@ -30,11 +30,11 @@
 
         Args:
           targets: the targets of this home node.
-          default_slots_of: returns a service's default for targets that declare no
-            number of slots.
+          default_slots_of: returns a service's default for targets that declare
+            no number of slots.
           on_change: called when there is a change to publish to the fleet.
-          check: returns why an announcement is certainly forged; empty if
-            there is no such reason.
+          check: returns why an announcement is not accepted as genuine; empty
+            if it is.
         """
         self._targets = targets
         self._default_slots_of = default_slots_of
--- a/endivewind/targets/registry.py
+++ b/endivewind/targets/registry.py
@@ -33,7 +33,8 @@
 # For this time after a pause, announcements are refused if their target has no
 # valid lease here: those sent before the pause are still in the socket buffers,
 # and the target may have moved to another home node since. A refused target
-# announces itself again within a third of its lease.
+# announces itself again within a third of its lease, which costs less than
+# registering a target that has moved.
 RESUME_GRACE = datetime.timedelta(milliseconds=500)
 # Departed targets are remembered so that a delayed announcement does not
 # register them again; a home node has few in the seconds of such a delay.
@@ -52,7 +53,8 @@
       incarnation: increases with each restart of the target.
       moves: number of home changes within this incarnation. A target that
         counts them is registered by its new home node immediately; one that
-        always sends 0 may have to wait until its lease at the old home has expired.
+        always sends 0 may have to wait until its lease at the old home has
+        expired.
       slots: maximum number of concurrent requests; 0 for the default of the
         service.
       weight: load-balancing weight relative to other targets.
--- a/endivewind/targets/silent_connections.py
+++ b/endivewind/targets/silent_connections.py
@@ -14,11 +14,12 @@
     """Distinguishes silent connections from unresponsive targets.
 
     Scenario: steady requests over pooled connections. Risk: a device between
-    home node and target loses their state, each request on them times out, and a
-    healthy target is ejected. After the first time-out on a reused connection
-    the target therefore gets new connections only, for some time, and
-    time-outs on those count against it. The detection of an unresponsive
-    target is thereby delayed by one result; a silent connection does not count against its target.
+    home node and target loses their state, each request on them times out, and
+    a healthy target is ejected. After the first time-out on a reused connection
+    the target therefore gets new connections only, for some time, and time-outs
+    on those count against it. The detection of an unresponsive target is
+    thereby delayed by one result; a silent connection does not count against
+    its target.
     """
 
     def __init__(self) -> None:
@@ -38,9 +39,9 @@
         """Records a time-out on a reused connection.
 
         Returns:
-          Whether the time-out counts as the connection's fault, not as the
-          target's: so does the first one; later ones count as the target's
-          while it gets new connections only.
+          Whether the time-out counts as the connection's fault. The first one
+          does; while the target gets new connections only, further time-outs
+          count as the target's fault.
         """
         if self.requires_fresh(target, now):
             return False
--- a/endivewind/targets/slots.py
+++ b/endivewind/targets/slots.py
@@ -12,7 +12,7 @@
 # Maximum number of queued requests per slot. Only the home node sees the load
 # of all entry nodes; a short queue there keeps a slot from idling between a
 # refusal and the entry node's next attempt. A longer queue would delay requests
-# that another target could execute at once.
+# that another target could execute immediately.
 QUEUE_LENGTH_PER_SLOT = 2
 
 
--- a/endivewind/targets/target_request.py
+++ b/endivewind/targets/target_request.py
@@ -33,8 +33,8 @@
     evidence.ResultKind.SHED: suspicion.SuspicionSignal.SHED,
     evidence.ResultKind.CANCELLED: None,
 }
-# Kinds of results that say nothing about the target's health beyond the time for
-# which there was no response.
+# Kinds of results that say nothing about the target's health beyond how long
+# there was no response.
 _WITHOUT_RESPONSE = (evidence.ResultKind.TIMEOUT, evidence.ResultKind.CANCELLED)
 
 
@@ -84,7 +84,7 @@
         self._latency = self._clock.monotonic() - self._started_at
 
     def cancel(self) -> None:
-        """Finishes the request after its caller has disconnected or timed out."""
+        """Finishes the request after its caller disconnected or timed out."""
         elapsed = self._clock.monotonic() - self._started_at
         is_timeout = (
             elapsed >= self._head.remaining_time and self._latency is None
--- a/endivewind/tests/callers/budgets_tests.py
+++ b/endivewind/tests/callers/budgets_tests.py
@@ -183,8 +183,8 @@
         """Guards against retries beyond the limit while a service fails.
 
         Possible causes: a restarted node has lost its counts; the shares of the
-        other nodes grow when nodes are gone; two nodes borrow the same retry while
-        a message is in transit; calls made by retries can't be refused.
+        other nodes grow when nodes are gone; two nodes borrow the same retry
+        while a message is in transit; calls made by retries can't be refused.
         """
         fleet = _Fleet(node_count, random.Random(seed))
         fleet.simulate(kills)
--- a/endivewind/tests/callers/gateway_tests.py
+++ b/endivewind/tests/callers/gateway_tests.py
@@ -39,8 +39,8 @@
     """A service's only target moves to another home.
 
     The old home, which is stopping, refuses the request and names the new home
-    before gossip has reached the entry node. The entry node must send the request
-    there instead of refusing it for lack of another target.
+    before gossip has reached the entry node. The entry node must send the
+    request there instead of refusing it for lack of another target.
     """
 
     async def test_request_follows_target_to_new_home(self):
--- a/endivewind/tests/callers/pipelining_tests.py
+++ b/endivewind/tests/callers/pipelining_tests.py
@@ -343,9 +343,9 @@
     async def test_planned_stop_completes_started_requests(self):
         """A node stops while look-ups of a connection are being served.
 
-        Those that were sent to targets get their responses. The next one is refused
-        as not run and the connection closed, so that the caller sends it and
-        all that follow to another node.
+        Those that were sent to targets get their responses. The next one is
+        refused as not run and the connection closed, so that the caller sends
+        it and all that follow to another node.
         """
         self.caller.send("/1", "/2")
         await self.gateway.wait_for(
--- a/endivewind/tests/targets/dispatch_tests.py
+++ b/endivewind/tests/targets/dispatch_tests.py
@@ -197,7 +197,7 @@
         self.assertEqual(0, self.fresh.request_count)
 
     def test_unread_stream_releases_its_slot(self):
-        """The caller disconnects between the head and the body of its response."""
+        """The caller disconnects after the head of its response."""
         self.pooled.content_length = None
 
         result = self.run_one()
