--- a/endivewind/callers/client.py
+++ b/endivewind/callers/client.py
@@ -41,7 +41,11 @@
 
     @property
     def retry_after(self) -> datetime.timedelta | None:
-        """Delay after which to retry; None if retrying is pointless."""
+        """Delay that the node asks for before a retry; None if it names none.
+
+        Refusals without one are final. `NO_RESPONSE` has none either, but the
+        request may be sent again.
+        """
         seconds = self.headers.get("Retry-After", "")
         if not seconds.isdigit():
             return None
@@ -89,7 +93,7 @@
           method: the HTTP method.
           path: path and query.
           body: the whole body.
-          timeout: total time for all sends.
+          timeout: total time for all attempts.
           fields: additional headers.
 
         Returns:
@@ -160,7 +164,7 @@
 
 
 def _should_resend(reply: Reply) -> bool:
-    """Whether another send may run the request or determine its outcome."""
+    """Whether another attempt may run the request or determine its outcome."""
     return reply is NO_RESPONSE or (
         reply.outcome
         in (
