--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -122,7 +122,7 @@
     ),
     "probing": lambda: _disable(load_balancing, "PROBE_SHARE", 0.0),
     "hedging": lambda: _disable(gateway.Gateway, "_hedge_attempt", _no_hedging),
-    "retry sharing": lambda: _disable(budgets.RetryBudgets, "due_updates", lambda self: ()),
+    "retry sharing": lambda: _disable(budgets.RetryBudgets, "take_due_updates", lambda self: ()),
     "retry sharing in the region": lambda: _disable(
         peer_updates, "shares_retries_in_region", lambda others: False
     ),
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -26,7 +26,7 @@
 
 def _whole_quota_everywhere():
     """Gives every node the whole quota, corrected only afterwards."""
-    return mock.patch.object(peers.QuotaPeer, "_zones", return_value=1)
+    return mock.patch.object(peers.QuotaService, "_effective_zone_count", return_value=1)
 
 
 METHODS = {
--- a/endivewind/bench/experiment.py
+++ b/endivewind/bench/experiment.py
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        properties: scenarios.RequestProfile,
+        properties: scenarios.RequestProperties,
         is_idempotent: bool,
         started: float,
     ) -> None:
@@ -149,7 +149,7 @@
                 scenarios.FAULT_START_SECONDS, self._fail_crashed_attempts
             )
         self._handle_arrival()
-        self._time.run(self._scenario.end)
+        self._time.run(self._scenario.duration_seconds)
         return self._result()
 
     def _make_policy(
@@ -295,7 +295,10 @@
         Only requests since the start of the fault are measured, and only one
         in a hundred of them in long runs.
         """
-        if self._scenario.end > LONG_RUN_SECONDS and self._request_count % 100:
+        if (
+            self._scenario.duration_seconds > LONG_RUN_SECONDS
+            and self._request_count % 100
+        ):
             return False
         return request.started >= scenarios.FAULT_START_SECONDS
 
@@ -321,7 +324,7 @@
 
     def _crashes(self, target: int) -> bool:
         fault = self._scenario.fault
-        properties = scenarios.RequestProfile(0.0, 0, 0)
+        properties = scenarios.RequestProperties(0.0, 0, 0)
         return fault is not None and (
             fault(properties, 0, 0.0, random.Random(0)).refuses
         )
--- a/endivewind/bench/scenarios.py
+++ b/endivewind/bench/scenarios.py
@@ -12,7 +12,7 @@
 TARGET_COUNT = 12
 SLOTS_PER_TARGET = 3
 DEFAULT_LOAD = 0.6
-MEDIAN_SECONDS = 0.1
+MEDIAN_SERVICE_SECONDS = 0.1
 LATENCY_LOG_STDDEV = 0.4
 WORKSPACE_COUNT = 20
 ROUTE_COUNT = 4
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RequestProfile:
+class RequestProperties:
     """The properties of one request.
 
     Attributes:
@@ -76,8 +76,8 @@
 HEALTHY = Effect()
 # Returns the effect of a fault on a request, given the slots in use at the
 # target, the seconds since the fault started and a random generator.
-Fault = collections.abc.Callable[
-    [RequestProfile, int, float, random.Random], Effect
+FaultFunction = collections.abc.Callable[
+    [RequestProperties, int, float, random.Random], Effect
 ]
 
 
@@ -101,11 +101,11 @@
 
     name: str
     expectation: Expectation
-    fault: Fault | None = None
+    fault: FaultFunction | None = None
     unhealthy_targets: tuple[int, ...] = (UNHEALTHY_TARGET,)
     load: float = DEFAULT_LOAD
     period: float = 0.0
-    end: float = DURATION_SECONDS
+    duration_seconds: float = DURATION_SECONDS
     fault_end: float = FAULT_END_SECONDS
     is_skewed: bool = False
     long_share: float = 0.0
@@ -120,27 +120,29 @@
             return True
         return (now - FAULT_START_SECONDS) % self.period < self.period / 2
 
-    def draw_request(self, rng: random.Random) -> RequestProfile:
+    def draw_request(self, rng: random.Random) -> RequestProperties:
         """Draws the properties of one request."""
-        seconds = MEDIAN_SECONDS * math.exp(rng.gauss(0, LATENCY_LOG_STDDEV))
+        seconds = MEDIAN_SERVICE_SECONDS * math.exp(
+            rng.gauss(0, LATENCY_LOG_STDDEV)
+        )
         if self.long_share and rng.random() < self.long_share:
             seconds *= 8
         position = rng.random()
         if self.is_skewed:
             position = position**3
-        return RequestProfile(
+        return RequestProperties(
             seconds, int(position * WORKSPACE_COUNT), rng.randrange(ROUTE_COUNT)
         )
 
     def mean_seconds(self) -> float:
         """Returns the mean service time at a healthy target."""
-        mean = MEDIAN_SECONDS * math.exp(LATENCY_LOG_STDDEV**2 / 2)
+        mean = MEDIAN_SERVICE_SECONDS * math.exp(LATENCY_LOG_STDDEV**2 / 2)
         return mean * (1 + 7 * self.long_share)
 
 
-def _random_errors(share: float) -> Fault:
+def _random_errors(share: float) -> FaultFunction:
     def fault(
-        properties: RequestProfile,
+        properties: RequestProperties,
         in_use: int,
         seconds_since_start: float,
         rng: random.Random,
@@ -150,9 +152,9 @@
     return fault
 
 
-def _constant_fault(effect: Effect) -> Fault:
+def _constant_fault(effect: Effect) -> FaultFunction:
     def fault(
-        properties: RequestProfile,
+        properties: RequestProperties,
         in_use: int,
         seconds_since_start: float,
         rng: random.Random,
@@ -163,7 +165,7 @@
 
 
 def _failing_route(
-    properties: RequestProfile,
+    properties: RequestProperties,
     in_use: int,
     seconds_since_start: float,
     rng: random.Random,
@@ -172,7 +174,7 @@
 
 
 def _failing_workspaces(
-    properties: RequestProfile,
+    properties: RequestProperties,
     in_use: int,
     seconds_since_start: float,
     rng: random.Random,
@@ -181,7 +183,7 @@
 
 
 def _slow_when_loaded(
-    properties: RequestProfile,
+    properties: RequestProperties,
     in_use: int,
     seconds_since_start: float,
     rng: random.Random,
@@ -190,7 +192,7 @@
 
 
 def _cold_start(
-    properties: RequestProfile,
+    properties: RequestProperties,
     in_use: int,
     seconds_since_start: float,
     rng: random.Random,
@@ -210,7 +212,7 @@
         Expectation.GRAY,
         _ALL_ERRORS,
         period=seconds,
-        end=end + 30,
+        duration_seconds=end + 30,
         fault_end=end,
     )
 
@@ -257,17 +259,21 @@
         _ALL_TARGETS,
         load=0.003,
     ),
-    Scenario("healthy-half-day", Expectation.INNOCENT, end=HALF_DAY_SECONDS),
+    Scenario(
+        "healthy-half-day",
+        Expectation.INNOCENT,
+        duration_seconds=HALF_DAY_SECONDS,
+    ),
     Scenario(
         "saturated-half-day",
         Expectation.INNOCENT,
         load=1.05,
-        end=HALF_DAY_SECONDS,
+        duration_seconds=HALF_DAY_SECONDS,
     ),
     Scenario(
         "skewed-half-day",
         Expectation.INNOCENT,
         is_skewed=True,
-        end=HALF_DAY_SECONDS,
+        duration_seconds=HALF_DAY_SECONDS,
     ),
 )
--- a/endivewind/callers/authorization.py
+++ b/endivewind/callers/authorization.py
@@ -56,7 +56,7 @@
     anonymous requests, or if its key is valid according to a configuration
     that is known to be up to date.
     """
-    if not call.has_key_workspace or route.anonymous:
+    if not call.has_checked_key or route.anonymous:
         return None
     if not call.workspace:
         detail = "this route requires a workspace's API key"
--- a/endivewind/callers/budgets.py
+++ b/endivewind/callers/budgets.py
@@ -130,7 +130,7 @@
             peer = f"{node}/{record.incarnation if record else 0}"
             budget.update_peer(peer, usage.counts, self._clock.monotonic())
 
-    def due_updates(self) -> tuple[peer_updates.RetryUsage, ...]:
+    def take_due_updates(self) -> tuple[peer_updates.RetryUsage, ...]:
         """Returns the retry usages to send to nearby entry nodes now.
 
         Marks the returned counts as sent and updates the number of neighbours.
--- a/endivewind/callers/caller_requests.py
+++ b/endivewind/callers/caller_requests.py
@@ -53,7 +53,7 @@
         self.workspace = request.headers.get(headers.WORKSPACE, "")
         # Whether the workspace is that of the request's key, not of its header.
         # Then it is empty if the key is missing or unknown.
-        self.has_key_workspace = False
+        self.has_checked_key = False
         self.ticket = request.headers.get(headers.IDEMPOTENCY_KEY, "")
         self.is_non_idempotent = False
         self.route: objects.Route
@@ -64,7 +64,7 @@
     def assign_workspace(self, workspace: str) -> None:
         """Sets the workspace that its key belongs to; empty if to none."""
         self.workspace = workspace
-        self.has_key_workspace = True
+        self.has_checked_key = True
 
     @property
     def authorization(self) -> str:
@@ -77,7 +77,7 @@
         return self.is_non_idempotent and self._conventions.uses_tickets
 
     @property
-    def work_id(self) -> str:
+    def deduplication_id(self) -> str:
         """The id by which homes recognize duplicates: its ticket or request id.
 
         Used only if the request is not idempotent.
@@ -117,7 +117,7 @@
             self._conventions.uses_tickets
             and tickets.parse(self.ticket) is not None
         ):
-            refusal = ticketing.unconfirmed_refusal(refusal)
+            refusal = ticketing.with_unknown_outcome(refusal)
         return refusal
 
 
--- a/endivewind/callers/entry_routes.py
+++ b/endivewind/callers/entry_routes.py
@@ -96,7 +96,7 @@
         """Adds an entry route that a neighbour has sent."""
         self._caller_routes.add(route)
 
-    def due_updates(self) -> tuple[peer_updates.EntryRoute, ...]:
+    def take_due_updates(self) -> tuple[peer_updates.EntryRoute, ...]:
         """Returns the routes to send to the neighbours now.
 
         Also restarts the interval until the next update. The node polls this
--- a/endivewind/callers/gateway.py
+++ b/endivewind/callers/gateway.py
@@ -45,7 +45,7 @@
 
 # Called with the target, the workspace, the result and the latency of each
 # attempt at a target whose home is another node.
-ResultObserver = collections.abc.Callable[
+RemoteResultObserver = collections.abc.Callable[
     [records.TargetRecord, str, ResponseResult, datetime.timedelta], None
 ]
 
@@ -75,7 +75,7 @@
 # Spent share of the retry budget from which each attempt is made as if it were
 # the last: several requests compete for each remaining retry, so a retry can't
 # be counted on.
-CAUTIOUS_BUDGET_SHARE = 0.75
+LAST_ATTEMPT_BUDGET_SHARE = 0.75
 # Share of a request's remaining time that it may wait in the request queue.
 MAX_QUEUE_TIME_SHARE = 0.5
 # A home refuses a non-idempotent request if its estimate of the target's
@@ -96,7 +96,7 @@
         dispatcher: dispatch.Dispatcher,
         pool: links.LinkPool,
         clock: clocks.Clock,
-        observer: ResultObserver | None = None,
+        observer: RemoteResultObserver | None = None,
         rng: random.Random | None = None,
         known_entry_routes: entry_routes.EntryRoutes | None = None,
         quota_client: quota_client.QuotaClient | None = None,
@@ -131,7 +131,7 @@
         self._active_requests: set[routed_request.RoutedRequest] = set()
 
     @property
-    def ingress_routes(self) -> entry_routes.EntryRoutes:
+    def entry_routes(self) -> entry_routes.EntryRoutes:
         """The routes by which requests of callers enter the fleet."""
         return self._entry_routes
 
@@ -150,7 +150,7 @@
         """The request metrics of this entry node."""
         return self._metrics
 
-    def configure(self, kind: str, name: str) -> None:
+    def apply_object(self, kind: str, name: str) -> None:
         """Applies a changed object of the configuration."""
         if kind == store.ROUTE_GROUP:
             group = self._configuration.route_group(name)
@@ -162,7 +162,7 @@
             )
             self._caller_limits = document.limits if document else None
             self._splitters.clear()
-        self._workspaces.configure(kind, name)
+        self._workspaces.apply_object(kind, name)
 
     def _queue_limit(self, service: str) -> int:
         settings = self._configuration.service(service) or objects.Service()
@@ -229,7 +229,7 @@
         try:
             result = await self._run_attempts(request)
         except asyncio.CancelledError:
-            if not request.was_aborted():
+            if not request.uncancel_if_aborted():
                 raise
             result = request.abort_result()
         finally:
@@ -278,7 +278,7 @@
                 if not self._take_retry(request.head.service):
                     break
                 last = await self._place_and_send(
-                    request, request.demand(may_probe=False)
+                    request, request.constraints(may_probe=False)
                 )
                 continue
             self._placement.record_start(record, len(request.body.buffered))
@@ -368,9 +368,10 @@
         """
         budget = self._budgets.for_service(request.head.service)
         spent = budget.spent_share(self._clock.monotonic())
-        constraints = request.demand(
+        constraints = request.constraints(
             may_probe=spent <= MAX_HEDGE_BUDGET_SHARE,
-            is_last=spent >= CAUTIOUS_BUDGET_SHARE and budget.allows_retries,
+            is_last=spent >= LAST_ATTEMPT_BUDGET_SHARE
+            and budget.allows_retries,
         )
         return await self._place_and_send(request, constraints)
 
@@ -396,7 +397,7 @@
             )
         )
         if placed.is_error():
-            request.is_abandoned = True
+            request.is_placement_refused = True
             return expression.Error(placed.error)
         if not request.can_hedge:
             return await self._attempt(request, placed.ok)
@@ -550,7 +551,7 @@
         if not routed_request.was_undelivered(result):
             request.delivered_count += 1
         if result.is_ok() or not result.error.was_not_run:
-            request.executed_result = result
+            request.possibly_executed_result = result
             self._poison_guard.record_result(head, request.body, record, result)
         if self._observer is not None and record.home != self._node:
             self._observer(record, request.head.workspace, result, latency)
--- a/endivewind/callers/listener.py
+++ b/endivewind/callers/listener.py
@@ -276,12 +276,12 @@
             headers=self._header_filter.apply(
                 call.request.raw_headers,
                 call.request_id,
-                drop_key=call.has_key_workspace,
+                drop_key=call.has_checked_key,
             ),
             service=call.service,
             workspace=call.workspace,
             remaining_time=call.remaining(),
-            ticket=call.work_id if call.is_non_idempotent else "",
+            ticket=call.deduplication_id if call.is_non_idempotent else "",
             latency_objective=datetime.timedelta(milliseconds=route.aim_ms),
             queue_priority=request_queues.queue_priority(
                 route, self._gateway.workspaces.get(call.workspace)
--- a/endivewind/callers/poison_guard.py
+++ b/endivewind/callers/poison_guard.py
@@ -71,6 +71,6 @@
                 fingerprint, target, self._clock.monotonic()
             )
         elif result.is_ok() and self._detector:
-            self._detector.record_answer(
+            self._detector.record_response(
                 tickets.fingerprint(head, body.buffered)
             )
--- a/endivewind/callers/request_queues.py
+++ b/endivewind/callers/request_queues.py
@@ -53,7 +53,7 @@
     """
 
     service: str
-    demand: load_balancing.RequestConstraints
+    constraints: load_balancing.RequestConstraints
     waiter: admission.Waiter
     body_bytes: int
     future: asyncio.Future[PlacedResult] | None = None
@@ -189,7 +189,7 @@
         would refuse them for seconds although targets are about to announce
         themselves. So requests wait while the node discovers targets.
         """
-        if self._placement.has_candidate(request.service, request.demand):
+        if self._placement.has_candidate(request.service, request.constraints):
             return False
         has_no_slots = not self._placement.admitted_slots(request.service)
         return not (has_no_slots and self._placement.is_discovering)
@@ -220,7 +220,7 @@
     def _choose_target(
         self, request: SlotRequest
     ) -> records.TargetRecord | None:
-        record = self._placement.choose(request.service, request.demand)
+        record = self._placement.choose(request.service, request.constraints)
         if record is not None:
             self._placement.record_start(record, request.body_bytes)
         return record
--- a/endivewind/callers/routed_request.py
+++ b/endivewind/callers/routed_request.py
@@ -108,9 +108,9 @@
     attempt_count: int = 0
     delivered_count: int = 0
     active_attempts: int = 0
-    is_abandoned: bool = False
+    is_placement_refused: bool = False
     last_target: records.TargetRecord | None = None
-    executed_result: ResponseResult | None = None
+    possibly_executed_result: ResponseResult | None = None
     tried_targets: set[str] = dataclasses.field(default_factory=set)
     attempts: list[Attempt] = dataclasses.field(default_factory=list)
     has_cancelled_attempt: bool = False
@@ -123,7 +123,7 @@
         self._abort_requested = True
         self.task.cancel()
 
-    def was_aborted(self) -> bool:
+    def uncancel_if_aborted(self) -> bool:
         """Withdraws the cancellation by `abort`, if there was one.
 
         Returns:
@@ -163,7 +163,7 @@
             and self.max_targets > self.delivered_count + 1
         )
 
-    def demand(
+    def constraints(
         self, *, may_probe: bool, is_last: bool = False
     ) -> load_balancing.RequestConstraints:
         """Returns which targets it may be sent to now.
@@ -191,7 +191,7 @@
         which another target may not have. The retry budget is checked
         separately. A refusal before any target was chosen is final.
         """
-        if not self.body.is_replayable or self.is_abandoned:
+        if not self.body.is_replayable or self.is_placement_refused:
             return False
         if result.is_ok():
             failed = result.ok.status in FAILURE_STATUSES
@@ -208,12 +208,12 @@
         found no slot.
         """
         if (
-            self.executed_result is None
+            self.possibly_executed_result is None
             or last.is_ok()
             or not last.error.was_not_run
         ):
             return last
-        return self.executed_result
+        return self.possibly_executed_result
 
     def abort_result(self) -> ResponseResult:
         """Returns the caller's result after `abort`."""
@@ -223,8 +223,8 @@
                 exchange.Reason.CUT_SHORT, detail
             )
             return expression.Error(refusal)
-        if self.executed_result is not None:
-            return self.executed_result
+        if self.possibly_executed_result is not None:
+            return self.possibly_executed_result
         return expression.Error(
             exchange.not_run_refusal(
                 exchange.Reason.STOPPING,
--- a/endivewind/callers/ticket_store.py
+++ b/endivewind/callers/ticket_store.py
@@ -32,7 +32,7 @@
 MAX_STORE_BYTES = 6 * 1024 * 1024
 FULL_RETRY_AFTER = datetime.timedelta(seconds=5)
 
-Key = tuple[int, str]
+RecordKey = tuple[int, str]
 RunResult = expression.Result[exchange.Response, exchange.Refusal]
 
 
@@ -75,7 +75,7 @@
         """
         self._capacity = capacity
         self._kept_answer_bytes = kept_answer_bytes
-        self._records: dict[Key, _Record] = {}
+        self._records: dict[RecordKey, _Record] = {}
         self._size = 0
         self._refused_up_to = datetime.timedelta(milliseconds=-1)
         self._closed = False
@@ -100,7 +100,7 @@
         last = self._records[next(reversed(self._records))]
         return max(last.expires - now, datetime.timedelta())
 
-    def close(self) -> None:
+    def refuse_new_tickets(self) -> None:
         """Refuses new tickets; recorded results are still returned."""
         self._closed = True
 
@@ -259,5 +259,5 @@
     return len(response.body) + header_bytes
 
 
-def _key(ticket: tickets.Ticket) -> Key:
+def _key(ticket: tickets.Ticket) -> RecordKey:
     return (ticket.issued_ms, ticket.nonce)
--- a/endivewind/callers/ticketing.py
+++ b/endivewind/callers/ticketing.py
@@ -90,9 +90,9 @@
         for task in self._tasks:
             task.cancel()
 
-    def close(self) -> None:
+    def refuse_new_tickets(self) -> None:
         """Refuses new tickets from now on."""
-        self._store.close()
+        self._store.refuse_new_tickets()
 
     async def wait_drained(self) -> None:
         """Waits until no request with a ticket is running."""
@@ -282,7 +282,7 @@
             await execution.discard_unclaimed_stream()
 
 
-def unconfirmed_refusal(refusal: exchange.Refusal) -> exchange.Refusal:
+def with_unknown_outcome(refusal: exchange.Refusal) -> exchange.Refusal:
     """Returns the refusal with the outcome "unknown" instead of "not run".
 
     For refusals of a request with a ticket by a node that is not the issuer.
--- a/endivewind/callers/workspaces.py
+++ b/endivewind/callers/workspaces.py
@@ -25,7 +25,7 @@
         self._workspaces: dict[str, objects.Workspace] = {}
         self._workspace_by_digest: dict[str, str] = {}
         self._requires_keys = False
-        self._sources: dict[store.Key, objects.Workspaces] = {}
+        self._sources: dict[store.Key, objects.WorkspaceGroup] = {}
 
     @property
     def requires_keys(self) -> bool:
@@ -68,7 +68,7 @@
             caller_keys.digest(key.strip()), ""
         )
 
-    def configure(self, kind: str, name: str) -> None:
+    def apply_object(self, kind: str, name: str) -> None:
         """Applies the workspaces and keys of a changed configuration object.
 
         Args:
@@ -76,7 +76,7 @@
           name: the object's name.
         """
         source = store.Key(kind, name)
-        config: objects.Workspaces | None = None
+        config: objects.WorkspaceGroup | None = None
         if kind == store.WORKSPACE_SHARD:
             config = self._configuration.workspace_shard(name)
         elif kind == store.DOCUMENT:
@@ -94,7 +94,7 @@
             item.keyed for item in self._sources.values()
         )
 
-    def _remove(self, source: objects.Workspaces) -> None:
+    def _remove(self, source: objects.WorkspaceGroup) -> None:
         for name in source.workspaces:
             self._workspaces.pop(name, None)
         for digest in source.keys:
--- a/endivewind/commands/bench_control.py
+++ b/endivewind/commands/bench_control.py
@@ -310,7 +310,7 @@
     async def _has_complete_view(self) -> bool:
         """Whether the real node agrees with a simulated one and is ready."""
         members = await self._query_members()
-        agreed = members["digest"] == self._fleet.nodes[0].core.summary
+        agreed = members["digest"] == self._fleet.nodes[0].gossip.summary
         all_known = members["targets"] == self._target_count
         return agreed and all_known and await self._is_ready()
 
--- a/endivewind/commands/bench_decisions.py
+++ b/endivewind/commands/bench_decisions.py
@@ -139,12 +139,14 @@
     known = {item.name: item for item in scenarios.SCENARIOS}
     for name in requested:
         if name not in known:
-            hint = spelling.suggest(name, known)
+            hint = spelling.did_you_mean(name, known)
             raise exceptions.UsageError(f"unknown scenario {name!r}{hint}")
     if requested:
         return [known[name] for name in requested]
     return [
-        item for item in known.values() if item.end < scenarios.HALF_DAY_SECONDS
+        item
+        for item in known.values()
+        if item.duration_seconds < scenarios.HALF_DAY_SECONDS
     ]
 
 
--- a/endivewind/commands/bench_overhead.py
+++ b/endivewind/commands/bench_overhead.py
@@ -78,7 +78,7 @@
     samples: load_generator.Samples = dataclasses.field(
         default_factory=load_generator.Samples
     )
-    saturation: float = 0.0
+    saturation_per_second: float = 0.0
     saturation_failures: int = 0
 
     def as_json(self) -> dict[str, Any]:
@@ -88,7 +88,7 @@
             "failures": self.samples.failures + self.saturation_failures,
             "p50_ms": round(self.samples.latency_percentile_ms(50), 3),
             "p99_ms": round(self.samples.latency_percentile_ms(99), 3),
-            "saturation_per_second": round(self.saturation),
+            "saturation_per_second": round(self.saturation_per_second),
         }
 
 
@@ -232,7 +232,9 @@
             for _ in range(_LOAD_PROCESSES)
         )
     )
-    path.saturation = sum(item["per_second"] for item in load_results)
+    path.saturation_per_second = sum(
+        item["per_second"] for item in load_results
+    )
     path.saturation_failures = sum(item["failures"] for item in load_results)
 
 
--- a/endivewind/commands/bench_spreading.py
+++ b/endivewind/commands/bench_spreading.py
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SpreadingRun:
+class SpreadingResult:
     """Result of one run.
 
     Attributes:
@@ -117,7 +117,7 @@
         }
         self.sent_bytes = dict.fromkeys(self.members, 0)
         self.now = datetime.timedelta()
-        self.blocked_routes: set[tuple[str, str]] = set()
+        self.blocked_directions: set[tuple[str, str]] = set()
         for name, replicator in self.replicators.items():
             replicator.is_ready = True
             phase = self._rng.uniform(
@@ -169,7 +169,10 @@
             frame = codec.messages.Frame(configuration=wire)
             self.sent_bytes[name] += len(codec.encode_frame(frame))
             sender, receiver = self.members[name], self.members[item.to]
-            is_blocked = (sender.zone, receiver.region) in self.blocked_routes
+            is_blocked = (
+                sender.zone,
+                receiver.region,
+            ) in self.blocked_directions
             if is_blocked or self._rng.random() < self._loss:
                 continue
             is_same_region = sender.region == receiver.region
@@ -221,7 +224,7 @@
     loss: float,
     seed: int,
     changed: tuple[store.Key, dict] | None = None,
-) -> SpreadingRun:
+) -> SpreadingResult:
     """Simulates one change that a single node receives from the platform.
 
     No other node gets the change from the platform, as if it were unavailable
@@ -233,7 +236,7 @@
     simulation = SimulatedReplicators(nodes, loss, seed)
     source = next(iter(simulation.members.values()))
     other = {region for region, _ in ZONES if region != source.region}
-    simulation.blocked_routes = {(source.zone, region) for region in other}
+    simulation.blocked_directions = {(source.zone, region) for region in other}
     simulation.run_for(QUIET_DURATION)
     quiet_bytes_per_second = (
         statistics.mean(simulation.sent_bytes.values())
@@ -262,7 +265,7 @@
     seconds = (
         (simulation.now - start).total_seconds() if reached else float("inf")
     )
-    return SpreadingRun(
+    return SpreadingResult(
         seconds,
         statistics.mean(simulation.sent_bytes.values()),
         max(simulation.sent_bytes.values()),
--- a/endivewind/commands/cli.py
+++ b/endivewind/commands/cli.py
@@ -78,7 +78,7 @@
                 "no command given\n" + self._usage_line()
             )
         if command not in self.commands:
-            hint = spelling.suggest(command, self.commands)
+            hint = spelling.did_you_mean(command, self.commands)
             raise exceptions.UsageError(
                 f"unknown command {command!r}{hint}\n{self._usage_line()}"
             )
--- a/endivewind/commands/control_fleet.py
+++ b/endivewind/commands/control_fleet.py
@@ -51,7 +51,7 @@
         self._server = link_server.LinkServer(self)
         self.record: view.NodeRecord
         self.view: view.FleetView
-        self.core: gossip.Gossip
+        self.gossip: gossip.Gossip
         self._members: membership.Membership
         self._sequence = 0
 
@@ -87,12 +87,12 @@
                     membership.MemberRecord(node, 0, membership.State.ALIVE)
                 )
         self.view = fleet_view
-        self.core = gossip.Gossip(self._members, self.view, clock, rng)
+        self.gossip = gossip.Gossip(self._members, self.view, clock, rng)
         self._sequence = self.view.home_version(self.name).sequence
 
     def tick(self) -> None:
         """Runs the timers of the gossip core."""
-        self.send(self.core.tick())
+        self.send(self.gossip.tick())
 
     def change_target(
         self, target: str, health: records.EjectionStatus
@@ -113,9 +113,9 @@
             health=health,
             target_incarnation=1,
         )
-        self.core.originate([records.TargetChange(record)])
+        self.gossip.originate([records.TargetChange(record)])
 
-    def send(self, sends: list[gossip_messages.Send]) -> None:
+    def send(self, sends: list[gossip_messages.OutgoingMessage]) -> None:
         """Sends the messages of the gossip core."""
         for item in sends:
             if isinstance(item.message, gossip_messages.Datagram):
@@ -132,10 +132,10 @@
             self._fleet.record_received(frame)
         if isinstance(message, gossip_messages.Pull):
             self._fleet.send_parts(
-                message.address, self.core.answer_pull(message)
+                message.address, self.gossip.answer_pull(message)
             )
             return
-        self.send(self.core.receive_state(message))
+        self.send(self.gossip.receive_state(message))
 
     def handle_configuration(self, message: Any) -> None:
         """Confirms the real node's digest, and sends it the same digest.
@@ -165,7 +165,7 @@
     def _handle_datagram(
         self, address: str, datagram: gossip_messages.Datagram
     ) -> None:
-        self.send(self.core.receive(address, datagram))
+        self.send(self.gossip.receive(address, datagram))
 
 
 class SimulatedFleet:
@@ -232,7 +232,7 @@
     def send_parts(
         self,
         address: str,
-        parts: collections.abc.Iterable[gossip_messages.FleetState],
+        parts: collections.abc.Iterable[gossip_messages.StatePart],
     ) -> None:
         """Starts to send the parts of a response in order, as real nodes do."""
         self._start_task(self._send_in_order(address, parts))
@@ -265,7 +265,7 @@
             new_view = node.view
             new_view.remove_home_targets(node.name)
             node.join(node.record.incarnation + 1, new_view, nodes)
-            node.core.announce_self()
+            node.gossip.announce_self()
             for target in self.targets_of(number):
                 node.change_target(target, records.EjectionStatus.NORMAL)
             await asyncio.sleep(within.total_seconds() / count)
@@ -306,7 +306,7 @@
     async def _send_in_order(
         self,
         address: str,
-        parts: collections.abc.Iterable[gossip_messages.FleetState],
+        parts: collections.abc.Iterable[gossip_messages.StatePart],
     ) -> None:
         for part in parts:
             await self._send(address, gossip_frames.encode_message(part))
--- a/endivewind/commands/demo.py
+++ b/endivewind/commands/demo.py
@@ -234,7 +234,7 @@
 
 
 async def _submit_configuration(url: str) -> None:
-    loaded = base.load_file(str(_CONFIGURATION), objects.Configuration)
+    loaded = base.load_file(str(_CONFIGURATION), objects.ConfigurationFile)
     async with aiohttp.ClientSession() as session:
         api = client.PlatformClient(url, session)
         for key, spec in planning.object_specs(loaded.ok.model).items():
--- a/endivewind/commands/options.py
+++ b/endivewind/commands/options.py
@@ -65,9 +65,9 @@
     return loaded.ok
 
 
-def load_configuration(file: str) -> objects.Configuration:
+def load_configuration(file: str) -> objects.ConfigurationFile:
     """Loads a configuration file and prints its warnings to stderr."""
-    loaded = load_file(file, objects.Configuration)
+    loaded = load_file(file, objects.ConfigurationFile)
     for warning in loaded.warnings:
         print(warning, file=sys.stderr)
     return loaded.model
--- a/endivewind/commands/submissions.py
+++ b/endivewind/commands/submissions.py
@@ -58,13 +58,13 @@
 
 async def read_configuration(
     platform: client.PlatformClient,
-) -> dict[store.Key, planning.StoredObject]:
+) -> dict[store.Key, planning.CurrentObject]:
     """Returns all configuration objects of the platform."""
-    stored: dict[store.Key, planning.StoredObject] = {}
+    stored: dict[store.Key, planning.CurrentObject] = {}
     for kind in store.KINDS:
         listing = await list_objects(platform, kind)
         for item in listing.objects:
-            stored[store.Key(item.kind, item.name)] = to_stored_object(item)
+            stored[store.Key(item.kind, item.name)] = decode_stored_object(item)
     return stored
 
 
@@ -77,18 +77,20 @@
     )
 
 
-def to_stored_object(stored: messages.StoredObject) -> planning.StoredObject:
+def decode_stored_object(
+    stored: messages.StoredObject,
+) -> planning.CurrentObject:
     """Decodes an object; its envelope is None if it can't be read."""
     try:
         envelope = store.Envelope.model_validate(stored.value)
     except pydantic.ValidationError:
         envelope = None
-    return planning.StoredObject(stored.version, envelope)
+    return planning.CurrentObject(stored.version, envelope)
 
 
 def plan_submission(
     file: str,
-    stored: collections.abc.Mapping[store.Key, planning.StoredObject],
+    stored: collections.abc.Mapping[store.Key, planning.CurrentObject],
 ) -> list[planning.PlanStep]:
     """Plans the submission of a file, using --base and --remove.
 
--- a/endivewind/commands/submit.py
+++ b/endivewind/commands/submit.py
@@ -36,9 +36,9 @@
 from endivewind.config import store
 from endivewind.durable import audit
 from endivewind.durable import conditional_writes
-from endivewind.durable import membership
+from endivewind.durable import node_directory
 from endivewind.durable import retries
-from endivewind.operators import configuration as configuration_query
+from endivewind.operators import version_api as configuration_query
 from endivewind.platform import client
 
 USAGE = (
@@ -153,7 +153,7 @@
         """Replans after a conflicting write; retries if nothing conflicts."""
         stored = await submissions.read_configuration(self._platform)
         replanned = planning.replan(
-            step, stored.get(step.key, planning.StoredObject())
+            step, stored.get(step.key, planning.CurrentObject())
         )
         if replanned.action is planning.Action.WRITE:
             # The other write did not change the object's content: try again.
@@ -213,7 +213,7 @@
     async def run(platform: client.PlatformClient) -> int:
         # A large submission makes many calls, but from one process only, so it
         # gets a larger call budget than a node of a fleet.
-        platform.budget.refill(5_000)
+        platform.budget.set_burst(5_000)
         return await _run_submission(platform, arguments[0])
 
     return cli.run_async(options.run_with_platform(run))
@@ -339,7 +339,7 @@
 ) -> set[str]:
     """Returns the names of all registered nodes, including departed ones."""
     found: set[str] = set()
-    for kind in membership.Directory(platform, zones).kinds:
+    for kind in node_directory.Directory(platform, zones).kinds:
         listing = await submissions.read_with_retries(
             functools.partial(platform.list, kind), "the platform's nodes"
         )
--- a/endivewind/commands/validate.py
+++ b/endivewind/commands/validate.py
@@ -18,7 +18,7 @@
 USAGE = "validate FILE|- [--kind=configuration|settings] [--strict]"
 
 _KINDS: dict[str, type[base.Model]] = {
-    "configuration": objects.Configuration,
+    "configuration": objects.ConfigurationFile,
     "settings": settings.NodeSettings,
 }
 _KIND = flags.DEFINE_enum(
--- a/endivewind/commands/watch.py
+++ b/endivewind/commands/watch.py
@@ -82,13 +82,13 @@
         # compacted. After other failures it only serves to wait: it is
         # retried with backoff until the platform is available again.
         listing = await submissions.list_objects(platform, kind)
-        if found.error.failure is messages.Failure.COMPACTED:
+        if found.error.failure is messages.FailureReason.COMPACTED:
             print("# some changes may be missing here", flush=True)
             revision = listing.revision
 
 
 def _print_change(item: messages.StoredObject) -> None:
-    stored = submissions.to_stored_object(item)
+    stored = submissions.decode_stored_object(item)
     envelope = stored.envelope
     if envelope is None:
         line = f"{item.kind}/{item.name}: deleted, or not written by submit"
--- a/endivewind/config/base.py
+++ b/endivewind/config/base.py
@@ -312,7 +312,7 @@
     location: Location, model: type[pydantic.BaseModel]
 ) -> str:
     known = _field_names(location[:-1], model)
-    hint = spelling.suggest(str(location[-1]), known)
+    hint = spelling.did_you_mean(str(location[-1]), known)
     return f"unknown key{hint} Allowed: {', '.join(sorted(known))}"
 
 
--- a/endivewind/config/consistency_checks.py
+++ b/endivewind/config/consistency_checks.py
@@ -70,7 +70,7 @@
         for location, name in route.services():
             if name in known:
                 continue
-            hint = spelling.suggest(name, known)
+            hint = spelling.did_you_mean(name, known)
             allowed = ", ".join(sorted(known)) or "none is defined"
             yield base.Problem(
                 location,
--- a/endivewind/config/objects.py
+++ b/endivewind/config/objects.py
@@ -202,7 +202,7 @@
     routes: tuple[Route, ...] = ()
 
 
-class Workspaces(base.Model):
+class WorkspaceGroup(base.Model):
     """A group of workspaces and their API keys.
 
     Attributes:
@@ -218,7 +218,7 @@
     keyed: pydantic.StrictBool = False
 
 
-class WorkspaceShard(Workspaces):
+class WorkspaceShard(WorkspaceGroup):
     """A group of workspaces that is stored as one object on the platform.
 
     Attributes:
@@ -230,7 +230,7 @@
     """
 
 
-class Document(Workspaces):
+class Document(WorkspaceGroup):
     """A complete configuration that is stored and replaced as one object.
 
     Attributes:
@@ -247,7 +247,7 @@
     limits: CallerLimits | None = None
 
 
-class Configuration(base.Model):
+class ConfigurationFile(base.Model):
     """A complete configuration file, as accepted by `endivewind submit`.
 
     Attributes:
--- a/endivewind/config/planning.py
+++ b/endivewind/config/planning.py
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoredObject:
+class CurrentObject:
     """An object as stored on the platform.
 
     Attributes:
@@ -92,12 +92,14 @@
     key: store.Key
     action: Action
     spec: Spec
-    current: StoredObject
+    current: CurrentObject
     differences: tuple[Difference, ...] = ()
     theirs: tuple[Difference, ...] = ()
 
 
-def object_specs(configuration: objects.Configuration) -> dict[store.Key, Spec]:
+def object_specs(
+    configuration: objects.ConfigurationFile,
+) -> dict[store.Key, Spec]:
     """Returns the objects of a configuration, services first."""
     groups: tuple[tuple[str, collections.abc.Mapping[str, Any]], ...] = (
         (store.SERVICE, configuration.services),
@@ -113,7 +115,7 @@
 
 def plan(
     wanted: collections.abc.Mapping[store.Key, Spec],
-    current: collections.abc.Mapping[store.Key, StoredObject],
+    current: collections.abc.Mapping[store.Key, CurrentObject],
     merge_base: collections.abc.Mapping[store.Key, Spec] | None = None,
 ) -> list[PlanStep]:
     """Merges a submission with those of other operators.
@@ -131,7 +133,7 @@
         else dict.fromkeys(merge_base.keys() - wanted.keys())
     )
     return [
-        _plan_step(key, spec, current.get(key, StoredObject()), merge_base)
+        _plan_step(key, spec, current.get(key, CurrentObject()), merge_base)
         for key, spec in {**wanted, **removed}.items()
     ]
 
@@ -139,7 +141,7 @@
 def _plan_step(
     key: store.Key,
     spec: Spec,
-    current: StoredObject,
+    current: CurrentObject,
     merge_base: collections.abc.Mapping[store.Key, Spec] | None,
 ) -> PlanStep:
     if current.spec == spec:
@@ -163,7 +165,7 @@
     return PlanStep(key, Action.REFUSED, spec, current, changes, theirs)
 
 
-def replan(step: PlanStep, current: StoredObject) -> PlanStep:
+def replan(step: PlanStep, current: CurrentObject) -> PlanStep:
     """Plans a step anew after its object has changed since it was read."""
     merge_base = {step.key: step.current.spec}
     return _plan_step(step.key, step.spec, current, merge_base)
--- a/endivewind/config/reference.py
+++ b/endivewind/config/reference.py
@@ -26,7 +26,7 @@
 )
 
 _MODELS: tuple[tuple[str, type[pydantic.BaseModel]], ...] = (
-    ("A file of configuration", objects.Configuration),
+    ("A file of configuration", objects.ConfigurationFile),
     ("`services.NAME`", objects.Service),
     ("`route_groups.NAME`", objects.RouteGroup),
     ("`route_groups.NAME.routes[]`", objects.Route),
--- a/endivewind/config/replication.py
+++ b/endivewind/config/replication.py
@@ -27,7 +27,7 @@
 # Maximum size of an object sent within a rumour. Larger objects are requested
 # by the receiver, so that a node receives each about once. A rumour contains
 # about eight times as many bytes of objects at most.
-MAX_PUSH_BYTES = 512
+MAX_PUSHED_OBJECT_BYTES = 512
 TICK_INTERVAL = datetime.timedelta(milliseconds=250)
 # If nothing differs, a comparison costs two messages with one number each.
 DIGEST_PERIOD = datetime.timedelta(seconds=2)
@@ -320,7 +320,10 @@
             stamp = self._store.stamp(key)
             # For a large submission, sending every object to every peer would
             # cost several times as much as letting peers request them.
-            if len(packed) <= MAX_PUSH_BYTES and pushed < 8 * MAX_PUSH_BYTES:
+            if (
+                len(packed) <= MAX_PUSHED_OBJECT_BYTES
+                and pushed < 8 * MAX_PUSHED_OBJECT_BYTES
+            ):
                 pushed += len(packed)
                 objects.append(PackedObject(key, stamp.version, packed))
             else:
--- a/endivewind/configuration_reader.py
+++ b/endivewind/configuration_reader.py
@@ -43,7 +43,7 @@
         self,
         get_settings: collections.abc.Callable[[], settings.NodeSettings],
         platform: client.PlatformClient,
-        peer: configuration.ConfigurationPeer,
+        peer: configuration.ConfigurationService,
         has_complete_view: collections.abc.Callable[[], bool],
         freshness_tracker: freshness.FreshnessTracker,
         clock: clocks.Clock,
--- a/endivewind/decisions/load_balancing.py
+++ b/endivewind/decisions/load_balancing.py
@@ -86,7 +86,7 @@
     """
 
     tiers: tuple[tuple[capacity_floor.Candidate, ...], ...]
-    trials: tuple[capacity_floor.Candidate, ...]
+    trial_targets: tuple[capacity_floor.Candidate, ...]
     admitted_slots: int
 
     @classmethod
@@ -289,10 +289,10 @@
     """
     if (
         constraints.is_idempotent
-        and pool.trials
+        and pool.trial_targets
         and not rng.randrange(REQUESTS_PER_TRIAL_REQUEST)
     ):
-        tried = _choose_trial(pool.trials, constraints, info, rng)
+        tried = _choose_trial(pool.trial_targets, constraints, info, rng)
         if tried:
             return tried
     if constraints.may_probe and rng.random() < PROBE_SHARE:
--- a/endivewind/decisions/poison_requests.py
+++ b/endivewind/decisions/poison_requests.py
@@ -17,7 +17,7 @@
 BLOCK_DURATION = datetime.timedelta(minutes=10)
 # 1,024 fingerprints of 32 bytes take about 300 KB at most; the oldest are
 # evicted first.
-MAX_SUSPECTS = 1024
+MAX_SUSPECT_REQUESTS = 1024
 
 
 @dataclasses.dataclass(slots=True)
@@ -60,10 +60,10 @@
         suspect.last_crash = now
         suspect.targets.add(target)
         self._suspects.move_to_end(fingerprint)
-        if len(self._suspects) > MAX_SUSPECTS:
+        if len(self._suspects) > MAX_SUSPECT_REQUESTS:
             self._suspects.popitem(last=False)
 
-    def record_answer(self, fingerprint: bytes) -> None:
+    def record_response(self, fingerprint: bytes) -> None:
         """Clears a request to which a target has responded."""
         self._suspects.pop(fingerprint, None)
 
--- a/endivewind/decisions/quotas.py
+++ b/endivewind/decisions/quotas.py
@@ -68,7 +68,7 @@
 
     window: datetime.timedelta = datetime.timedelta(seconds=5)
     overage: float = 0.1
-    requests: float = 20
+    extra_requests: float = 20
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -105,7 +105,10 @@
           tolerance: how far the quota may be exceeded.
         """
         window = tolerance.window.total_seconds()
-        spare = tolerance.overage * (rate * window + burst) + tolerance.requests
+        spare = (
+            tolerance.overage * (rate * window + burst)
+            + tolerance.extra_requests
+        )
         capacity = burst + BURST_TOLERANCE_SHARE * spare
         tolerated_rate = rate + RATE_TOLERANCE_SHARE * spare / window
         return cls(tolerated_rate / zones, max(1.0, capacity / zones))
--- a/endivewind/decisions/sequential_test.py
+++ b/endivewind/decisions/sequential_test.py
@@ -46,7 +46,7 @@
 
     name: str
     signal: OutlierSignal
-    unhealthy_share: float
+    affected_share: float
     min_expected_share: float
 
 
@@ -96,7 +96,7 @@
     if healthy_share >= MAX_EXPECTED_SHARE:
         return NO_STEP
     unhealthy_share = (
-        healthy_share + (1 - healthy_share) * hypothesis.unhealthy_share
+        healthy_share + (1 - healthy_share) * hypothesis.affected_share
     )
     return EvidenceStep(
         math.log(unhealthy_share / healthy_share),
--- a/endivewind/decisions/suspicion.py
+++ b/endivewind/decisions/suspicion.py
@@ -19,8 +19,8 @@
 # Limits of the estimated probability. However many requests have failed, a few
 # successful responses must restore a target: its recovery is not announced, and
 # healthy capacity must not stay unused.
-MAX_SUSPICION = 0.97
-MIN_SUSPICION = 0.001
+MAX_ESTIMATE = 0.97
+MIN_ESTIMATE = 0.001
 
 
 class SuspicionSignal(enum.Enum):
@@ -129,4 +129,4 @@
 
 def _posterior(prior: float, likelihood_ratio: float) -> float:
     odds = prior * likelihood_ratio
-    return min(max(odds / (odds + 1 - prior), MIN_SUSPICION), MAX_SUSPICION)
+    return min(max(odds / (odds + 1 - prior), MIN_ESTIMATE), MAX_ESTIMATE)
--- a/endivewind/durable/audit.py
+++ b/endivewind/durable/audit.py
@@ -96,7 +96,7 @@
     attempt wrote, but whose response was lost, are not added again.
     """
     name = shard_name(actor)
-    last_error = messages.PlatformError(messages.Failure.UNAVAILABLE)
+    last_error = messages.PlatformError(messages.FailureReason.UNAVAILABLE)
     for _ in range(MAX_ATTEMPTS):
         result = await _append_once(platform, name, records)
         if result.is_ok():
@@ -118,7 +118,7 @@
         # Not validated, so that records of a newer release are kept.
         stored_records = list(shard.ok.value.get("records", ()))
         version = shard.ok.version
-    elif shard.error.failure is not messages.Failure.NOT_FOUND:
+    elif shard.error.failure is not messages.FailureReason.NOT_FOUND:
         return expression.Error(shard.error)
     encoded = [item.model_dump(mode="json") for item in records]
     missing = [item for item in encoded if item not in stored_records]
--- a/endivewind/durable/conditional_writes.py
+++ b/endivewind/durable/conditional_writes.py
@@ -19,7 +19,10 @@
 Sleep = collections.abc.Callable[[float], collections.abc.Awaitable[None]]
 
 # No valid response: the write may have taken effect.
-_UNCERTAIN_FAILURES = (messages.Failure.UNAVAILABLE, messages.Failure.INVALID)
+_UNCERTAIN_FAILURES = (
+    messages.FailureReason.UNAVAILABLE,
+    messages.FailureReason.INVALID,
+)
 
 
 class WriteOutcome(enum.StrEnum):
@@ -90,7 +93,7 @@
             return WriteResult(WriteOutcome.WRITTEN, result.ok)
         error = result.error
         detail = error.detail
-        if error.failure is messages.Failure.CONFLICT:
+        if error.failure is messages.FailureReason.CONFLICT:
             return _resolve_conflict(value, error.current, may_be_written)
         may_be_written = may_be_written or error.failure in _UNCERTAIN_FAILURES
         await sleep(backoff.next_seconds(error))
--- a/endivewind/durable/membership.py
+++ b/endivewind/durable/node_directory.py
@@ -156,7 +156,7 @@
         result = await self._platform.put(kind, record.name, value, version)
         if result.is_error():
             error = result.error
-            if error.failure is messages.Failure.NOT_FOUND:
+            if error.failure is messages.FailureReason.NOT_FOUND:
                 result = await self._platform.put(kind, record.name, value, 0)
             elif error.current is not None:
                 result = await self._platform.put(
--- a/endivewind/durable/retries.py
+++ b/endivewind/durable/retries.py
@@ -11,7 +11,7 @@
 
 INITIAL_BACKOFF = datetime.timedelta(milliseconds=100)
 MAX_BACKOFF = datetime.timedelta(seconds=5)
-MIN_WAIT = datetime.timedelta(milliseconds=50)
+MIN_BUDGET_WAIT = datetime.timedelta(milliseconds=50)
 
 
 class Backoff:
@@ -83,7 +83,7 @@
         """Sets the number of nodes that share the platform."""
         self._node_count = max(1, nodes)
 
-    def refill(self, calls: float) -> None:
+    def set_burst(self, calls: float) -> None:
         """Sets the calls allowed at once, for commands that make many.
 
         The number is also the new capacity if it exceeds the present one.
@@ -91,7 +91,7 @@
         self._tokens = calls
         self._capacity = max(self._capacity, calls)
 
-    def try_start(self, now: datetime.timedelta) -> datetime.timedelta:
+    def start_or_get_wait(self, now: datetime.timedelta) -> datetime.timedelta:
         """Starts a call if the limits allow it.
 
         Returns:
@@ -104,12 +104,12 @@
             self._tokens = min(self._tokens + added, self._capacity)
         self._refilled_at = now
         if self._in_progress >= self.MAX_CONCURRENT_CALLS:
-            return MIN_WAIT
+            return MIN_BUDGET_WAIT
         if self._tokens < 1:
             seconds = (1 - self._tokens) / self.calls_per_second
             # Zero means that the call was started, so a wait too short for a
             # timedelta must not be rounded down to it.
-            return max(datetime.timedelta(seconds=seconds), MIN_WAIT)
+            return max(datetime.timedelta(seconds=seconds), MIN_BUDGET_WAIT)
         self._tokens -= 1
         self._in_progress += 1
         return datetime.timedelta()
--- a/endivewind/durable/watcher.py
+++ b/endivewind/durable/watcher.py
@@ -115,7 +115,7 @@
                 if mode is ReadMode.LIST:
                     await self._wait_for_next_listing()
                 continue
-            if result.error.failure is messages.Failure.COMPACTED:
+            if result.error.failure is messages.FailureReason.COMPACTED:
                 self._revision = None
                 self._accepts_stale = False
             log.warning(
--- a/endivewind/http_servers.py
+++ b/endivewind/http_servers.py
@@ -14,7 +14,7 @@
     def __init__(self) -> None:
         self._runners: list[web.BaseRunner] = []
 
-    async def serve(
+    async def start_server(
         self,
         runner: web.BaseRunner,
         address: str,
@@ -28,11 +28,11 @@
         await site.start()
         return f"{host}:{runner.addresses[0][1]}"
 
-    async def serve_application(
+    async def start_application(
         self, application: web.Application, address: str
     ) -> str:
         """Starts a server for an application and returns its bound address."""
-        return await self.serve(
+        return await self.start_server(
             web.AppRunner(application, access_log=None), address
         )
 
--- a/endivewind/node.py
+++ b/endivewind/node.py
@@ -41,7 +41,7 @@
 from endivewind.decisions import peer_updates
 from endivewind.durable import audit
 from endivewind.durable import audit_recorder
-from endivewind.durable import membership
+from endivewind.durable import node_directory
 from endivewind.nodes import configuration
 from endivewind.nodes import gossip_service
 from endivewind.nodes import graceful_shutdown
@@ -51,8 +51,8 @@
 from endivewind.nodes import quotas
 from endivewind.nodes import traffic
 from endivewind.nodes import view
-from endivewind.operators import configuration as operators
 from endivewind.operators import operator_api
+from endivewind.operators import version_api as operators
 from endivewind.platform import client
 from endivewind.platform import heartbeats
 from endivewind.platform import names
@@ -122,8 +122,8 @@
         self._is_stopping = False
         self._created_at = clock.monotonic()
         # Set by start(), which needs the running loop and the platform.
-        self._directory: membership.Directory
-        self._initial_listing: membership.ZoneListing | None
+        self._directory: node_directory.Directory
+        self._initial_listing: node_directory.ZoneListing | None
         self._incarnation: int
         self._targets: registry.TargetRegistry
         self._outlier_monitor: outlier_monitor.OutlierMonitor
@@ -137,11 +137,11 @@
         self._reader: configuration_reader.ConfigurationReader
         self._reports: reports.Reports
         self._audit_recorder: audit_recorder.AuditRecorder
-        self._configuration_peer: configuration.ConfigurationPeer
+        self._configuration_service: configuration.ConfigurationService
         self._self_record: view.NodeRecord
         self._gossip: gossip_service.GossipService
-        self._proof_peer: proofs.ProofPeer
-        self._quota_peer: quotas.QuotaPeer
+        self._proof_service: proofs.ProofService
+        self._quota_service: quotas.QuotaService
 
     @classmethod
     def from_settings(
@@ -181,9 +181,9 @@
         for work in (
             *(item.run() for item in self._reader.make_watchers()),
             self._audit_recorder.run(),
-            self._configuration_peer.run(),
-            self._proof_peer.run_platform_reads(),
-            self._proof_peer.run_peer_queries(),
+            self._configuration_service.run(),
+            self._proof_service.run_platform_reads(),
+            self._proof_service.run_peer_queries(),
             self._run_lease_checks(),
             self._run_target_checks(),
             self._reports.log_traffic(),
@@ -194,13 +194,13 @@
     async def _build_identity(self) -> None:
         """Determines the incarnation and builds the target registry."""
         node_settings = self._settings
-        self._directory = membership.Directory(
+        self._directory = node_directory.Directory(
             self._platform, node_settings.zones
         )
         self._initial_listing = await self._directory.list_zone_at_start(
             node_settings.zone
         )
-        registered = membership.registered_incarnation(
+        registered = node_directory.registered_incarnation(
             self._initial_listing, node_settings.name
         )
         now_us = int(self._clock.now().timestamp() * 1_000_000)
@@ -254,7 +254,7 @@
                 self._clock, self._dispatcher if node_settings.beside else None
             ),
             quota_client.QuotaClient(
-                lambda workspace, count: self._quota_peer.request_tokens(
+                lambda workspace, count: self._quota_service.request_tokens(
                     workspace, count
                 ),
                 self._clock,
@@ -277,7 +277,7 @@
             self._ticket_handler,
             node_settings.limits,
             authorization.ConfigurationStatus(
-                lambda: self._configuration_peer.missing(),
+                lambda: self._configuration_service.missing(),
                 self._is_configuration_fresh,
             ),
             self._caller_conventions(),
@@ -299,7 +299,7 @@
             to_platform=node_settings.audit
             is settings.AuditDestination.PLATFORM,
         )
-        self._configuration_peer = configuration.ConfigurationPeer(
+        self._configuration_service = configuration.ConfigurationService(
             view.NodeRecord(
                 node_settings.name,
                 self._incarnation,
@@ -319,7 +319,7 @@
         self._reader = configuration_reader.ConfigurationReader(
             lambda: self._settings,
             self._platform,
-            self._configuration_peer,
+            self._configuration_service,
             lambda: self._gossip.has_complete_view,
             self._freshness_tracker,
             self._clock,
@@ -374,7 +374,7 @@
             self._rng,
             self._traffic,
         )
-        self._quota_peer = quotas.QuotaPeer(
+        self._quota_service = quotas.QuotaService(
             self._self_record,
             len(node_settings.zones),
             self._gateway.workspaces.quota,
@@ -383,7 +383,7 @@
             self._clock,
             node_settings.quota_tolerance.tolerance,
         )
-        self._proof_peer = proofs.ProofPeer(
+        self._proof_service = proofs.ProofService(
             self._self_record,
             self._freshness_tracker,
             self._fleet,
@@ -397,8 +397,8 @@
     async def handle_query(self, query: Any) -> Any:
         """Handles another node's query; query and response are frames."""
         if query.quota_ask is not None:
-            return await self._quota_peer.handle_query(query.quota_ask)
-        return self._proof_peer.response_frame()
+            return await self._quota_service.handle_query(query.quota_ask)
+        return self._proof_service.response_frame()
 
     def reload(self, node_settings: settings.NodeSettings) -> None:
         """Applies reloadable settings; logs those that need a restart."""
@@ -490,7 +490,7 @@
         except TimeoutError:
             log.warning("last audit records not written: platform timeout")
 
-    async def run(
+    async def run_on_target(
         self,
         target: str,
         home_incarnation: int,
@@ -544,7 +544,7 @@
 
     async def _bind(self, node_address: str) -> Addresses:
         node_settings = self._settings
-        callers = await self._http.serve(
+        callers = await self._http.start_server(
             web.ServerRunner(
                 self._listener.make_server(),
                 shutdown_timeout=graceful_shutdown.FORCED_CLOSE_TIMEOUT.total_seconds(),
@@ -552,15 +552,15 @@
             node_settings.callers,
             tls.make_server_context(node_settings.callers_tls),
         )
-        targets = await self._http.serve_application(
+        targets = await self._http.start_application(
             self._target_application(), node_settings.targets
         )
         if node_settings.readiness is not None:
-            await self._http.serve_application(
+            await self._http.start_application(
                 readiness.make_application(self._not_ready_reason),
                 node_settings.readiness,
             )
-        operators_address = await self._http.serve_application(
+        operators_address = await self._http.start_application(
             self._operator_application(), node_settings.operators
         )
         return Addresses(callers, targets, node_address, operators_address)
@@ -629,10 +629,10 @@
             self._gossip.status,
         )
         application = operator_api.OperatorApi(sources).make_application()
-        operators.add_route(
+        operators.add_versions_path(
             application,
-            self._configuration_peer.version_queries,
-            operators.FleetMembers(
+            self._configuration_service.version_queries,
+            operators.FleetOverview(
                 tuple(self._settings.zones), self._gossip.departed_nodes
             ),
         )
@@ -649,10 +649,10 @@
 
     def handle_configuration(self, frame: Any) -> None:
         """Handles a peer's frame with configuration or a query for it."""
-        self._configuration_peer.handle_frame(frame)
+        self._configuration_service.handle_frame(frame)
 
     def _apply_configuration(self, key: store.Key) -> None:
-        self._gateway.configure(key.kind, key.name)
+        self._gateway.apply_object(key.kind, key.name)
 
     def _record_join(self) -> None:
         """Adds to the audit trail that this node has joined the fleet."""
@@ -687,8 +687,8 @@
         target_updates = self._update_publisher.take_due_updates(snapshots, now)
         for target_update in target_updates:
             self._placement.apply_update(target_update)
-        retry_usages = self._gateway.budgets.due_updates()
-        routes = self._gateway.ingress_routes.due_updates()
+        retry_usages = self._gateway.budgets.take_due_updates()
+        routes = self._gateway.entry_routes.take_due_updates()
         self._gossip.push_update(
             peer_updates.PeerUpdate(target_updates, retry_usages, routes)
         )
@@ -702,12 +702,12 @@
         for retry_usage in update.retry_usages:
             self._gateway.budgets.update_peer(sender, retry_usage)
         for route in update.entry_routes:
-            self._gateway.ingress_routes.add_route(route)
+            self._gateway.entry_routes.add_route(route)
 
     def _not_ready_reason(self) -> str | None:
         if self._is_stopping:
             return "stopping"
         return (
-            self._configuration_peer.missing()
+            self._configuration_service.missing()
             or self._gossip.not_ready_reason()
         )
--- a/endivewind/nodes/configuration.py
+++ b/endivewind/nodes/configuration.py
@@ -40,7 +40,7 @@
 # this time. If no peer has responded by then, probably all nodes are starting
 # at once. The timeout is short because callers are refused until the platform
 # has responded.
-LONE_BOOTSTRAP_TIMEOUT = datetime.timedelta(milliseconds=150)
+WATCHER_BOOTSTRAP_TIMEOUT = datetime.timedelta(milliseconds=150)
 # How long the watcher role is cached while the number of nodes is unchanged.
 WATCHER_ROLE_TTL = datetime.timedelta(seconds=1)
 # A running node reads the platform if no peer has confirmed for this long that
@@ -51,7 +51,7 @@
 InForceCallback = collections.abc.Callable[[store.Key], None]
 
 
-class ConfigurationPeer:
+class ConfigurationService:
     """Receives configuration from the platform and peers, and propagates it."""
 
     def __init__(
@@ -128,7 +128,7 @@
             timeout = (
                 PEER_BOOTSTRAP_TIMEOUT
                 if waits_for_peers
-                else LONE_BOOTSTRAP_TIMEOUT
+                else WATCHER_BOOTSTRAP_TIMEOUT
             )
         last_agreed = max(self._replicator.last_agreement_at, self._started)
         return self._clock.monotonic() - last_agreed >= timeout
--- a/endivewind/nodes/datagrams.py
+++ b/endivewind/nodes/datagrams.py
@@ -45,9 +45,9 @@
     struct = codec.messages.Datagram(
         sender=datagram.sender,
         summary=datagram.summary,
-        ping=datagram.ping or None,
-        ack=datagram.ack or None,
-        relay=datagram.relay or None,
+        ping=datagram.ping_number or None,
+        ack=datagram.ack_number or None,
+        relay=datagram.node_to_ping or None,
         changes=list(datagram.changes) or None,
         buckets=list(datagram.buckets) or None,
         compared=list(datagram.compared_buckets) or None,
@@ -96,9 +96,9 @@
         return gossip_messages.Datagram(
             struct.sender,
             struct.summary or 0,
-            ping=struct.ping or 0,
-            ack=struct.ack or 0,
-            relay=struct.relay or "",
+            ping_number=struct.ping or 0,
+            ack_number=struct.ack or 0,
+            node_to_ping=struct.relay or "",
             changes=tuple(_to_bytes(item) for item in struct.changes or ()),
             buckets=tuple(struct.buckets or ()),
             compared_buckets=tuple(struct.compared or ()),
@@ -154,14 +154,14 @@
 
 
 def _encode_version(version: digests.Version) -> Any:
-    incarnation, refutation, state = version.member
+    incarnation, refutation, state = version.precedence
     return codec.messages.Version(
         name=version.name,
         incarnation=incarnation,
         refutation=refutation,
         state=int(state),
-        home_incarnation=version.home.incarnation,
-        sequence=version.home.sequence,
+        home_incarnation=version.home_version.incarnation,
+        sequence=version.home_version.sequence,
     )
 
 
--- a/endivewind/nodes/digests.py
+++ b/endivewind/nodes/digests.py
@@ -25,15 +25,15 @@
     """
 
     name: str
-    member: tuple[int, int, int]
-    home: view.HomeVersion
+    precedence: tuple[int, int, int]
+    home_version: view.HomeVersion
 
     @property
     def canonical_text(self) -> str:
         """The input of the hash; equal on all nodes for equal versions."""
-        incarnation, refutation, state = self.member
+        incarnation, refutation, state = self.precedence
         member_text = f"{self.name} {incarnation} {refutation} {int(state)}"
-        return f"{member_text} {self.home.incarnation} {self.home.sequence}"
+        return f"{member_text} {self.home_version.incarnation} {self.home_version.sequence}"
 
 
 class BucketDigests:
--- a/endivewind/nodes/discovery.py
+++ b/endivewind/nodes/discovery.py
@@ -14,7 +14,7 @@
 from endivewind import clock as clocks
 from endivewind import logs
 from endivewind.config import watchers
-from endivewind.durable import membership as directories
+from endivewind.durable import node_directory as directories
 from endivewind.durable import retries
 from endivewind.nodes import membership
 from endivewind.nodes import view
@@ -81,12 +81,12 @@
             self._store_listing(self._me.zone, initial_listing)
 
     @property
-    def has_listed(self) -> bool:
+    def has_listing_or_seeds(self) -> bool:
         """Whether a zone has been listed or seeds are configured."""
         return bool(self._listings or self._seeds)
 
     @property
-    def has_complete_listing(self) -> bool:
+    def has_complete_zone_listing(self) -> bool:
         """Whether all nodes that registered earlier in this zone are known.
 
         It says nothing of other zones, or of nodes that registered later.
@@ -129,14 +129,14 @@
     def _next_delay(self) -> float:
         """Returns the seconds until the next listing."""
         delay = LISTING_PERIOD
-        if not self.has_complete_listing or self._unreached_zones():
+        if not self.has_complete_zone_listing or self._unreached_zones():
             delay = self._listing_delay
             self._listing_delay = min(2 * self._listing_delay, LISTING_PERIOD)
         return delay.total_seconds() * self._rng.uniform(0.5, 1.5)
 
     def _due_zones(self) -> list[str]:
         """Returns the zones to list now."""
-        result = [] if self.has_complete_listing else [self._me.zone]
+        result = [] if self.has_complete_zone_listing else [self._me.zone]
         unreached = self._unreached_zones()
         if unreached:
             result.append(self._rng.choice(unreached))
@@ -166,7 +166,7 @@
             return
         self._backoff.reset()
         self._store_listing(zone, listed.ok)
-        if zone == self._me.zone and self.has_complete_listing:
+        if zone == self._me.zone and self.has_complete_zone_listing:
             if self._me.name not in listed.ok.registrations:
                 log.warning("registration is missing; registering again")
                 self._registered_version = None
--- a/endivewind/nodes/gossip.py
+++ b/endivewind/nodes/gossip.py
@@ -31,7 +31,7 @@
 INBOUND_COPIES = 6
 # Maximum share of pushes that go to other zones of the region, and likewise to
 # other regions. It matters for zones of only one or two nodes.
-MAX_CROSS_ZONE_SHARE = 1 / 2
+MAX_REMOTE_SHARE = 1 / 2
 # Time after which a node counts as joined without having received a state.
 # When a whole fleet restarts, no node has a state to send. Without a timeout
 # the nodes would send pulls to each other forever, and callers would wait for
@@ -75,7 +75,7 @@
         return self._clock.monotonic() - self._join_started > JOIN_TIMEOUT
 
     @property
-    def has_state(self) -> bool:
+    def has_received_state(self) -> bool:
         """Whether a peer's full state has arrived, whatever the timeout."""
         return self._has_state
 
@@ -129,14 +129,14 @@
         """Queues this node's own member record for dissemination."""
         self._enqueue(self._members.me)
 
-    def leave(self) -> list[messages.Send]:
+    def leave(self) -> list[messages.OutgoingMessage]:
         """Announces at once, to a few nodes, that this node shuts down."""
         self._handle_outputs(self._members.leave(), None)
         return self.push()
 
     def push_update(
         self, update: peer_updates.PeerUpdate
-    ) -> list[messages.Send]:
+    ) -> list[messages.OutgoingMessage]:
         """Sends an update to nodes of this zone.
 
         Retry usages go to other zones of the region as well if the region is
@@ -173,14 +173,14 @@
 
     def _make_update(
         self, receiver: membership.MemberRecord, update: peer_updates.PeerUpdate
-    ) -> messages.Send:
+    ) -> messages.OutgoingMessage:
         me = self._members.me.node.name
-        return messages.Send(
+        return messages.OutgoingMessage(
             receiver.node.address,
             messages.Datagram(me, self.summary, peer_update=update),
         )
 
-    def tick(self) -> list[messages.Send]:
+    def tick(self) -> list[messages.OutgoingMessage]:
         """Runs the protocol's timers; to be called about every 100 ms."""
         sends = self._handle_outputs(self._members.tick(), None)
         sends.extend(self.push())
@@ -188,7 +188,7 @@
 
     def receive(
         self, address: str, message: messages.Datagram
-    ) -> list[messages.Send]:
+    ) -> list[messages.OutgoingMessage]:
         """Handles a datagram; ignores changes in it that can't be decoded.
 
         Args:
@@ -202,26 +202,28 @@
         is_unknown = known is None or not known.is_usable
         has_refuted = self._members.me is not before
         extra_changes: tuple[bytes, ...] = ()
-        is_suspected = bool(message.ping) and self._carries_suspicion(
+        is_suspected = bool(message.ping_number) and self._carries_suspicion(
             message.changes
         )
         if is_unknown or has_refuted or is_suspected:
             extra_changes = (changes.encode(self._members.me),)
         outputs: list[membership.Output] = []
-        if message.ping and message.relay:
+        if message.ping_number and message.node_to_ping:
             outputs.extend(
                 self._members.handle_ping_request(
-                    address, message.ping, message.relay
+                    address, message.ping_number, message.node_to_ping
                 )
             )
-        elif message.ping:
-            outputs.extend(self._members.handle_ping(address, message.ping))
-        if message.ack:
-            outputs.extend(self._members.handle_ack(message.ack))
+        elif message.ping_number:
+            outputs.extend(
+                self._members.handle_ping(address, message.ping_number)
+            )
+        if message.ack_number:
+            outputs.extend(self._members.handle_ack(message.ack_number))
         sends = self._handle_outputs(outputs, extra_changes)
-        if has_refuted and not message.ping:
+        if has_refuted and not message.ping_number:
             sends.append(
-                messages.Send(
+                messages.OutgoingMessage(
                     address, self._make_datagram(extra_changes=extra_changes)
                 )
             )
@@ -257,7 +259,9 @@
         known = self._members.members.get(message.sender)
         return address if known is None else known.node.address
 
-    def receive_state(self, state: messages.FleetState) -> list[messages.Send]:
+    def receive_state(
+        self, state: messages.StatePart
+    ) -> list[messages.OutgoingMessage]:
         """Stores a part of another node's state."""
         for member in state.members:
             self._merge_member(member, should_disseminate=False)
@@ -270,7 +274,7 @@
 
     def answer_pull(
         self, pull: messages.Pull
-    ) -> collections.abc.Iterator[messages.FleetState]:
+    ) -> collections.abc.Iterator[messages.StatePart]:
         """Yields the state that a pull asks for, in parts of bounded size."""
         return self._repair.answer_pull(pull, has_joined=self.has_joined)
 
@@ -357,14 +361,14 @@
         self,
         outputs: collections.abc.Iterable[membership.Output],
         extra_changes: tuple[bytes, ...] | None,
-    ) -> list[messages.Send]:
+    ) -> list[messages.OutgoingMessage]:
         """Applies outputs of membership; returns the messages to send.
 
         Args:
           outputs: what membership asks for.
           extra_changes: encoded changes to add to acknowledgements.
         """
-        sends: list[messages.Send] = []
+        sends: list[messages.OutgoingMessage] = []
         for item in outputs:
             match item:
                 case membership.Disseminate(record):
@@ -376,24 +380,24 @@
                     sends.append(self._make_ping(item))
                 case membership.PingRequest(address, number, member):
                     datagram = self._make_datagram(ping=number, relay=member)
-                    sends.append(messages.Send(address, datagram))
+                    sends.append(messages.OutgoingMessage(address, datagram))
                 case membership.Ack(address, number):
                     datagram = self._make_datagram(
                         ack=number, extra_changes=extra_changes or ()
                     )
-                    sends.append(messages.Send(address, datagram))
+                    sends.append(messages.OutgoingMessage(address, datagram))
         return sends
 
-    def _make_ping(self, ping: membership.Ping) -> messages.Send:
+    def _make_ping(self, ping: membership.Ping) -> messages.OutgoingMessage:
         extra_changes: tuple[bytes, ...] = ()
-        if ping.known_record is not None:
-            extra_changes = (changes.encode(ping.known_record),)
+        if ping.record_to_refute is not None:
+            extra_changes = (changes.encode(ping.record_to_refute),)
         if ping.is_introduction:
             extra_changes = (*extra_changes, changes.encode(self._members.me))
         datagram = self._make_datagram(
             ping=ping.number, extra_changes=extra_changes
         )
-        return messages.Send(ping.address, datagram)
+        return messages.OutgoingMessage(ping.address, datagram)
 
     def _make_datagram(
         self,
@@ -409,19 +413,19 @@
         return messages.Datagram(
             self._members.me.node.name,
             self.summary,
-            ping=ping,
-            ack=ack,
-            relay=relay,
+            ping_number=ping,
+            ack_number=ack,
+            node_to_ping=relay,
             changes=extra_changes
             + self._queue.take(max_bytes, len(self._view.nodes)),
         )
 
-    def push(self) -> list[messages.Send]:
+    def push(self) -> list[messages.OutgoingMessage]:
         """Sends queued changes to a few random nodes."""
         if not len(self._queue):
             return []
         return [
-            messages.Send(item.node.address, self._make_datagram())
+            messages.OutgoingMessage(item.node.address, self._make_datagram())
             for item in self._choose_receivers()
             if len(self._queue)
         ]
@@ -451,11 +455,11 @@
             INBOUND_COPIES * zone_count / region_pushes if other_zones else 0
         )
         cross_region_count = self._count_hits(
-            FAN_OUT, min(cross_region_share, MAX_CROSS_ZONE_SHARE)
+            FAN_OUT, min(cross_region_share, MAX_REMOTE_SHARE)
         )
         cross_zone_count = self._count_hits(
             FAN_OUT - cross_region_count,
-            min(cross_zone_share, MAX_CROSS_ZONE_SHARE),
+            min(cross_zone_share, MAX_REMOTE_SHARE),
         )
         if not zone:
             cross_zone_count = min(
--- a/endivewind/nodes/gossip_frames.py
+++ b/endivewind/nodes/gossip_frames.py
@@ -11,14 +11,14 @@
 
 @functools.singledispatch
 def encode_message(
-    message: gossip_messages.FleetState | gossip_messages.Pull,
+    message: gossip_messages.StatePart | gossip_messages.Pull,
 ) -> Any:
     """Converts a gossip message to a link frame."""
     raise TypeError(f"no frame for {type(message).__name__}")
 
 
 @encode_message.register
-def _(message: gossip_messages.FleetState) -> Any:
+def _(message: gossip_messages.StatePart) -> Any:
     state = codec.messages.StatePart(
         sender=message.sender,
         members=[changes.encode_member(item) for item in message.members],
@@ -45,7 +45,7 @@
 
 def decode_message(
     frame: Any,
-) -> gossip_messages.FleetState | gossip_messages.Pull:
+) -> gossip_messages.StatePart | gossip_messages.Pull:
     """Converts a link frame to a gossip message.
 
     Raises:
@@ -64,8 +64,8 @@
     raise codec.FrameError("not a gossip frame")
 
 
-def _decode_state(state: Any) -> gossip_messages.FleetState:
-    return gossip_messages.FleetState(
+def _decode_state(state: Any) -> gossip_messages.StatePart:
+    return gossip_messages.StatePart(
         state.sender or "",
         tuple(changes.decode_member(item) for item in state.members or ()),
         tuple(_decode_home(item) for item in state.homes or ()),
--- a/endivewind/nodes/gossip_messages.py
+++ b/endivewind/nodes/gossip_messages.py
@@ -28,9 +28,9 @@
 
     sender: str
     summary: int
-    ping: int = 0
-    ack: int = 0
-    relay: str = ""
+    ping_number: int = 0
+    ack_number: int = 0
+    node_to_ping: str = ""
     changes: tuple[bytes, ...] = ()
     buckets: tuple[int, ...] = ()
     compared_buckets: tuple[int, ...] = ()
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FleetState:
+class StatePart:
     """A part of the sender's state.
 
     Attributes:
@@ -75,8 +75,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Send:
+class OutgoingMessage:
     """A message and its receiver: datagrams go by UDP, others by a link."""
 
     address: str
-    message: Datagram | FleetState | Pull
+    message: Datagram | StatePart | Pull
--- a/endivewind/nodes/gossip_service.py
+++ b/endivewind/nodes/gossip_service.py
@@ -16,7 +16,7 @@
 from endivewind import logs
 from endivewind.config import settings
 from endivewind.decisions import peer_updates
-from endivewind.durable import membership as directories
+from endivewind.durable import node_directory as directories
 from endivewind.nodes import codec
 from endivewind.nodes import datagrams
 from endivewind.nodes import discovery
@@ -34,7 +34,7 @@
 TICK_INTERVAL = datetime.timedelta(milliseconds=100)
 # Pulls of other nodes that this node responds to at the same time. The response
 # to a pull of the whole state is about 1.4 MB at full size.
-MAX_CONCURRENT_PULLS = 2
+MAX_CONCURRENT_PULL_RESPONSES = 2
 # How long a node that shuts down waits for its targets to move. A target renews
 # its lease, and so learns that it must move, within a third of the lease's
 # duration. One that has not moved after this time would be lost even if the
@@ -178,9 +178,9 @@
         """Returns why this node can't route requests yet; None if it can."""
         if self._members.is_superseded:
             return "a later incarnation of this node exists"
-        if self._core.has_state:
+        if self._core.has_received_state:
             return None
-        if not self._discovery.has_listed:
+        if not self._discovery.has_listing_or_seeds:
             return "no node listing yet"
         return None if self._core.has_joined else "no fleet state yet"
 
@@ -188,7 +188,7 @@
     def has_complete_view(self) -> bool:
         """Whether this node knows all nodes that started before it."""
         return (
-            self._discovery.has_complete_listing
+            self._discovery.has_complete_zone_listing
             and self.not_ready_reason() is None
         )
 
@@ -268,7 +268,7 @@
         targets = [item.id for item in state.targets] if state else []
         log.debug("home heard", extra=logs.fields(home=home, targets=targets))
 
-    def _dispatch(self, sends: list[gossip_messages.Send]) -> None:
+    def _dispatch(self, sends: list[gossip_messages.OutgoingMessage]) -> None:
         for item in sends:
             if isinstance(item.message, gossip_messages.Datagram):
                 self._socket.send(item.address, item.message)
@@ -278,12 +278,12 @@
     async def _send(
         self,
         address: str,
-        message: gossip_messages.FleetState | gossip_messages.Pull,
+        message: gossip_messages.StatePart | gossip_messages.Pull,
     ) -> None:
         await self._pool.send(address, gossip_frames.encode_message(message))
 
     def _answer_pull(self, pull: gossip_messages.Pull) -> None:
-        if self._running_pull_responses >= MAX_CONCURRENT_PULLS:
+        if self._running_pull_responses >= MAX_CONCURRENT_PULL_RESPONSES:
             # The sender repeats its pull a second later, to another node.
             return
         self._running_pull_responses += 1
--- a/endivewind/nodes/graceful_shutdown.py
+++ b/endivewind/nodes/graceful_shutdown.py
@@ -54,10 +54,10 @@
         """Waits until nothing is being served."""
 
 
-class TicketedRequests(Protocol):
+class TicketedRequestHandler(Protocol):
     """Handles non-idempotent requests, which carry tickets."""
 
-    def close(self) -> None:
+    def refuse_new_tickets(self) -> None:
         """Refuses to start new requests."""
 
     async def wait_drained(self) -> None:
@@ -84,7 +84,7 @@
         entry: CallerListener,
         home: WorkIntake,
         links: PeerListener,
-        tickets: TicketedRequests,
+        tickets: TicketedRequestHandler,
         notice_period: datetime.timedelta,
         announce_drain: collections.abc.Callable[[], None],
     ) -> None:
@@ -116,7 +116,7 @@
                     (self._notice_period - delay).total_seconds()
                 )
                 self._entry.refuse_new()
-                self._tickets.close()
+                self._tickets.refuse_new_tickets()
                 await self._entry.wait_drained()
                 self._home.refuse_new()
                 await self._tickets.wait_drained()
--- a/endivewind/nodes/link_server.py
+++ b/endivewind/nodes/link_server.py
@@ -32,7 +32,7 @@
 class LinkHandler:
     """Processes what other nodes send over their links."""
 
-    async def run(
+    async def run_on_target(
         self,
         target: str,
         home_incarnation: int,
@@ -255,7 +255,7 @@
             return await self._handler.run_as_issuer(
                 forward.home_incarnation, head, body, forward.priority
             )
-        return await self._handler.run(
+        return await self._handler.run_on_target(
             forward.target, forward.home_incarnation, head, body
         )
 
--- a/endivewind/nodes/links.py
+++ b/endivewind/nodes/links.py
@@ -42,7 +42,7 @@
 # Responses to forwarded requests are bounded by the deadline and by
 # HEARTBEAT_TIMEOUT instead. If a peer is paused for longer than this, the echo
 # is missing, and no request is sent that would then have an unknown outcome.
-RESPONSE_TIMEOUT = datetime.timedelta(milliseconds=250)
+QUERY_TIMEOUT = datetime.timedelta(milliseconds=250)
 # The home itself responds when the deadline expires; this is the time that the
 # response may take to arrive.
 DEADLINE_GRACE = datetime.timedelta(milliseconds=500)
@@ -135,7 +135,7 @@
             )
         except (EOFError, OSError, codec.FrameError) as error:
             detail = f"{peer.name}: {error or 'no response'}"
-            return expression.Error(failures.connect_failed(detail))
+            return expression.Error(failures.connect_failed_refusal(detail))
         forward.exchange = exchange_id
         timeout = head.remaining_time + DEADLINE_GRACE
         try:
@@ -151,7 +151,7 @@
             link.close()
             self._close_idle(peer.address)
             detail = f"link to {peer.name}: {error or 'timed out'}"
-            return expression.Error(failures.link_lost(detail))
+            return expression.Error(failures.link_lost_refusal(detail))
         except exchange.RequestBodyError as error:
             link.close()
             return expression.Error(exchange.body_error_refusal(error))
@@ -366,8 +366,8 @@
       link_lost_refusal: builds it if the link broke after the request was sent.
     """
 
-    connect_failed: collections.abc.Callable[[str], exchange.Refusal]
-    link_lost: collections.abc.Callable[[str], exchange.Refusal]
+    connect_failed_refusal: collections.abc.Callable[[str], exchange.Refusal]
+    link_lost_refusal: collections.abc.Callable[[str], exchange.Refusal]
 
 
 def _issuer_lost_refusal(detail: str) -> exchange.Refusal:
@@ -394,7 +394,7 @@
         codec.encode_frame(codec.messages.Frame(heartbeat=heartbeat))
     )
     try:
-        async with asyncio.timeout(RESPONSE_TIMEOUT.total_seconds()):
+        async with asyncio.timeout(QUERY_TIMEOUT.total_seconds()):
             while True:
                 frame = await codec.read_frame(link.reader)
                 if frame.heartbeat is None:
--- a/endivewind/nodes/membership.py
+++ b/endivewind/nodes/membership.py
@@ -112,7 +112,7 @@
 
     address: str
     number: int
-    known_record: MemberRecord | None = None
+    record_to_refute: MemberRecord | None = None
     is_introduction: bool = False
 
 
--- a/endivewind/nodes/proofs.py
+++ b/endivewind/nodes/proofs.py
@@ -33,7 +33,7 @@
 ]
 
 
-class ProofPeer:
+class ProofService:
     """Keeps this node's proof recent; does nothing where none is needed."""
 
     def __init__(
@@ -188,7 +188,7 @@
             freshness_ask=codec.messages.FreshnessAsk()
         )
         response = await self._pool.query(
-            peer.address, query, links.RESPONSE_TIMEOUT
+            peer.address, query, links.QUERY_TIMEOUT
         )
         state = response.freshness_state if response is not None else None
         if state is None or state.version is None or state.age_ms is None:
--- a/endivewind/nodes/quotas.py
+++ b/endivewind/nodes/quotas.py
@@ -23,7 +23,7 @@
 
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 # An owner may borrow from another region before it responds.
-OWNER_RESPONSE_TIMEOUT = 2 * links.RESPONSE_TIMEOUT
+OWNER_RESPONSE_TIMEOUT = 2 * links.QUERY_TIMEOUT
 # Delay after a round in which no zone had tokens to lend: all zones are under
 # load then.
 BORROW_BACKOFF = datetime.timedelta(milliseconds=500)
@@ -66,7 +66,7 @@
             key=lambda item: _rank_hash(workspace, item),
         )
 
-    def owner_since(
+    def last_owner_departure(
         self, workspace: str, me: view.NodeRecord
     ) -> datetime.timedelta | None:
         """Returns when a node with a higher rank than this one last departed.
@@ -109,7 +109,7 @@
         }
 
 
-class QuotaPeer:
+class QuotaService:
     """Owns token buckets, and requests tokens from the owners of others."""
 
     def __init__(
@@ -204,7 +204,10 @@
         ordered = self._owners.nodes_by_rank(workspace, self._me.zone)
         is_owner = not ordered or ordered[0].name == self._me.name
         limit = quotas.BucketLimits.for_zone(
-            quota.rate, quota.burst, self._zones(), self._tolerance
+            quota.rate,
+            quota.burst,
+            self._effective_zone_count(),
+            self._tolerance,
         )
         limit = limit if is_owner else limit.for_standby()
         bucket = self._buckets.get(workspace)
@@ -216,7 +219,8 @@
         tokens = quotas.START_SHARE * limit.capacity
         if is_owner:
             since = (
-                self._owners.owner_since(workspace, self._me) or self._started
+                self._owners.last_owner_departure(workspace, self._me)
+                or self._started
             )
             tokens += limit.rate * (now - since).total_seconds()
         bucket = self._buckets[workspace] = quotas.TokenBucket(
@@ -224,7 +228,7 @@
         )
         return bucket
 
-    def _zones(self) -> int:
+    def _effective_zone_count(self) -> int:
         return self._zone_count or max(1, len(self._owners.zones()))
 
     def _start_borrowing(
@@ -291,7 +295,7 @@
         response = await self._pool.query(
             owner.address,
             codec.messages.Frame(quota_ask=query),
-            links.RESPONSE_TIMEOUT if is_loan else OWNER_RESPONSE_TIMEOUT,
+            links.QUERY_TIMEOUT if is_loan else OWNER_RESPONSE_TIMEOUT,
         )
         grant = response.quota_grant if response is not None else None
         if grant is None:
--- a/endivewind/nodes/repair.py
+++ b/endivewind/nodes/repair.py
@@ -76,7 +76,7 @@
 
     def answer_pull(
         self, pull: messages.Pull, *, has_joined: bool
-    ) -> collections.abc.Iterator[messages.FleetState]:
+    ) -> collections.abc.Iterator[messages.StatePart]:
         """Yields the state that a pull asks for, in parts of bounded size.
 
         Args:
@@ -97,7 +97,7 @@
 
     def compare(
         self, address: str, message: messages.Datagram, *, has_joined: bool
-    ) -> list[messages.Send]:
+    ) -> list[messages.OutgoingMessage]:
         """Compares a datagram's digests; returns the messages to send.
 
         Args:
@@ -117,7 +117,7 @@
             and now - self._last_full_pull >= MIN_FULL_PULL_INTERVAL
         ):
             self._last_full_pull = now
-            return [messages.Send(address, self._make_pull(()))]
+            return [messages.OutgoingMessage(address, self._make_pull(()))]
         is_quiet = now - self._changed_at >= REPAIR_PERIOD
         period = REPAIR_PERIOD if is_quiet else BUSY_REPAIR_PERIOD
         if now - self._last_repair < period:
@@ -126,7 +126,7 @@
         me = self._members.me.node.name
         buckets = self._digests.buckets
         return [
-            messages.Send(
+            messages.OutgoingMessage(
                 address, messages.Datagram(me, self.summary, buckets=buckets)
             )
         ]
@@ -137,7 +137,7 @@
 
     def _compare_buckets(
         self, address: str, theirs: tuple[int, ...]
-    ) -> list[messages.Send]:
+    ) -> list[messages.OutgoingMessage]:
         mine = self._digests.buckets
         if len(theirs) != len(mine):
             return []
@@ -146,7 +146,7 @@
             for index in range(digests.BUCKET_COUNT)
             if mine[index] != theirs[index]
         ]
-        sends: list[messages.Send] = []
+        sends: list[messages.OutgoingMessage] = []
         now = self._clock.monotonic()
         needs_full_pull = len(differing) >= MIN_FULL_PULL_BUCKETS
         if (
@@ -154,10 +154,10 @@
             and now - self._last_full_pull >= MIN_FULL_PULL_INTERVAL
         ):
             self._last_full_pull = now
-            sends.append(messages.Send(address, self._make_pull(())))
+            sends.append(messages.OutgoingMessage(address, self._make_pull(())))
         self._rng.shuffle(differing)
         sends.extend(
-            messages.Send(address, item)
+            messages.OutgoingMessage(address, item)
             for item in self._make_version_datagrams(differing)
         )
         return sends
@@ -203,7 +203,7 @@
 
     def _compare_versions(
         self, address: str, message: messages.Datagram
-    ) -> list[messages.Send]:
+    ) -> list[messages.OutgoingMessage]:
         theirs = {item.name: item for item in message.versions}
         names = set(theirs)
         for index in message.compared_buckets:
@@ -217,15 +217,19 @@
                 names_behind.append(name)
             if is_ahead:
                 names_ahead.append(name)
-        sends: list[messages.Send] = []
+        sends: list[messages.OutgoingMessage] = []
         if names_behind:
             sends.append(
-                messages.Send(address, self._make_pull(tuple(names_behind)))
+                messages.OutgoingMessage(
+                    address, self._make_pull(tuple(names_behind))
+                )
             )
         for start in range(0, len(names_ahead), HOMES_PER_FRAME):
             part = names_ahead[start : start + HOMES_PER_FRAME]
             sends.append(
-                messages.Send(address, self._make_state(part, last=False))
+                messages.OutgoingMessage(
+                    address, self._make_state(part, last=False)
+                )
             )
         return sends
 
@@ -240,18 +244,21 @@
             return True, False
         own_home = self._view.home_version(name)
         own_version = (own_home.incarnation, own_home.sequence)
-        their_version = (theirs.home.incarnation, theirs.home.sequence)
+        their_version = (
+            theirs.home_version.incarnation,
+            theirs.home_version.sequence,
+        )
         is_behind = (
-            theirs.member > member.precedence or their_version > own_version
+            theirs.precedence > member.precedence or their_version > own_version
         )
         is_ahead = (
-            member.precedence > theirs.member or own_version > their_version
+            member.precedence > theirs.precedence or own_version > their_version
         )
         return is_behind, is_ahead
 
     def _make_state(
         self, names: collections.abc.Iterable[str], *, last: bool
-    ) -> messages.FleetState:
+    ) -> messages.StatePart:
         members = []
         homes = []
         for name in names:
@@ -263,7 +270,7 @@
             if home is not None and member.is_usable:
                 homes.append(home)
         me = self._members.me.node.name
-        return messages.FleetState(me, tuple(members), tuple(homes), last)
+        return messages.StatePart(me, tuple(members), tuple(homes), last)
 
     def _current_version(self, name: str) -> digests.Version | None:
         member = self._members.members.get(name)
--- a/endivewind/nodes/traffic.py
+++ b/endivewind/nodes/traffic.py
@@ -37,7 +37,7 @@
     """
 
     ZONE = "zone"
-    REGION = "region"
+    OTHER_ZONE = "region"
     OTHER_REGION = "far"
     UNKNOWN = "unknown"
 
@@ -101,7 +101,7 @@
     def _distance_of(self, node: view.NodeRecord) -> Distance:
         if node.region != self._region:
             return Distance.OTHER_REGION
-        return Distance.ZONE if node.zone == self._zone else Distance.REGION
+        return Distance.ZONE if node.zone == self._zone else Distance.OTHER_ZONE
 
 
 def _host(address: str) -> str:
--- a/endivewind/nodes/view.py
+++ b/endivewind/nodes/view.py
@@ -15,7 +15,7 @@
 
 # Changes of a home that are accepted while an earlier one is missing. Beyond
 # this many, fetching the home's whole state is cheaper.
-MAX_PENDING_CHANGES = 256
+MAX_OUT_OF_ORDER_CHANGES = 256
 # The latest departed targets that are remembered for each home. They are needed
 # until the home has restarted. A restart takes seconds and a home has few
 # targets, so a few entries suffice.
@@ -142,7 +142,7 @@
         """Returns a number that increases with each change of the targets."""
         return self._revisions[service]
 
-    def all_targets(self) -> list[records.TargetRecord]:
+    def usable_targets(self) -> list[records.TargetRecord]:
         """Returns the record that is in use of each target.
 
         Targets of dead nodes are left out. Of a target that several homes
@@ -304,7 +304,7 @@
             or record.sequence in home.out_of_order
         ):
             return False
-        if len(home.out_of_order) >= MAX_PENDING_CHANGES:
+        if len(home.out_of_order) >= MAX_OUT_OF_ORDER_CHANGES:
             return False
         is_superseded = any(
             number > record.sequence and name == record.id
--- a/endivewind/operators/builder.py
+++ b/endivewind/operators/builder.py
@@ -148,9 +148,11 @@
         if known != workspace:
             raise exceptions.UsageError(f"{place}: {known!r} has the same key")
 
-    def configuration(self) -> objects.Configuration:
+    def configuration(self) -> objects.ConfigurationFile:
         """Returns the configuration, checked as by `endivewind validate`."""
-        loaded = base.load_text(self._dump(), _SOURCE, objects.Configuration)
+        loaded = base.load_text(
+            self._dump(), _SOURCE, objects.ConfigurationFile
+        )
         if loaded.is_error():
             raise exceptions.InvalidFileError(loaded.error)
         return loaded.ok.model
@@ -176,7 +178,7 @@
             sys.exit(error.exit_code)
 
     def _dump(self) -> str:
-        configuration = objects.Configuration.model_construct(
+        configuration = objects.ConfigurationFile.model_construct(
             services=self._services,
             route_groups={
                 self._name: objects.RouteGroup(routes=tuple(self._routes))
--- a/endivewind/operators/configuration.py
+++ b/endivewind/operators/version_api.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FleetMembers:
+class FleetOverview:
     """What the response contains on the fleet besides versions.
 
     Attributes:
@@ -29,10 +29,10 @@
     departed_nodes: collections.abc.Callable[[], tuple[str, ...]]
 
 
-def add_route(
+def add_versions_path(
     application: web.Application,
     queries: version_queries.VersionQueries,
-    members: FleetMembers,
+    members: FleetOverview,
 ) -> None:
     """Adds the path; each `?object=KIND/NAME` names an object to query."""
 
--- a/endivewind/platform/client.py
+++ b/endivewind/platform/client.py
@@ -49,10 +49,10 @@
 Decode = collections.abc.Callable[[bytes], DecodedT]
 
 _FAILURES = {
-    404: messages.Failure.NOT_FOUND,
-    409: messages.Failure.CONFLICT,
-    410: messages.Failure.COMPACTED,
-    429: messages.Failure.THROTTLED,
+    404: messages.FailureReason.NOT_FOUND,
+    409: messages.FailureReason.CONFLICT,
+    410: messages.FailureReason.COMPACTED,
+    429: messages.FailureReason.THROTTLED,
 }
 
 
@@ -209,7 +209,7 @@
         result = _check_name(result, kind, name)
         if result.is_ok() and result.ok.value != value:
             return _error(
-                messages.Failure.INVALID,
+                messages.FailureReason.INVALID,
                 "the response holds another value than the one written",
             )
         return result
@@ -250,7 +250,9 @@
         timeout: datetime.timedelta = CALL_TIMEOUT,
     ) -> expression.Result[DecodedT, messages.PlatformError]:
         if not await self._wait_for_budget():
-            return _error(messages.Failure.THROTTLED, "call budget exhausted")
+            return _error(
+                messages.FailureReason.THROTTLED, "call budget exhausted"
+            )
         self._calls[_call_labels(method, path)] += 1
         try:
             async with self._session.request(
@@ -263,12 +265,12 @@
                 body = await _read_body(response)
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             detail = str(error) or type(error).__name__
-            return _error(messages.Failure.UNAVAILABLE, detail)
+            return _error(messages.FailureReason.UNAVAILABLE, detail)
         finally:
             self._budget.end()
         if body is None:
             return _error(
-                messages.Failure.INVALID,
+                messages.FailureReason.INVALID,
                 "the response exceeds the maximum length",
             )
         if response.status >= 400:
@@ -277,14 +279,14 @@
             return expression.Ok(decode(body))
         except pydantic.ValidationError as error:
             return _error(
-                messages.Failure.INVALID, wire.format_first_problem(error)
+                messages.FailureReason.INVALID, wire.format_first_problem(error)
             )
 
     async def _wait_for_budget(self) -> bool:
         """Waits until the budget allows a call, at most the call timeout."""
         waited = datetime.timedelta()
         while waited <= CALL_TIMEOUT:
-            wait = self._budget.try_start(self._clock.monotonic())
+            wait = self._budget.start_or_get_wait(self._clock.monotonic())
             if not wait:
                 return True
             waited += wait
@@ -329,7 +331,7 @@
 
 
 def _error(
-    failure: messages.Failure,
+    failure: messages.FailureReason,
     detail: str,
     current: messages.StoredObject | None = None,
     retry_after: datetime.timedelta | None = None,
@@ -351,7 +353,7 @@
     if result.is_ok() and result.ok.name != name:
         received = f"{kind}/{result.ok.name}"
         return _error(
-            messages.Failure.INVALID,
+            messages.FailureReason.INVALID,
             f"the response is for another object: {received}",
         )
     return result
@@ -364,13 +366,13 @@
     detail = f"status {response.status}"
     if failure is None:
         kind = (
-            messages.Failure.UNAVAILABLE
+            messages.FailureReason.UNAVAILABLE
             if response.status >= 500
-            else messages.Failure.INVALID
+            else messages.FailureReason.INVALID
         )
         return _error(kind, detail)
     current = None
-    if failure is messages.Failure.CONFLICT:
+    if failure is messages.FailureReason.CONFLICT:
         try:
             object_kind = urllib.parse.unquote(path.split("/")[2])
             current = wire.decode_object(object_kind, body)
--- a/endivewind/platform/messages.py
+++ b/endivewind/platform/messages.py
@@ -8,7 +8,7 @@
 import pydantic
 
 
-class Failure(enum.Enum):
+class FailureReason(enum.Enum):
     """Why a call to the store failed."""
 
     CONFLICT = "conflict"
@@ -71,7 +71,7 @@
       retry_after: how long the platform asks to wait; None if it does not.
     """
 
-    failure: Failure
+    failure: FailureReason
     detail: str = ""
     current: StoredObject | None = None
     retry_after: datetime.timedelta | None = None
--- a/endivewind/reports.py
+++ b/endivewind/reports.py
@@ -84,7 +84,7 @@
                         item.id, ""
                     ),
                 }
-                for item in report_sources.fleet.all_targets()
+                for item in report_sources.fleet.usable_targets()
             ],
             "in_flight": report_sources.in_flight(),
         }
--- a/endivewind/soak/checks.py
+++ b/endivewind/soak/checks.py
@@ -68,7 +68,7 @@
 
 
 # Value of Outage.node: the outage may break streamed responses of all nodes.
-ANY_NODE = ""
+STREAMS_AT_ALL_NODES = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -151,7 +151,9 @@
         return True
     return any(
         outage.node
-        in ((item.node, ANY_NODE) if item.streamed else (item.node,))
+        in (
+            (item.node, STREAMS_AT_ALL_NODES) if item.streamed else (item.node,)
+        )
         and outage.started_at <= item.ended
         and item.began <= outage.ended_at
         for outage in outages
--- a/endivewind/soak/runs.py
+++ b/endivewind/soak/runs.py
@@ -16,7 +16,7 @@
 
 import aiohttp
 
-from endivewind.operators import configuration
+from endivewind.operators import version_api
 from endivewind.soak import callers
 from endivewind.soak import checks
 from endivewind.soak import fleets
@@ -162,7 +162,9 @@
         group = fault.kind.value.partition("-")[0]
         if group == "link" or fault.kind in _STREAM_BREAKING_KINDS:
             detected_at = fault.ends_at + DETECTION_SECONDS
-            outage = checks.Outage(checks.ANY_NODE, fault.at, detected_at)
+            outage = checks.Outage(
+                checks.STREAMS_AT_ALL_NODES, fault.at, detected_at
+            )
             self._outages.append(outage)
         match group:
             case "node":
@@ -312,7 +314,7 @@
         query = {"object": _OBJECT_NAME}
         try:
             async with session.get(
-                url + configuration.PATH, params=query
+                url + version_api.PATH, params=query
             ) as response:
                 status = await response.json()
                 return int(status["nodes"][name][_OBJECT_NAME]["in_force"])
--- a/endivewind/standins/fault_matrix.py
+++ b/endivewind/standins/fault_matrix.py
@@ -12,7 +12,9 @@
 from endivewind.standins import simulated_cluster
 from endivewind.standins import virtual_loop
 
-InjectedFault = tuple[simulated_cluster.ExchangeStep, simulated_cluster.Fault]
+InjectedFault = tuple[
+    simulated_cluster.ExchangeStep, simulated_cluster.ExchangeFault
+]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -33,7 +35,7 @@
 def single_faults() -> collections.abc.Iterator[tuple[InjectedFault, ...]]:
     """Yields each fault at each step."""
     for injected_fault in itertools.product(
-        simulated_cluster.ExchangeStep, simulated_cluster.Fault
+        simulated_cluster.ExchangeStep, simulated_cluster.ExchangeFault
     ):
         yield (injected_fault,)
 
@@ -41,7 +43,7 @@
 def fault_pairs() -> collections.abc.Iterator[tuple[InjectedFault, ...]]:
     """Yields each pair of faults at two different steps."""
     injected_faults = itertools.product(
-        simulated_cluster.ExchangeStep, simulated_cluster.Fault
+        simulated_cluster.ExchangeStep, simulated_cluster.ExchangeFault
     )
     for first, second in itertools.combinations(injected_faults, 2):
         if first[0] != second[0]:
@@ -99,8 +101,8 @@
     """
     cluster = simulated_cluster.SimulatedCluster(virtual_loop.VirtualLoop())
     try:
-        ticket = cluster.issue_key(issuer)
-        other_ticket = cluster.issue_key(entry)
+        ticket = cluster.issue_ticket(issuer)
+        other_ticket = cluster.issue_ticket(entry)
         cluster.faults.update(case)
         cluster.run(_send_and_wait(cluster, entry, ticket))
         cluster.run(_send_and_wait(cluster, issuer, other_ticket))
--- a/endivewind/standins/simulated_cluster.py
+++ b/endivewind/standins/simulated_cluster.py
@@ -74,7 +74,7 @@
     CALLER_RESPONSE = "caller-answer"
 
 
-class Fault(enum.StrEnum):
+class ExchangeFault(enum.StrEnum):
     """What happens at a step.
 
     DROP, TRUNCATE: the connection breaks and the message is lost.
@@ -101,8 +101,12 @@
 
 
 # Faults after which the sender gets no response and has to time out.
-_NO_RESPONSE_FAULTS = frozenset({Fault.PARTITION, Fault.SILENCE, Fault.PAUSE})
-_LINK_LOST_FAULTS = frozenset({Fault.DROP, Fault.TRUNCATE, Fault.CROSS})
+_NO_RESPONSE_FAULTS = frozenset(
+    {ExchangeFault.PARTITION, ExchangeFault.SILENCE, ExchangeFault.PAUSE}
+)
+_LINK_LOST_FAULTS = frozenset(
+    {ExchangeFault.DROP, ExchangeFault.TRUNCATE, ExchangeFault.CROSS}
+)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -150,9 +154,9 @@
         """Starts two entry nodes and two homes with one target each."""
         self.loop = loop
         self.clock = virtual_loop.LoopClock(loop)
-        self.faults: dict[ExchangeStep, Fault] = {}
+        self.faults: dict[ExchangeStep, ExchangeFault] = {}
         self.runs: collections.Counter[str] = collections.Counter()
-        self.work_by_key: dict[str, WorkRecord] = {}
+        self.work_by_ticket: dict[str, WorkRecord] = {}
         self.node_names = [*ENTRY_NODES, *HOME_NODES]
         self._counter = itertools.count(1)
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -178,14 +182,14 @@
         for node in self.nodes.values():
             fresh.add_node(node)
 
-    def take_fault(self, step: ExchangeStep) -> Fault | None:
+    def take_fault(self, step: ExchangeStep) -> ExchangeFault | None:
         """Returns the fault of a step and removes it."""
         return self.faults.pop(step, None)
 
-    def issue_key(self, entry: str) -> str:
+    def issue_ticket(self, entry: str) -> str:
         """Issues a new ticket at a node and assigns work to it."""
         ticket = self.nodes[entry].ticketing.issue("boat")
-        self.work_by_key[ticket] = WorkRecord(f"work-{next(self._counter)}")
+        self.work_by_ticket[ticket] = WorkRecord(f"work-{next(self._counter)}")
         return ticket
 
     def send(self, entry: str, ticket: str) -> asyncio.Task[Any]:
@@ -218,7 +222,7 @@
         Raises:
           GuaranteeViolation: work ran twice, or a result is false.
         """
-        for ticket, record in self.work_by_key.items():
+        for ticket, record in self.work_by_ticket.items():
             runs = self.runs[record.work_id]
             if runs > 1:
                 raise GuaranteeViolation(f"{record.work_id} ran {runs} times")
@@ -226,7 +230,7 @@
                 _check_result(record, result, runs, ticket)
 
     async def _send(self, member: "Member", ticket: str) -> None:
-        record = self.work_by_key[ticket]
+        record = self.work_by_ticket[ticket]
         head = exchange.RequestHead(
             request_id=record.work_id,
             method="POST",
@@ -443,21 +447,32 @@
         failures: links.FailureRefusals,
     ) -> ResponseResult:
         match self._cluster.take_fault(steps.connect):
-            case None | Fault.DUPLICATE | Fault.CROSS | Fault.TRUNCATE:
+            case (
+                None
+                | ExchangeFault.DUPLICATE
+                | ExchangeFault.CROSS
+                | ExchangeFault.TRUNCATE
+            ):
                 pass
-            case Fault.DELAY:
+            case ExchangeFault.DELAY:
                 await asyncio.sleep(MESSAGE_DELAY_SECONDS)
-            case Fault.DROP:
-                return expression.Error(failures.connect_failed("refused"))
-            case Fault.CRASH:
+            case ExchangeFault.DROP:
+                return expression.Error(
+                    failures.connect_failed_refusal("refused")
+                )
+            case ExchangeFault.CRASH:
                 self._cluster.crash(name)
-                return expression.Error(failures.connect_failed("refused"))
+                return expression.Error(
+                    failures.connect_failed_refusal("refused")
+                )
             case _:
                 await asyncio.sleep(links.CONNECT_TIMEOUT.total_seconds())
-                return expression.Error(failures.connect_failed("no answer"))
+                return expression.Error(
+                    failures.connect_failed_refusal("no answer")
+                )
         result = await self._send_request(name, steps, deliver)
         if result is None:
-            return expression.Error(failures.link_lost("link broken"))
+            return expression.Error(failures.link_lost_refusal("link broken"))
         return result
 
     async def _send_request(
@@ -467,20 +482,20 @@
         member = self._cluster.nodes[name]
         heartbeat_timeout = links.HEARTBEAT_TIMEOUT.total_seconds()
         fault = self._cluster.take_fault(steps.request)
-        if fault is Fault.CRASH:
+        if fault is ExchangeFault.CRASH:
             self._cluster.crash(name)
             return None
-        if fault is Fault.PAUSE:
+        if fault is ExchangeFault.PAUSE:
             # The paused node handles the request in its socket buffer later.
             member.start_task(_deliver_later(PAUSE_SECONDS, deliver, member))
         if fault in _NO_RESPONSE_FAULTS:
             await asyncio.sleep(heartbeat_timeout)
             return None
-        if fault in (Fault.DROP, Fault.TRUNCATE):
+        if fault in (ExchangeFault.DROP, ExchangeFault.TRUNCATE):
             return None
-        if fault is Fault.DELAY:
+        if fault is ExchangeFault.DELAY:
             await asyncio.sleep(MESSAGE_DELAY_SECONDS)
-        if fault is Fault.DUPLICATE:
+        if fault is ExchangeFault.DUPLICATE:
             member.start_task(
                 _deliver_later(DUPLICATE_DELAY_SECONDS, deliver, member)
             )
@@ -492,7 +507,7 @@
         name: str,
         steps: _LinkSteps,
         running: asyncio.Task[ResponseResult],
-        request_fault: Fault | None,
+        request_fault: ExchangeFault | None,
     ) -> ResponseResult | None:
         fault = self._cluster.take_fault(steps.response)
         if fault in _NO_RESPONSE_FAULTS:
@@ -505,12 +520,12 @@
                 running.cancel()
                 raise
             return None
-        if fault is Fault.CRASH:
+        if fault is ExchangeFault.CRASH:
             self._cluster.crash(name)
             return None
-        if fault is Fault.DELAY:
+        if fault is ExchangeFault.DELAY:
             await asyncio.sleep(MESSAGE_DELAY_SECONDS)
-        if fault in _LINK_LOST_FAULTS or request_fault is Fault.CROSS:
+        if fault in _LINK_LOST_FAULTS or request_fault is ExchangeFault.CROSS:
             return None
         return result
 
@@ -546,27 +561,41 @@
         trace_request_ctx.has_connection = True
         work = headers["work"]
         match self._cluster.take_fault(ExchangeStep.TARGET_REQUEST):
-            case Fault.DROP | Fault.TRUNCATE | Fault.CRASH | Fault.CROSS:
-                raise connections.ConnectionLostError("closed")
-            case Fault.SILENCE | Fault.PARTITION:
+            case (
+                ExchangeFault.DROP
+                | ExchangeFault.TRUNCATE
+                | ExchangeFault.CRASH
+                | ExchangeFault.CROSS
+            ):
+                raise connections.ResponseLostError("closed")
+            case ExchangeFault.SILENCE | ExchangeFault.PARTITION:
                 await asyncio.sleep(SETTLE_TIME.total_seconds())
-            case Fault.PAUSE:
+            case ExchangeFault.PAUSE:
                 self._cluster.loop.call_later(
                     PAUSE_SECONDS, self._record_run, work
                 )
                 await asyncio.sleep(SETTLE_TIME.total_seconds())
-            case Fault.DELAY:
+            case ExchangeFault.DELAY:
                 await asyncio.sleep(MESSAGE_DELAY_SECONDS)
             case _:
                 pass
         self._record_run(work)
         await asyncio.sleep(WORK_SECONDS)
         match self._cluster.take_fault(ExchangeStep.TARGET_RESPONSE):
-            case Fault.DROP | Fault.TRUNCATE | Fault.CRASH | Fault.CROSS:
-                raise connections.ConnectionLostError("closed")
-            case Fault.SILENCE | Fault.PARTITION | Fault.PAUSE:
+            case (
+                ExchangeFault.DROP
+                | ExchangeFault.TRUNCATE
+                | ExchangeFault.CRASH
+                | ExchangeFault.CROSS
+            ):
+                raise connections.ResponseLostError("closed")
+            case (
+                ExchangeFault.SILENCE
+                | ExchangeFault.PARTITION
+                | ExchangeFault.PAUSE
+            ):
                 await asyncio.sleep(SETTLE_TIME.total_seconds())
-            case Fault.DELAY:
+            case ExchangeFault.DELAY:
                 await asyncio.sleep(MESSAGE_DELAY_SECONDS)
             case _:
                 pass
@@ -574,12 +603,20 @@
 
     async def _connect(self) -> None:
         match self._cluster.take_fault(ExchangeStep.TARGET_CONNECT):
-            case Fault.DROP | Fault.CRASH | Fault.TRUNCATE:
+            case (
+                ExchangeFault.DROP
+                | ExchangeFault.CRASH
+                | ExchangeFault.TRUNCATE
+            ):
                 raise aiohttp.ClientConnectionError("refused")
-            case Fault.SILENCE | Fault.PARTITION | Fault.PAUSE:
+            case (
+                ExchangeFault.SILENCE
+                | ExchangeFault.PARTITION
+                | ExchangeFault.PAUSE
+            ):
                 await asyncio.sleep(connections.CONNECT_TIMEOUT.total_seconds())
                 raise aiohttp.ServerTimeoutError("connect")
-            case Fault.DELAY:
+            case ExchangeFault.DELAY:
                 await asyncio.sleep(MESSAGE_DELAY_SECONDS)
             case _:
                 pass
--- a/endivewind/targets/attempt_log.py
+++ b/endivewind/targets/attempt_log.py
@@ -82,7 +82,7 @@
             )
         return None
 
-    def seal(self, ticket: str, number: int) -> None:
+    def mark_not_run(self, ticket: str, number: int) -> None:
         """Marks an attempt as not run, so that a further one is allowed.
 
         Args:
--- a/endivewind/targets/connections.py
+++ b/endivewind/targets/connections.py
@@ -63,7 +63,7 @@
         )  # type: ignore[assignment]
 
 
-class ConnectionLostError(Exception):
+class ResponseLostError(Exception):
     """There is no valid response although the request may have been sent.
 
     The connection failed, or the response belongs to another request.
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Progress:
+class SendState:
     """What is known about the sending of one request.
 
     Attributes:
@@ -120,7 +120,7 @@
         raise
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
         detail = str(error) or type(error).__name__
-        raise ConnectionLostError(detail) from error
+        raise ResponseLostError(detail) from error
 
 
 def _progress_trace_config() -> aiohttp.TraceConfig:
--- a/endivewind/targets/dispatch.py
+++ b/endivewind/targets/dispatch.py
@@ -175,7 +175,7 @@
             return expression.Error(refusal)
         result = await self._dispatch(target, head, body)
         if result.is_error() and result.error.was_not_run:
-            self._attempt_log.seal(head.ticket, head.attempt)
+            self._attempt_log.mark_not_run(head.ticket, head.attempt)
         return result
 
     async def _dispatch(
@@ -320,7 +320,7 @@
         except TimeoutError:
             return _timeout_refusal(request)
         except (
-            connections.ConnectionLostError,
+            connections.ResponseLostError,
             aiohttp.ClientError,
             OSError,
             exchange.TruncatedResponseError,
@@ -334,7 +334,7 @@
         head: exchange.RequestHead,
         body: exchange.RequestBody,
     ) -> ResponseResult:
-        progress = connections.Progress()
+        progress = connections.SendState()
         request.progress = progress
         response = await session.request(
             head.method,
@@ -379,15 +379,15 @@
         ):
             return
         response.close()
-        raise connections.ConnectionLostError(
+        raise connections.ResponseLostError(
             "response belongs to another request"
         )
 
 
 def _timeout_refusal(request: target_request.TargetRequest) -> ResponseResult:
-    if not request.may_have_run:
+    if not request.may_have_been_sent:
         return _unreachable(request, "connecting to the target timed out")
-    request.record_timeout()
+    request.attribute_timeout()
     detail = "no response before the deadline"
     return expression.Error(
         exchange.unknown_outcome_refusal(exchange.Reason.DEADLINE, detail)
@@ -398,7 +398,7 @@
     request: target_request.TargetRequest, error: Exception
 ) -> ResponseResult:
     detail = str(error) or type(error).__name__
-    if not request.may_have_run:
+    if not request.may_have_been_sent:
         return _unreachable(request, detail)
     body_error = request.progress.body_error
     if body_error is not None:
@@ -430,7 +430,7 @@
 
 
 def _request_body(
-    body: exchange.RequestBody, progress: connections.Progress
+    body: exchange.RequestBody, progress: connections.SendState
 ) -> bytes | collections.abc.AsyncIterator[bytes] | None:
     if body.stream is None:
         return body.buffered or None
@@ -440,7 +440,7 @@
 async def _joined_body(
     buffered: bytes,
     stream: collections.abc.AsyncIterator[bytes],
-    progress: connections.Progress,
+    progress: connections.SendState,
 ) -> collections.abc.AsyncGenerator[bytes, None]:
     if buffered:
         yield buffered
--- a/endivewind/targets/registration.py
+++ b/endivewind/targets/registration.py
@@ -11,7 +11,7 @@
 AnnouncementCheck = collections.abc.Callable[[registry.Announcement], str]
 
 
-def accept_all(announcement: registry.Announcement) -> str:
+def accept_any(announcement: registry.Announcement) -> str:
     """Accepts any announcement."""
     return ""
 
@@ -24,7 +24,7 @@
         targets: registry.TargetRegistry,
         default_slots_of: DefaultSlotsLookup,
         on_change: collections.abc.Callable[[], None],
-        check: AnnouncementCheck = accept_all,
+        check: AnnouncementCheck = accept_any,
     ) -> None:
         """Initializes the registration.
 
--- a/endivewind/targets/registry.py
+++ b/endivewind/targets/registry.py
@@ -35,7 +35,7 @@
 # and the target may have moved to another home node since. A refused target
 # announces itself again within a third of its lease, which costs less than
 # registering a target that has moved.
-RESUME_GRACE = datetime.timedelta(milliseconds=500)
+RESUME_REFUSAL_TIME = datetime.timedelta(milliseconds=500)
 # Departed targets are remembered so that a delayed announcement does not
 # register them again; a home node has few in the seconds of such a delay.
 MAX_REMEMBERED_DEPARTURES = 64
@@ -120,7 +120,7 @@
     def _pending_likelihood_ratio(self, now: datetime.timedelta) -> float:
         """Returns the likelihood ratio of all its pending requests."""
         return math.prod(
-            request.pending_ratio(now) for request in self.pending_requests
+            request.likelihood_ratio(now) for request in self.pending_requests
         )
 
     def snapshot(self, now: datetime.timedelta) -> peer_updates.TargetSnapshot:
@@ -165,10 +165,12 @@
     DEPARTED = "this start of the target has left"
 
 
-RivalLookup = collections.abc.Callable[[str], records.TargetRecord | None]
+PublishedRecordLookup = collections.abc.Callable[
+    [str], records.TargetRecord | None
+]
 
 
-def no_rival(target: str) -> records.TargetRecord | None:
+def no_published_record(target: str) -> records.TargetRecord | None:
     """Returns None; the default for a home node without peers."""
     return None
 
@@ -180,7 +182,7 @@
         self,
         home: HomeIdentity,
         clock: clocks.Clock,
-        find_published_record: RivalLookup = no_rival,
+        find_published_record: PublishedRecordLookup = no_published_record,
     ) -> None:
         """Initializes an empty registry.
 
@@ -308,7 +310,7 @@
             return False
         known = item.record.target_incarnation if item else max_incarnation
         self._remember_departure(target, max(known, incarnation))
-        return self.withdraw(target)
+        return self.remove(target)
 
     def _remember_departure(self, target: str, incarnation: int) -> None:
         expires_at = self._clock.monotonic() + DEPARTURE_RETENTION
@@ -325,7 +327,7 @@
         if self._targets.get(target) is None and target not in self._departures:
             self._remember_departure(target, incarnation)
 
-    def withdraw(self, target: str) -> bool:
+    def remove(self, target: str) -> bool:
         """Removes a target; returns False if it is not registered."""
         item = self._targets.pop(target, None)
         if item is None:
@@ -352,7 +354,7 @@
         self._new_homes[other_record.id] = other_record.home
         if len(self._new_homes) > MAX_REMEMBERED_MOVES:
             del self._new_homes[next(iter(self._new_homes))]
-        return self.withdraw(other_record.id)
+        return self.remove(other_record.id)
 
     def moved_to(self, target: str) -> str:
         """Returns the new home of a target that moved; empty if unknown."""
@@ -368,7 +370,7 @@
             if item.lease_expires_at <= now
         ]
         for name in expired:
-            self.withdraw(name)
+            self.remove(name)
         return expired
 
     def set_ejection_status(
@@ -396,7 +398,7 @@
         now = self._clock.monotonic()
         is_resuming = (
             self._resumed_at is not None
-            and now - self._resumed_at < RESUME_GRACE
+            and now - self._resumed_at < RESUME_REFUSAL_TIME
         )
         if is_resuming and self.get(target) is None:
             return AnnouncementRefusal.RESUMING
@@ -452,7 +454,7 @@
             and item.record.target_incarnation < announcement.incarnation
         ]
         for name in gone:
-            self.withdraw(name)
+            self.remove(name)
 
     def _check_published_record(
         self, target: str, announcement: Announcement
--- a/endivewind/targets/target_request.py
+++ b/endivewind/targets/target_request.py
@@ -50,7 +50,7 @@
         connection_detector: silent_connections.SilentConnectionDetector,
     ) -> None:
         self.home_target = item
-        self.progress = connections.Progress()
+        self.progress = connections.SendState()
         self.result_kind = evidence.ResultKind.LOST
         self._head = head
         self._clock = clock
@@ -71,7 +71,7 @@
         return self._head.may_be_duplicate
 
     @property
-    def may_have_run(self) -> bool:
+    def may_have_been_sent(self) -> bool:
         """Whether any byte may have been sent to the target.
 
         True as soon as the request has a connection.
@@ -90,12 +90,12 @@
             elapsed >= self._head.remaining_time and self._latency is None
         )
         if is_timeout:
-            self.record_timeout()
+            self.attribute_timeout()
         else:
             self.result_kind = evidence.ResultKind.CANCELLED
         self.finish()
 
-    def record_timeout(self) -> None:
+    def attribute_timeout(self) -> None:
         """Attributes a time-out to the target or to a silent connection.
 
         The result kind is TIMEOUT or CANCELLED, respectively.
@@ -119,7 +119,7 @@
         if now - self._started_at > DEFAULT_OVERDUE_TIME:
             self._observe(suspicion.SuspicionSignal.OVERDUE)
 
-    def pending_ratio(self, now: datetime.timedelta) -> float:
+    def likelihood_ratio(self, now: datetime.timedelta) -> float:
         """Returns the likelihood ratio of the response not having arrived yet.
 
         That is how many times likelier it is at an unhealthy target than at a
@@ -169,7 +169,7 @@
         now = self._clock.monotonic()
         objective = self._head.latency_objective
         if self._latency is None and objective and kind in _WITHOUT_RESPONSE:
-            ratio = self.pending_ratio(now)
+            ratio = self.likelihood_ratio(now)
             if ratio > 1:
                 self.home_target.suspicion.apply_likelihood_ratio(ratio, now)
             return
--- a/endivewind/tests/bench/experiment_tests.py
+++ b/endivewind/tests/bench/experiment_tests.py
@@ -16,7 +16,9 @@
 
 
 def _run(name, policy="own", profile=objects.Profile.DETECTION):
-    shorter = dataclasses.replace(_BY_NAME[name], fault_end=28, end=35)
+    shorter = dataclasses.replace(
+        _BY_NAME[name], fault_end=28, duration_seconds=35
+    )
     return experiment.Experiment(shorter, policy, profile, 7).run()
 
 
--- a/endivewind/tests/callers/budgets_tests.py
+++ b/endivewind/tests/callers/budgets_tests.py
@@ -131,7 +131,7 @@
             node.budgets.for_service(SERVICE).charge(now)
 
     def _send_usages(self, node):
-        for usage in node.budgets.due_updates():
+        for usage in node.budgets.take_due_updates():
             delay = self.rng.choice((0, 1))
             self._in_transit.append((delay, node.number, usage))
 
--- a/endivewind/tests/callers/entry_routes_tests.py
+++ b/endivewind/tests/callers/entry_routes_tests.py
@@ -58,10 +58,10 @@
         other_node = entry_routes.EntryRoutes(self.clock, _LocalTarget())
         other_node._local_target.has_active_work = True
         self.routes.is_from_caller("riders", "/orders/")
-        self.assertEqual((), self.routes.due_updates())
+        self.assertEqual((), self.routes.take_due_updates())
         self.clock.advance(entry_routes.UPDATE_INTERVAL)
 
-        for route in self.routes.due_updates():
+        for route in self.routes.take_due_updates():
             other_node.add_route(route)
 
         self.assertTrue(other_node.is_from_caller("riders", "/orders/"))
--- a/endivewind/tests/callers/tickets_tests.py
+++ b/endivewind/tests/callers/tickets_tests.py
@@ -209,7 +209,7 @@
         response = exchange.Response(201, (), b"paid")
         self.claim()
         self.store.finish(self.ticket, expression.Ok(response))
-        self.store.close()
+        self.store.refuse_new_tickets()
         other = self.issuer.issue("boat-1", NOW)
 
         self.assertEqual(response, self.claim().ok)
--- a/endivewind/tests/callers/workspaces_tests.py
+++ b/endivewind/tests/callers/workspaces_tests.py
@@ -51,7 +51,7 @@
     def apply_keys(self, version, workspace_by_key):
         configuration = document(version, workspace_by_key)
         self.store.apply(store.DOCUMENT, "main", version, configuration)
-        self.workspaces.configure(store.DOCUMENT, "main")
+        self.workspaces.apply_object(store.DOCUMENT, "main")
 
     def test_no_key_is_required_before_first_key_exists(self):
         self.assertFalse(self.workspaces.requires_keys)
@@ -101,7 +101,7 @@
         configuration = document(2, {})
         configuration["spec"]["keyed"] = True
         self.store.apply(store.DOCUMENT, "main", 2, configuration)
-        self.workspaces.configure(store.DOCUMENT, "main")
+        self.workspaces.apply_object(store.DOCUMENT, "main")
 
         self.assertTrue(self.workspaces.requires_keys)
         self.assertEqual("", self.workspaces.authenticate(f"Bearer {KEY}"))
@@ -141,7 +141,7 @@
     def configure(self):
         configuration = document(1, {"crew": KEY}, rank=0)
         self.store.apply(store.DOCUMENT, "main", 1, configuration)
-        self.workspaces.configure(store.DOCUMENT, "main")
+        self.workspaces.apply_object(store.DOCUMENT, "main")
 
     async def start(self, gateway):
         return listener.Listener(
--- a/endivewind/tests/config/base_tests.py
+++ b/endivewind/tests/config/base_tests.py
@@ -11,13 +11,13 @@
 _SETTINGS = "name: a\nregion: r\nzone: z\nplatform: http://p"
 
 
-def _findings(text: str, model=objects.Configuration):
+def _findings(text: str, model=objects.ConfigurationFile):
     loaded = base.load_text(textwrap.dedent(text), "f.yaml", model)
     assert loaded.is_error(), loaded.ok
     return loaded.error
 
 
-def _finding_tuples(text: str, model=objects.Configuration):
+def _finding_tuples(text: str, model=objects.ConfigurationFile):
     return [
         (item.line, item.path, item.seen) for item in _findings(text, model)
     ]
@@ -247,7 +247,9 @@
         self.assertEqual([(3, "services.riders", "")], found)
 
     def test_empty_file(self):
-        self.assertTrue(base.load_text("", "f", objects.Configuration).is_ok())
+        self.assertTrue(
+            base.load_text("", "f", objects.ConfigurationFile).is_ok()
+        )
         missing = _finding_tuples("", settings.NodeSettings)
         self.assertEqual(
             ["name", "platform", "region", "zone"],
@@ -257,14 +259,14 @@
     def test_not_utf8_has_its_line(self):
         raw = "services: {}\n# señal\n".encode("latin-1")
 
-        loaded = base.load_bytes(raw, "f", objects.Configuration)
+        loaded = base.load_bytes(raw, "f", objects.ConfigurationFile)
 
         self.assertEqual(2, loaded.error[0].line)
         self.assertIn("not UTF-8", loaded.error[0].message)
 
     def test_missing_file_and_folder(self):
         for path in ("/nonexistent/file.yaml", "/", "a\0b"):
-            loaded = base.load_file(path, objects.Configuration)
+            loaded = base.load_file(path, objects.ConfigurationFile)
             self.assertIn("can't be read", loaded.error[0].message)
 
     def test_values_on_which_the_yaml_parser_fails(self):
@@ -278,7 +280,7 @@
         }
         for name, text in texts.items():
             with self.subTest(name):
-                loaded = base.load_text(text, "f", objects.Configuration)
+                loaded = base.load_text(text, "f", objects.ConfigurationFile)
                 self.assertTrue(loaded.is_error())
 
     def test_alias_to_itself(self):
@@ -303,7 +305,7 @@
         loaded = base.load_text(
             "services: {riders: {floor_slots: 10, slots: 3, expected_targets: 3}}",
             "f",
-            objects.Configuration,
+            objects.ConfigurationFile,
         )
 
         (warning,) = loaded.ok.warnings
@@ -315,7 +317,7 @@
         loaded = base.load_text(
             "services: {riders: {floor_slots: 9, slots: 3, expected_targets: 3}}",
             "f",
-            objects.Configuration,
+            objects.ConfigurationFile,
         )
 
         self.assertEqual((), loaded.ok.warnings)
@@ -329,7 +331,7 @@
                   b: {routes: [{service: venues, prefix: /x}]}
                 """),
             "f",
-            objects.Configuration,
+            objects.ConfigurationFile,
         )
 
         self.assertEqual(
--- a/endivewind/tests/config/planning_tests.py
+++ b/endivewind/tests/config/planning_tests.py
@@ -13,10 +13,10 @@
 
 def _submit(spec, current=None, operation="op"):
     """Returns the object on the platform after submitting a spec."""
-    stored = current or planning.StoredObject()
+    stored = current or planning.CurrentObject()
     step = planning.PlanStep(A, planning.Action.WRITE, spec, stored)
     envelope = planning.make_envelope(step, operation, "ana", NOW)
-    return planning.StoredObject(stored.platform_version + 1, envelope)
+    return planning.CurrentObject(stored.platform_version + 1, envelope)
 
 
 class PlanTest(unittest.TestCase):
--- a/endivewind/tests/decisions/poison_requests_tests.py
+++ b/endivewind/tests/decisions/poison_requests_tests.py
@@ -43,7 +43,7 @@
         service.
         """
         self.detector.record_crash(b"popular", "t1", _MINUTE)
-        self.detector.record_answer(b"popular")
+        self.detector.record_response(b"popular")
         self.detector.record_crash(b"popular", "t2", _MINUTE)
 
         self.assertIsNone(self.detector.remaining_block(b"popular", _MINUTE))
@@ -60,7 +60,9 @@
         self.assertEqual(0, len(self.detector))
 
     def test_number_of_suspects_is_limited(self):
-        for number in range(2 * poison_requests.MAX_SUSPECTS):
+        for number in range(2 * poison_requests.MAX_SUSPECT_REQUESTS):
             self.detector.record_crash(str(number).encode(), "t1", _MINUTE)
 
-        self.assertEqual(poison_requests.MAX_SUSPECTS, len(self.detector))
+        self.assertEqual(
+            poison_requests.MAX_SUSPECT_REQUESTS, len(self.detector)
+        )
--- a/endivewind/tests/decisions/suspicion_tests.py
+++ b/endivewind/tests/decisions/suspicion_tests.py
@@ -82,7 +82,7 @@
             now += seconds * SECOND
             estimator.observe(signal, now)
             self.assertTrue(
-                0 < estimator.probability(now) <= suspicion.MAX_SUSPICION
+                0 < estimator.probability(now) <= suspicion.MAX_ESTIMATE
             )
 
         for _ in range(8):
--- a/endivewind/tests/durable/node_directory_tests.py
+++ b/endivewind/tests/durable/node_directory_tests.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from endivewind.durable import membership
+from endivewind.durable import node_directory
 from endivewind.nodes import view
 from endivewind.standins import faults
 from endivewind.tests.platform import platforms
@@ -18,11 +18,13 @@
     async def asyncSetUp(self):
         self.platform = platforms.Platform()
         await self.enterAsyncContext(self.platform)
-        self.directory = membership.Directory(self.platform.client, self.zones)
+        self.directory = node_directory.Directory(
+            self.platform.client, self.zones
+        )
 
     async def registered_incarnation(self):
         listing = await self.directory.list_zone_at_start("z")
-        return membership.registered_incarnation(listing, "node-a")
+        return node_directory.registered_incarnation(listing, "node-a")
 
 
 class EarlierIncarnationTest(_DirectoryCase):
--- a/endivewind/tests/durable/watcher_tests.py
+++ b/endivewind/tests/durable/watcher_tests.py
@@ -10,7 +10,7 @@
 from endivewind.platform import messages
 from endivewind.standins import virtual_loop
 
-COMPACTED = messages.PlatformError(messages.Failure.COMPACTED)
+COMPACTED = messages.PlatformError(messages.FailureReason.COMPACTED)
 WATCH_SECONDS = 30
 
 
--- a/endivewind/tests/fuzz_border_tests.py
+++ b/endivewind/tests/fuzz_border_tests.py
@@ -27,7 +27,7 @@
 _SETTINGS = hypothesis.settings(
     derandomize=True, deadline=None, max_examples=300, database=None
 )
-_MODELS = (objects.Configuration, settings.NodeSettings)
+_MODELS = (objects.ConfigurationFile, settings.NodeSettings)
 _KEYS = sorted(
     {
         key
--- a/endivewind/tests/loads/fleet.py
+++ b/endivewind/tests/loads/fleet.py
@@ -384,7 +384,7 @@
             for number, entry in enumerate(self._entries[zone])
         ]
         for name, zone, entry in entries:
-            for usage in entry.budgets.due_updates():
+            for usage in entry.budgets.take_due_updates():
                 for other, other_zone, receiver in entries:
                     if other != name and self._share_retries(zone, other_zone):
                         receiver.budgets.update_peer(name, usage)
--- a/endivewind/tests/loads/proofs_tests.py
+++ b/endivewind/tests/loads/proofs_tests.py
@@ -36,7 +36,7 @@
         self.is_rejected = False
         clock = virtual_loop.LoopClock(fleet.loop)
         self.proof = freshness.FreshnessTracker(lambda: 1, BOUND)
-        self.peer = proofs.ProofPeer(
+        self.peer = proofs.ProofService(
             self.record,
             self.proof,
             fleet,
--- a/endivewind/tests/loads/quotas.py
+++ b/endivewind/tests/loads/quotas.py
@@ -63,7 +63,7 @@
         """Returns how far the worst window exceeds the tolerated bound."""
         allowed = (quota.rate * WINDOW_SECONDS + quota.burst) * (
             1 + TOLERANCE.overage
-        ) + TOLERANCE.requests
+        ) + TOLERANCE.extra_requests
         worst = max(
             (
                 bisect.bisect_right(self.admissions, at + WINDOW_SECONDS)
@@ -106,7 +106,7 @@
     def start(self):
         """Starts the node without any state."""
         clock = virtual_loop.LoopClock(self.fleet.loop)
-        self.peer = peers.QuotaPeer(
+        self.peer = peers.QuotaService(
             self.record,
             self.fleet.zone_count,
             self.fleet.quota_of,
--- a/endivewind/tests/mutants.py
+++ b/endivewind/tests/mutants.py
@@ -56,7 +56,7 @@
     Mutant(
         "a caller's key is forwarded to the target",
         "callers/listener.py",
-        "                drop_key=call.has_key_workspace,\n",
+        "                drop_key=call.has_checked_key,\n",
         "                drop_key=False,\n",
         "callers.workspaces_tests",
     ),
@@ -94,7 +94,7 @@
         "pending requests do not change the suspicion of their target",
         "targets/registry.py",
         "        return math.prod(\n"
-        "            request.pending_ratio(now) for request in self.pending_requests\n"
+        "            request.likelihood_ratio(now) for request in self.pending_requests\n"
         "        )\n",
         "        return 1.0\n",
         "loads.silence_tests",
--- a/endivewind/tests/node_tests.py
+++ b/endivewind/tests/node_tests.py
@@ -51,7 +51,7 @@
         """
         tested_node = self._make_node()
         peer, gossip = (
-            configuration.ConfigurationPeer,
+            configuration.ConfigurationService,
             gossip_service.GossipService,
         )
         with (
--- a/endivewind/tests/nodes/discovery_tests.py
+++ b/endivewind/tests/nodes/discovery_tests.py
@@ -7,7 +7,7 @@
 
 import expression
 
-from endivewind.durable import membership as directories
+from endivewind.durable import node_directory as directories
 from endivewind.nodes import discovery
 from endivewind.nodes import membership
 from endivewind.nodes import view
@@ -15,7 +15,7 @@
 from endivewind.standins import virtual_loop
 
 ZONES = ("z", "y", "x")
-UNAVAILABLE = messages.PlatformError(messages.Failure.UNAVAILABLE)
+UNAVAILABLE = messages.PlatformError(messages.FailureReason.UNAVAILABLE)
 
 
 class _Directory:
@@ -139,13 +139,13 @@
         second, members = self.start_node(directory, _node("b", incarnation=2))
         self.run_for(1)
         self.assertFalse(
-            first.has_complete_listing or second.has_complete_listing
+            first.has_complete_zone_listing or second.has_complete_zone_listing
         )
 
         self.run_for(6)
 
         self.assertTrue(
-            first.has_complete_listing and second.has_complete_listing
+            first.has_complete_zone_listing and second.has_complete_zone_listing
         )
         self.assertIn("a:1", members._contacts)
 
@@ -185,10 +185,10 @@
         self.run_for(60)
 
         self.assertLess(len(directory.calls), 60)
-        self.assertFalse(found.has_listed)
+        self.assertFalse(found.has_listing_or_seeds)
         directory.is_failing = False
         self.run_for(12)
-        self.assertTrue(found.has_complete_listing)
+        self.assertTrue(found.has_complete_zone_listing)
 
 
 class RestartTest(_TestCase):
@@ -206,7 +206,7 @@
             initial_listing=directory.listing_of("z"),
         )
 
-        self.assertTrue(found.has_listed)
+        self.assertTrue(found.has_listing_or_seeds)
         self.assertIn("b:1", members._contacts)
         self.run_for(0.1)
         self.assertIn(("register", "z", version), directory.calls)
@@ -222,7 +222,7 @@
         self.run_for(2000)
 
         self.assertIn("a", directory.listing_of("z").registrations)
-        self.assertTrue(found.has_complete_listing)
+        self.assertTrue(found.has_complete_zone_listing)
 
 
 class StaleRegistrationTest(_TestCase):
--- a/endivewind/tests/nodes/gossip_tests.py
+++ b/endivewind/tests/nodes/gossip_tests.py
@@ -112,7 +112,7 @@
         )
         self.assertTrue(self.net.has_converged())
         target_counts = {
-            len(n.view.all_targets()) for n in self.net.nodes.values()
+            len(n.view.usable_targets()) for n in self.net.nodes.values()
         }
         self.assertEqual({13 * 16}, target_counts)
 
@@ -191,7 +191,7 @@
         net.run(1.5)
 
         target_counts = [
-            len(node.view.all_targets()) for node in net.nodes.values()
+            len(node.view.usable_targets()) for node in net.nodes.values()
         ]
         self.assertGreater(
             sum(target_counts) / len(target_counts), 0.95 * len(names)
@@ -254,7 +254,7 @@
     def test_wrong_or_missing_signature_is_rejected(self):
         """Without the key nobody can have a node declared dead."""
         datagram = gossip_messages.Datagram(
-            "n1", 7, ping=3, changes=(b"x", b"\xff")
+            "n1", 7, ping_number=3, changes=(b"x", b"\xff")
         )
         data = datagrams.encode(datagram, b"k" * 16)
         self.assertEqual(datagram, datagrams.decode(data, b"k" * 16))
--- a/endivewind/tests/nodes/graceful_shutdown_tests.py
+++ b/endivewind/tests/nodes/graceful_shutdown_tests.py
@@ -30,8 +30,8 @@
     def refuse_new(self):
         self._record("refuse new")
 
-    def close(self):
-        self._record("close")
+    def refuse_new_tickets(self):
+        self._record("refuse new tickets")
 
     def abort_all(self):
         self._record("abort")
--- a/endivewind/tests/nodes/network.py
+++ b/endivewind/tests/nodes/network.py
@@ -186,7 +186,9 @@
         node = self.nodes.pop(name)
         self._send(name, node.core.leave())
 
-    def _send(self, sender: str, sends: list[gossip_messages.Send]) -> None:
+    def _send(
+        self, sender: str, sends: list[gossip_messages.OutgoingMessage]
+    ) -> None:
         for item in sends:
             receiver = item.address.partition(":")[0]
             if isinstance(item.message, gossip_messages.Datagram):
@@ -250,7 +252,7 @@
             )
             if isinstance(frame, gossip_messages.Pull):
                 parts = [
-                    gossip_messages.Send(frame.address, part)
+                    gossip_messages.OutgoingMessage(frame.address, part)
                     for part in node.core.answer_pull(frame)
                 ]
                 self._send(node.name, parts)
--- a/endivewind/tests/nodes/traffic_tests.py
+++ b/endivewind/tests/nodes/traffic_tests.py
@@ -36,7 +36,7 @@
             self.counted_distances("10.0.0.2:7"),
         )
         self.assertEqual(
-            [traffic.Distance.REGION],
+            [traffic.Distance.OTHER_ZONE],
             self.counted_distances("10.0.0.3:7"),
         )
         self.assertEqual(
--- a/endivewind/tests/operators/builder_tests.py
+++ b/endivewind/tests/operators/builder_tests.py
@@ -41,7 +41,7 @@
         firm.workspace("crew", weight=2, rate=10, burst=5)
         firm.route(riders, host="a.example", workspace="crew")
 
-        loaded = base.load_text(firm.to_yaml(), "f", objects.Configuration)
+        loaded = base.load_text(firm.to_yaml(), "f", objects.ConfigurationFile)
 
         self.assertEqual(firm.configuration(), loaded.ok.model)
         service = loaded.ok.model.services["riders"]
@@ -55,7 +55,7 @@
 
         printed = firm.to_yaml()
 
-        loaded = base.load_text(printed, "f", objects.Configuration)
+        loaded = base.load_text(printed, "f", objects.ConfigurationFile)
         shard = loaded.ok.model.workspace_shards["camerino"]
         self.assertEqual({caller_keys.digest(key): "crew"}, shard.keys)
         self.assertNotIn(key, printed)
@@ -110,7 +110,7 @@
             with self.subTest(name):
                 module = runpy.run_path(str(_EXAMPLES / f"{name}.py"))
                 text = module["build"]().to_yaml()
-                loaded = base.load_text(text, name, objects.Configuration)
+                loaded = base.load_text(text, name, objects.ConfigurationFile)
                 self.assertEqual((), loaded.ok.warnings)
                 found = loaded.ok.model.services
                 self.assertEqual(services, set(found))
--- a/endivewind/tests/operators/request_trace_tests.py
+++ b/endivewind/tests/operators/request_trace_tests.py
@@ -96,7 +96,7 @@
 
 async def _break_connection(method, url, *, headers, trace_request_ctx, **_):
     trace_request_ctx.has_connection = True
-    raise connections.ConnectionLostError("the connection broke")
+    raise connections.ResponseLostError("the connection broke")
 
 
 def _line(writer, second, message, **fields):
--- a/endivewind/tests/platform/client_tests.py
+++ b/endivewind/tests/platform/client_tests.py
@@ -58,10 +58,10 @@
     async def test_each_faulty_response_is_an_error_of_its_kind(self):
         self.platform.put("riders", {"a": 1})
         cases = (
-            (Mode.OUTAGE, messages.Failure.UNAVAILABLE),
-            (Mode.ERROR, messages.Failure.UNAVAILABLE),
-            (Mode.PARTIAL, messages.Failure.UNAVAILABLE),
-            (Mode.GARBAGE, messages.Failure.INVALID),
+            (Mode.OUTAGE, messages.FailureReason.UNAVAILABLE),
+            (Mode.ERROR, messages.FailureReason.UNAVAILABLE),
+            (Mode.PARTIAL, messages.FailureReason.UNAVAILABLE),
+            (Mode.GARBAGE, messages.FailureReason.INVALID),
         )
         for mode, failure in cases:
             with self.subTest(mode):
@@ -82,7 +82,7 @@
 
         result = await self.client.get("service", "riders")
 
-        self.assertIs(messages.Failure.THROTTLED, result.error.failure)
+        self.assertIs(messages.FailureReason.THROTTLED, result.error.failure)
         self.assertEqual(SECOND, result.error.retry_after)
 
     async def test_watch_of_a_compacted_revision_fails_as_compacted(self):
@@ -92,14 +92,14 @@
 
         result = await self.client.watch("service", 1)
 
-        self.assertIs(messages.Failure.COMPACTED, result.error.failure)
+        self.assertIs(messages.FailureReason.COMPACTED, result.error.failure)
 
     async def test_watch_of_a_store_that_lost_writes_fails_as_compacted(self):
         self.platform.put("riders", {"a": 1})
 
         result = await self.client.watch("service", 900)
 
-        self.assertIs(messages.Failure.COMPACTED, result.error.failure)
+        self.assertIs(messages.FailureReason.COMPACTED, result.error.failure)
 
 
 class ReadTest(_PlatformCase):
@@ -271,7 +271,7 @@
         budget.set_node_count(760)
         calls = 0
         for tenth in range(600):
-            if not budget.try_start(SECOND * (tenth / 10)):
+            if not budget.start_or_get_wait(SECOND * (tenth / 10)):
                 calls += 1
                 budget.end()
 
@@ -281,11 +281,11 @@
     def test_a_waiting_watch_is_a_call_in_progress(self):
         budget = retries.CallBudget()
         for _ in range(budget.MAX_CONCURRENT_CALLS):
-            self.assertFalse(budget.try_start(SECOND))
+            self.assertFalse(budget.start_or_get_wait(SECOND))
 
-        self.assertTrue(budget.try_start(SECOND))
+        self.assertTrue(budget.start_or_get_wait(SECOND))
         budget.end()
-        self.assertFalse(budget.try_start(SECOND))
+        self.assertFalse(budget.start_or_get_wait(SECOND))
 
     def test_backoff_grows_with_jitter_up_to_a_limit(self):
         backoff = retries.Backoff(random.Random(1))
--- a/endivewind/tests/platform/platforms.py
+++ b/endivewind/tests/platform/platforms.py
@@ -50,7 +50,7 @@
         # The clock of these tests does not advance, so that the budget is
         # never refilled; the larger burst makes up for that.
         new_client = client.PlatformClient(self.url, self._session, self.clock)
-        new_client.budget.refill(10_000)
+        new_client.budget.set_burst(10_000)
         return new_client
 
     async def sleep(self, seconds: float) -> None:
--- a/endivewind/tests/proofs/at_most_once_fuzz_tests.py
+++ b/endivewind/tests/proofs/at_most_once_fuzz_tests.py
@@ -19,7 +19,7 @@
 STEPS_PER_EXAMPLE = 25
 
 STEP = strategies.sampled_from(simulated_cluster.ExchangeStep)
-FAULT = strategies.sampled_from(simulated_cluster.Fault)
+FAULT = strategies.sampled_from(simulated_cluster.ExchangeFault)
 NODE = strategies.sampled_from(
     [*simulated_cluster.ENTRY_NODES, *simulated_cluster.HOME_NODES]
 )
@@ -43,7 +43,7 @@
 
     @stateful.rule(target=keys, node=NODE)
     def ask_for_key(self, node):
-        return self.cluster.issue_key(node)
+        return self.cluster.issue_ticket(node)
 
     @stateful.rule(key=keys, node=NODE)
     def send(self, key, node):
@@ -68,7 +68,7 @@
 
     @stateful.rule(node=NODE)
     def drain_node(self, node):
-        self.cluster.nodes[node].ticketing.close()
+        self.cluster.nodes[node].ticketing.refuse_new_tickets()
 
     @stateful.rule(seconds=strategies.sampled_from([0.05, 0.3, 1.5, 7, 65]))
     def wait(self, seconds):
@@ -81,7 +81,7 @@
     def teardown(self):
         try:
             self.cluster.settle()
-            for key in list(self.cluster.work_by_key):
+            for key in list(self.cluster.work_by_ticket):
                 for node in self.cluster.node_names:
                     self.tasks.append(self.cluster.send(node, key))
             self.cluster.settle()
@@ -115,6 +115,7 @@
         self.assertEqual((), outcome.red)
         self.assertEqual(0, outcome.unreached)
         self.assertEqual(
-            len(simulated_cluster.ExchangeStep) * len(simulated_cluster.Fault),
+            len(simulated_cluster.ExchangeStep)
+            * len(simulated_cluster.ExchangeFault),
             outcome.cells,
         )
--- a/endivewind/tests/soak/checks_tests.py
+++ b/endivewind/tests/soak/checks_tests.py
@@ -81,7 +81,7 @@
         closes the caller's connection. A request whose response was not
         streamed gets the outcome unknown instead.
         """
-        broken = checks.Outage(checks.ANY_NODE, 1.5, 3.0)
+        broken = checks.Outage(checks.STREAMS_AT_ALL_NODES, 1.5, 3.0)
         cut = dataclasses.replace(GOOD, status=0, named="", cut=True)
         streamed = dataclasses.replace(cut, streamed=True)
 
--- a/endivewind/tests/targets/attempt_log_tests.py
+++ b/endivewind/tests/targets/attempt_log_tests.py
@@ -34,7 +34,7 @@
     def test_sealed_attempt_is_refused_as_not_run(self):
         """A late duplicate arrives after the issuer has retried elsewhere."""
         self.begin()
-        self.attempt_log.seal("t", 1)
+        self.attempt_log.mark_not_run("t", 1)
 
         duplicate = self.begin()
 
@@ -44,7 +44,7 @@
     def test_next_attempt_requires_the_seal(self):
         self.begin()
         unsealed = self.begin(number=2)
-        self.attempt_log.seal("t", 1)
+        self.attempt_log.mark_not_run("t", 1)
         sealed = self.begin(number=2)
 
         self.assertEqual(exchange.ExecutionOutcome.UNKNOWN, unsealed.outcome)
@@ -52,7 +52,7 @@
 
     def test_earlier_attempt_after_a_later_one_is_refused(self):
         self.begin()
-        self.attempt_log.seal("t", 1)
+        self.attempt_log.mark_not_run("t", 1)
         self.begin(number=2)
 
         self.assertEqual(
@@ -61,7 +61,7 @@
 
     def test_seal_of_another_attempt_has_no_effect(self):
         self.begin()
-        self.attempt_log.seal("t", 2)
+        self.attempt_log.mark_not_run("t", 2)
 
         self.assertEqual(
             exchange.ExecutionOutcome.UNKNOWN, self.begin(2).outcome
@@ -73,7 +73,7 @@
         self.begin(ticket="b")
         refusal = self.begin(ticket="c")
         for ticket in ("a", "b"):
-            self.attempt_log.seal(ticket, 1)
+            self.attempt_log.mark_not_run(ticket, 1)
 
         duplicate = self.begin(ticket="c")
         excess = self.begin(ticket="d")
--- a/endivewind/tests/targets/connections_tests.py
+++ b/endivewind/tests/targets/connections_tests.py
@@ -38,7 +38,7 @@
         writer.close()
 
     async def _read(self):
-        progress = connections.Progress()
+        progress = connections.SendState()
         response = await self.session.get(self.url, trace_request_ctx=progress)
         received = await response.content.readexactly(len(BODY))
         self.may_close.set()
--- a/endivewind/tests/targets/registry_tests.py
+++ b/endivewind/tests/targets/registry_tests.py
@@ -154,7 +154,7 @@
     def test_changes_are_numbered_without_gaps(self):
         self._announce()
         self.targets.set_ejection_status("t1", records.EjectionStatus.EJECTED)
-        self.targets.withdraw("t1")
+        self.targets.remove("t1")
         sequences = [
             item.record.sequence for item in self.targets.take_changes()
         ]
