--- a/endivewind/config/base.py
+++ b/endivewind/config/base.py
@@ -35,6 +35,9 @@
 class Problem:
     """An inconsistency between several parts of a file.
 
+    Model.find_problems() yields it without file and line; load_text() converts
+    it to a Finding, which has both.
+
     Attributes:
       location: keys and indexes from the root to the value.
       message: what is wrong and what is allowed.
--- a/endivewind/config/caller_keys.py
+++ b/endivewind/config/caller_keys.py
@@ -11,6 +11,7 @@
 import pydantic
 
 # Digests are not salted, so keys must be too long for a brute-force search.
+# Only the length is checked, not the randomness; operators choose the keys.
 MIN_KEY_CHARACTERS = 16
 _DIGEST_BYTES = 16
 
--- a/endivewind/config/freshness.py
+++ b/endivewind/config/freshness.py
@@ -3,8 +3,9 @@
 A revoked key must stop working within a time bound, even at a node that
 receives no updates. So a node serves requests that need a key only while it
 can prove that its configuration was the newest at some time within the bound.
-A proof dates from the start of a read of the platform and passes from node to
-node as query and response. Does no I/O.
+A proof is a version and a time at which no newer version existed: the start of
+the read of the platform that returned the version. Nodes pass proofs on by
+query and response. Does no I/O.
 """
 
 import collections.abc
@@ -30,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Proof:
-    """A version that was the newest at a time of this node's clock."""
+    """A version, and a moment in this node's clock when none was newer."""
 
     version: int
     moment: datetime.timedelta
@@ -43,10 +44,10 @@
     know that a key was revoked. Without a recent proof it must not serve
     requests that need a key. The time of a proof is when the query was sent or
     the read started, in the clock of the querying node, so a delayed response
-    only makes the proof older. If the configuration in force is later than the
-    one that the proof names, the proof holds as well: at the time of the proof
-    nothing newer than the named one existed. The clock includes time that the
-    machine is suspended.
+    only makes the proof older. A proof also holds if the version in force is
+    higher than the proof's version, since no version higher than the proof's
+    existed at the time of the proof. The clock includes time that the machine
+    is suspended.
     """
 
     def __init__(
@@ -76,14 +77,19 @@
         self._bound = bound
 
     def record_proof(self, version: int, moment: datetime.timedelta) -> bool:
-        """Records that a version was the newest at or after a time.
+        """Records a proof: that no version was newer at a moment.
+
+        The version was the newest at some time between the request and the
+        response, so nothing newer existed at the time of the request.
 
         Args:
           version: the version that the platform or another node reported.
           moment: when it was requested, in this node's clock.
 
         Returns:
-          Whether this made the node's proof younger.
+          Whether this proof is more recent than the previous one and replaces
+          it. False if this node does not have the version yet; the latest
+          such proof is kept until it does.
         """
         proof = _Proof(version, moment)
         if version > self._in_force():
@@ -108,7 +114,9 @@
           query_time: when the query was sent, in this node's clock.
 
         Returns:
-          Whether this made the node's proof younger.
+          Whether this proof is more recent than the previous one and replaces
+          it. False if this node does not have the version yet; the latest
+          such proof is kept until it does.
         """
         age = max(response.age, datetime.timedelta())
         return self.record_proof(response.version, query_time - age)
--- a/endivewind/config/objects.py
+++ b/endivewind/config/objects.py
@@ -205,12 +205,15 @@
 class WorkspaceGroup(base.Model):
     """A group of workspaces and their API keys.
 
+    Base class of WorkspaceShard and Document.
+
     Attributes:
       workspaces: the workspaces by name; if no workspace has a key, callers
         pass the name in the Endivewind-Workspace header.
       keys: the workspace of each key, by the key's digest.
-      keyed: whether requests need a key even while no key exists; once any key
-        exists, they always need one.
+      keyed: whether requests need a key even if none is configured, so that
+        all of them are refused, except on anonymous routes. As soon as any key
+        is configured, requests need one in any case.
     """
 
     workspaces: dict[Name, Workspace] = {}
@@ -225,8 +228,9 @@
       workspaces: the workspaces by name; if no workspace has a key, callers
         pass the name in the Endivewind-Workspace header.
       keys: the workspace of each key, by the key's digest.
-      keyed: whether requests need a key even while no key exists; once any key
-        exists, they always need one.
+      keyed: whether requests need a key even if none is configured, so that
+        all of them are refused, except on anonymous routes. As soon as any key
+        is configured, requests need one in any case.
     """
 
 
--- a/endivewind/config/planning.py
+++ b/endivewind/config/planning.py
@@ -25,10 +25,11 @@
     """What a submission does with one object.
 
     WRITE: writes it. SAME: nothing, as the platform has the same spec already.
-    KEPT: nothing, so the platform's spec stays. The file has the spec of the
-    merge base, which its operator has not edited; without a merge base, it has
-    an earlier spec of the object, so the file is outdated. REFUSED: nothing,
-    since both this and another operator have changed it since the merge base.
+    KEPT: nothing, so the platform's spec stays. With a merge base: the operator
+    has not edited the spec, as the file has the one of the merge base. Without
+    a merge base: the file has an earlier spec of the object, so it is outdated.
+    REFUSED: nothing, since both this and another operator have changed it since
+    the merge base.
     """
 
     WRITE = "write"
@@ -86,7 +87,8 @@
       current: its state on the platform.
       differences: differences from the state on the platform to the desired
         one.
-      theirs: for REFUSED: the other operator's changes.
+      theirs: for REFUSED: the other operator's changes, from the merge base to
+        the state on the platform; otherwise empty.
     """
 
     key: store.Key
@@ -123,9 +125,9 @@
     Args:
       wanted: the objects of the file; None removes an object.
       current: the objects on the platform.
-      merge_base: the objects from which the file was edited, if known. Those
-        that are equal in both were not changed by this operator; those that
-        are only in the merge base were removed.
+      merge_base: the objects from which the file was edited, if known. An
+        object that is equal in the file and the merge base was not changed by
+        this operator; one that is only in the merge base was removed.
     """
     removed = (
         {}
--- a/endivewind/config/proof_tree.py
+++ b/endivewind/config/proof_tree.py
@@ -16,16 +16,20 @@
 
 MemberT = TypeVar("MemberT", bound=watchers.Member)
 
-# Shares of the revocation bound. The primary reader lets its proof become 1/5
-# of the bound old. Each hop away from it adds at most one query period, 1/8, so
-# three hops away a proof is at most 1/5 + 3/8, about 0.6, of the bound old. It
-# stays within the bound if one query is lost.
+# Shares of the revocation bound. The primary reader, the node that started
+# first, reads again when its proof is 1/5 of the bound old. Each hop away from
+# it adds at most one query period, 1/8 of the bound, so three hops away a proof
+# is at most 1/5 + 3/8, about 0.6, of the bound old. If one query is lost, the
+# proof's age still stays within the bound.
 READER_PROOF_AGE_SHARE = 0.2
 QUERY_PERIOD_SHARE = 1 / 8
-# Proof age, as a share of the bound, at which other nodes read as well: one
-# after the other, so that the loss of a reader costs only a few extra calls.
+# Proof age, as a share of the bound, at which the second-oldest node reads as
+# well. Each further node in the order of starts waits for STANDBY_STEP_SHARE of
+# the bound longer, so that the loss of a reader costs only a few extra calls.
 STANDBY_PROOF_AGE_SHARE = 0.5
 STANDBY_STEP_SHARE = 0.05
+# Proof age, as a share of the bound, from which all remaining nodes read at
+# random, at each check with a probability of 1 / start rank.
 RANDOM_READ_AGE_SHARE = 0.8
 # Time, in multiples of the bound, for which a node that had to stand in for the
 # primary reader keeps reading as often as a primary reader.
@@ -49,7 +53,8 @@
     Attributes:
       start_rank: number of nodes that started before it; 0 is the primary
         reader.
-      parent: the node that it queries; None for the primary reader.
+      parent: the node that it queries; None for the primary reader, which
+        reads the platform instead.
       fallbacks: nodes that it queries if its parent has no fresh proof.
     """
 
@@ -111,7 +116,8 @@
       age: age of its proof; without one, time since its start.
       bound: maximum age of a proof.
       rng: selects at random among the nodes beyond the ordered standbys.
-      is_standby: whether it had to stand in for the primary reader recently.
+      is_standby: whether it had to stand in for the primary reader recently,
+        so that it reads as often as the primary reader.
     """
     if start_rank == 0 or is_standby:
         return age >= READER_PROOF_AGE_SHARE * bound
--- a/endivewind/config/readiness.py
+++ b/endivewind/config/readiness.py
@@ -40,7 +40,9 @@
     def not_ready_reason(self, known_peers: int) -> str | None:
         """Returns why the node is not ready yet; None if it is ready.
 
-        Once ready, the node stays ready: the first None marks the replicator.
+        Once ready, the node stays ready: the first call that returns None also
+        sets the replicator's is_ready. From then on its messages say that this
+        node is ready, and it compares digests less often.
         """
         if self._replicator.is_ready:
             return None
--- a/endivewind/config/replication.py
+++ b/endivewind/config/replication.py
@@ -25,8 +25,8 @@
 # without it. The extra sends also cover the loss of one message in ten.
 EXTRA_SENDS = 4
 # Maximum size of an object sent within a rumour. Larger objects are requested
-# by the receiver, so that a node receives each about once. A rumour contains
-# about eight times as many bytes of objects at most.
+# by the receiver, so that a node receives each about once. All objects in one
+# rumour together are limited to about eight times this size.
 MAX_PUSHED_OBJECT_BYTES = 512
 TICK_INTERVAL = datetime.timedelta(milliseconds=250)
 # If nothing differs, a comparison costs two messages with one number each.
@@ -38,10 +38,13 @@
 # If one message in ten is lost, one request in five gets no response. It is then
 # sent again, to the last peer that advertised the object. Waiting for another
 # advertisement would take longer: rumours have ended by then, and anti-entropy
-# takes several periods.
+# takes several periods. WANT_TIMEOUT is the time until an object that was
+# requested (Message.want) but not received is requested again.
 WANT_TIMEOUT = datetime.timedelta(milliseconds=400)
 MAX_WANT_ATTEMPTS = 8
-# Limits of one message. A single object, up to a megabyte, is always sent.
+# Limits of one message: the number of its entries, and the total size of the
+# objects in a response. A single object, which may be up to a megabyte, is sent
+# even if it exceeds MAX_OBJECT_BYTES.
 MAX_ENTRIES = 256
 MAX_OBJECT_BYTES = 65_536
 # Part of a node's limit of 10 KB/s; the burst is enough for a large submission.
@@ -91,9 +94,10 @@
     Attributes:
       sender: name of the sending node.
       ready: whether the sender's configuration is known to be complete.
-      digest: one hash of all objects, or one for each bucket; asks the
-        receiver to compare it with its own.
-      same: whether the digest that this responds to equals the sender's.
+      digest: one hash of all configuration objects, or one for each bucket;
+        asks the receiver to compare it with its own.
+      same: in a response to a digest, whether that digest equals the one of
+        this message's sender.
       have: states of objects that the sender has.
       buckets: buckets of which `have` lists every object.
       want: objects that the sender requests.
@@ -124,7 +128,7 @@
 
     Attributes:
       outgoing: messages to send.
-      in_force: objects that have come into force.
+      in_force: keys of the objects that have come into force.
       rejections: objects that were rejected.
     """
 
--- a/endivewind/config/services.py
+++ b/endivewind/config/services.py
@@ -6,7 +6,7 @@
 
 
 class ServiceSettings:
-    """Looks up one setting of a service by the service's name."""
+    """Looks up single settings of any service by the service's name."""
 
     def __init__(self, configuration: store.ConfigurationStore) -> None:
         self._configuration = configuration
--- a/endivewind/config/settings.py
+++ b/endivewind/config/settings.py
@@ -84,7 +84,8 @@
     Attributes:
       header_bytes: maximum size of a request's headers.
       body_bytes: maximum size of a request's body.
-      kept_answer_bytes: maximum size of a response stored for resends.
+      kept_answer_bytes: maximum size of a response that is stored in case the
+        caller resends its request.
       buffered_body_bytes: maximum size of a request body that is buffered so
         that the request can be retried.
       ticketed_body_bytes: maximum size of the body of a request that must not
@@ -120,9 +121,10 @@
     )
 
 
-# Share of the fleet's retry budget that nodes spend. The rest covers inaccurate
-# counts: nodes may spend the same retries while their counts propagate, retries
-# may be sent shortly before they are counted, and the windows move in steps.
+# Share of the retries allowed to the whole fleet that the nodes' retry budgets
+# allow. The rest covers inaccurate counts: several nodes may spend the same
+# retries while their counts propagate, retries may be sent shortly before they
+# are counted, and the window slides in steps, not continuously.
 NODE_RETRY_SHARE = 0.75
 
 
@@ -286,7 +288,10 @@
 
     @property
     def effective_defaults(self) -> objects.Service:
-        """Service settings that the platform's configuration leaves open."""
+        """Values for service settings missing in the platform's configuration.
+
+        These are service_defaults, overridden by fleet_limits if set.
+        """
         if self.fleet_limits is None:
             return self.service_defaults
         return self.fleet_limits.apply_to(self.service_defaults)
--- a/endivewind/config/settings_reloader.py
+++ b/endivewind/config/settings_reloader.py
@@ -58,7 +58,8 @@
         loaded = base.load_bytes(raw, str(self._path), settings.NodeSettings)
         if loaded.is_error():
             messages = [str(item) for item in loaded.error]
-            # The file is invalid, so the settings in effect stay.
+            # The file is invalid: it is ignored, and the previous settings stay
+            # in effect.
             log.error("settings kept", extra=logs.fields(findings=messages))
             return
         self._on_reload(loaded.ok.model)
--- a/endivewind/config/store.py
+++ b/endivewind/config/store.py
@@ -82,7 +82,7 @@
 
 
 class Stamp(NamedTuple):
-    """Orders the states of an object; the highest one wins.
+    """Version and hash that order the states of an object; the highest wins.
 
     Attributes:
       version: the object's version.
@@ -106,7 +106,8 @@
       key: the object.
       version: the rejected version.
       problems: what is wrong, each with its path inside the object.
-      is_retained: whether the value is stored for nodes of a newer release.
+      is_retained: whether the value, although not in force here, is stored and
+        replicated, because nodes of a newer release may find it valid.
     """
 
     key: Key
@@ -125,8 +126,8 @@
     Attributes:
       stamp: stamp of the highest value known.
       packed: that value as compressed JSON, in which form it is replicated.
-      in_force: version of the model; below the stamp's version if that value
-        is invalid.
+      in_force: version of the model, so the version in force; below the
+        stamp's version if the highest value is invalid.
       model: the last valid object; None if it was removed or never valid.
     """
 
@@ -137,7 +138,10 @@
 
 
 class ConfigurationStore:
-    """Merges versions of objects; a version is never replaced by a lower."""
+    """Keeps the highest version of each object, and the last valid one.
+
+    A version is never replaced by a lower version.
+    """
 
     def __init__(self) -> None:
         self._objects: dict[Key, _ObjectState] = {}
@@ -147,7 +151,7 @@
 
     @property
     def version(self) -> int:
-        """The highest version of any object known."""
+        """The highest version of any object known, even if it is invalid."""
         return self._version
 
     @property
@@ -181,7 +185,8 @@
           value: the platform's value, an Envelope.
 
         Returns:
-          Whether it is now in force. An error if the value is invalid; it is
+          Whether this call has put it in force; False if the same or a higher
+          version was known already. An error if the value is invalid; it is
           then rejected as a whole and the last valid one stays in force.
         """
         key = Key(kind, name)
--- a/endivewind/config/watchers.py
+++ b/endivewind/config/watchers.py
@@ -38,6 +38,8 @@
 def is_watcher(me: Member, members: collections.abc.Iterable[Member]) -> bool:
     """Returns whether a node is a watcher of its zone or region.
 
+    Whether `members` contains the node's own record makes no difference.
+
     Scenario: part of the fleet restarts all the time. Risk: if a joining node
     could take over the watch from a running one, each restart would cost the
     platform an additional listing and watch. With the longest-running nodes, a
@@ -73,9 +75,12 @@
 ) -> int:
     """Returns the number of nodes that share a call budget with this one.
 
-    Watchers share one budget of platform calls and all other nodes another.
-    With equal shares at 760 nodes, a watcher could call only once in four
-    seconds, too late for a change that has to be in force within eight.
+    Watchers share one budget of platform calls among themselves; for them the
+    result is the maximum number of watchers. The other nodes share a second
+    budget; for them it is the number of all members, including the watchers.
+    If all nodes shared one budget equally, a watcher at 760 nodes could call
+    only once in four seconds, too late for a change that has to be in force
+    within eight.
     """
     if not is_watcher(me, members):
         return len(members)
--- a/endivewind/configuration_reader.py
+++ b/endivewind/configuration_reader.py
@@ -54,7 +54,8 @@
         Args:
           get_settings: returns the settings in force.
           platform: the store that holds the configuration.
-          peer: applies the objects read and forwards them to peers.
+          peer: this node's configuration service; applies the objects read and
+            forwards them to peers.
           has_complete_view: whether this node knows the nodes that started
             before it, so that it can determine whether it is a watcher.
           freshness_tracker: records that the configuration read is the newest.
@@ -67,7 +68,9 @@
         self._has_complete_view = has_complete_view
         self._freshness_tracker = freshness_tracker
         self._clock = clock
-        # The store's revision and the configuration's version at the last listing.
+        # The store's revision and the configuration's version at the last fresh
+        # listing of the operators' configuration; stale listings and watches do
+        # not set it.
         self._last_read: _LastRead | None = None
         self._rng = rng
 
@@ -117,7 +120,9 @@
         return await self._read_fresh()
 
     async def read_proof(self, timeout: datetime.timedelta) -> bool:
-        """Reads from the platform whether the newest version is in force.
+        """Reads from the platform to obtain a proof of freshness.
+
+        The proof is recorded in the freshness tracker, not returned.
 
         Args:
           timeout: how long the platform may take.
--- a/endivewind/durable/audit.py
+++ b/endivewind/durable/audit.py
@@ -44,8 +44,9 @@
 class Outcome(enum.StrEnum):
     """The outcome of a change, as far as the record's writer knows.
 
-    INTENDED is written before the change, so that every change has a record;
-    a later record of the same operation and subject replaces it.
+    INTENDED is written before the change, so that every change has a record.
+    Both records are stored; read() returns only the latest one of the same
+    operation and subject.
     """
 
     INTENDED = "intended"
--- a/endivewind/durable/audit_recorder.py
+++ b/endivewind/durable/audit_recorder.py
@@ -85,7 +85,7 @@
         """Records the changes among this node's own targets.
 
         Args:
-          home_targets: all targets of this home.
+          home_targets: all targets whose home is this node.
           causes: the causes of ejections, by target id.
         """
         targets = {item.id: item for item in home_targets}
@@ -105,7 +105,10 @@
                 self._has_pending.clear()
 
     async def flush(self) -> None:
-        """Writes the pending records and keeps them if the write fails."""
+        """Writes the pending records; keeps them if all attempts fail.
+
+        audit.append() makes up to audit.MAX_ATTEMPTS attempts.
+        """
         batch = tuple(self._pending)
         if not batch:
             return
--- a/endivewind/durable/node_directory.py
+++ b/endivewind/durable/node_directory.py
@@ -61,7 +61,7 @@
 
 
 class Directory:
-    """The directory in which nodes register, zone by zone.
+    """The registry of nodes in the platform's store, with a list per zone.
 
     Scenario: hundreds of nodes start at once. Risk: with one list for all, each
     starting node reads the objects of all nodes, so that the bytes of all
@@ -84,7 +84,11 @@
         self._zones = tuple(zones)
 
     def other_zones(self, zone: str) -> tuple[str, ...]:
-        """Returns the zones whose nodes are not in the given zone's list."""
+        """Returns the zones whose nodes are not in the given zone's list.
+
+        For a zone that is not configured these are all configured zones, since
+        its nodes are in the shared list.
+        """
         if zone not in self._zones:
             return self._zones
         return tuple(item for item in self._zones if item != zone)
--- a/endivewind/durable/retries.py
+++ b/endivewind/durable/retries.py
@@ -47,7 +47,7 @@
 
 
 class CallBudget:
-    """Limits a node's calls: those in progress, and those per second.
+    """Rate limiter of a node's calls, which also limits concurrent calls.
 
     Scenario: a whole fleet starts, or the platform returns after an outage of
     hours. Risk: each node alone makes few calls, but all together use up the
--- a/endivewind/durable/watcher.py
+++ b/endivewind/durable/watcher.py
@@ -32,8 +32,9 @@
 class ReadMode(enum.Enum):
     """What a node has to read in the platform.
 
-    NONE: nothing, as its peers send it every change. LIST: a listing, as no
-    peer responds. WATCH: every change, as one of the few watching nodes.
+    NONE: nothing, as its peers send it every change. LIST: a listing, repeated
+    at growing intervals, as no peer responds. WATCH: every change, as one of
+    the few watching nodes.
     """
 
     NONE = "nothing"
@@ -60,7 +61,10 @@
 
 
 class Watcher:
-    """Calls back for every object that it reads; run() is its only task."""
+    """Reads one kind of object and calls back for every object that it reads.
+
+    Starts no tasks: all reads are made in run().
+    """
 
     def __init__(
         self,
@@ -129,10 +133,10 @@
         """Makes one listing or watch.
 
         A listing may be stale by some seconds; it then costs a tenth of a fresh
-        one. The watch after
-        it starts at its revision and reports the later changes; a node that
-        does not watch receives these from its peers. If the platform has
-        compacted the later changes, only a fresh listing includes them.
+        one. The watch that follows starts at the listing's revision and reports
+        the changes after it; a node that does not watch receives these from its
+        peers. If the platform has compacted these changes, only a fresh listing
+        includes them.
         """
         if self._revision is None or mode is ReadMode.LIST:
             return await self._list(self._accepts_stale)
--- a/endivewind/logs.py
+++ b/endivewind/logs.py
@@ -14,8 +14,9 @@
 import time
 
 # Lines of one message allowed at once, and per second after that. A node
-# serves a few hundred requests per second: if one in ten fails, each failure
-# is still logged, and a burst of refusals does not slow the node down.
+# serves a few hundred requests per second: with these limits each failure is
+# still logged if one request in ten fails, while a burst of refusals can't slow
+# the node down.
 BURST_LINES = 200
 LINES_PER_SECOND = 50
 # Buffer for a slow reader, which holds about a second of lines.
--- a/endivewind/node.py
+++ b/endivewind/node.py
@@ -159,11 +159,11 @@
         An address is bound only after everything that serves it is built, as
         callers and peers reconnect as soon as a node listens again.
 
-        Gossip starts after the link server. It requests the fleet's state from
-        a peer, which sends it within a millisecond over a link. If links are
-        not accepted yet the state is lost, and it is requested again only
-        three seconds later; until then callers are refused as no target is
-        known.
+        Gossip starts after the link server. Gossip requests the fleet's state
+        from a peer, and the peer sends the state within a millisecond over a
+        link. If this node does not accept links yet, the state is lost, and
+        gossip requests it again only three seconds later; until then callers
+        are refused as no target is known.
         """
         self._session = client.make_session()
         self._platform = client.PlatformClient(
@@ -395,7 +395,10 @@
         )
 
     async def handle_query(self, query: Any) -> Any:
-        """Handles another node's query; query and response are frames."""
+        """Handles another node's query; query and response are frames.
+
+        A query that is not for quota is a query for a proof of freshness.
+        """
         if query.quota_ask is not None:
             return await self._quota_service.handle_query(query.quota_ask)
         return self._proof_service.response_frame()
@@ -452,9 +455,10 @@
     def _announce_departure(self) -> None:
         """Announces that the local target, if any, takes no more requests.
 
-        A local target cannot move to another home. So its requests have to stop
-        before the node does, and its announcements are still accepted. Without
-        one, the targets move to other homes, and nothing is announced.
+        A local target cannot move to another home, so its requests have to stop
+        before the node does. For the same reason, its announcements are still
+        accepted. Without a local target, the targets move to other homes, and
+        nothing is announced.
         """
         if self._settings.beside is not None:
             self._gossip.announce_leave()
@@ -482,7 +486,10 @@
             await self._record_departure()
 
     async def _record_departure(self) -> None:
-        """Writes the last records; waits at most as long as for one call."""
+        """Adds the LEAVE record and writes all records not written yet.
+
+        Waits at most as long as for one call.
+        """
         self._audit_recorder.record_membership(audit.Action.LEAVE)
         try:
             async with asyncio.timeout(client.CALL_TIMEOUT.total_seconds()):
@@ -674,7 +681,7 @@
             self._publish_updates()
 
     def _publish_updates(self) -> None:
-        """Sends what entry nodes need to the zone's other nodes.
+        """Sends the zone's other nodes the updates that entry nodes need.
 
         The update contains the health of this home's targets, which is also
         applied to this node's own placement, the use of retry budgets, and
--- a/endivewind/operators/builder.py
+++ b/endivewind/operators/builder.py
@@ -20,7 +20,9 @@
 
 
 class Firm:
-    """One firm's part of the configuration: services, routes, workspaces.
+    """Builds one firm's part of the configuration.
+
+    The part consists of services, routes and workspaces.
 
     The firm's routes become one object of the platform and its workspaces
     another, so that firms that submit at the same time do not conflict.
@@ -57,8 +59,8 @@
           profile: whether ejections favor fast detection or capacity.
           slots: concurrent requests per target.
           targets_per_region: targets that a region should have.
-          floor_targets: the capacity floor: the number of targets per region
-            whose slots ejections must keep available.
+          floor_targets: the capacity floor, in targets per region: ejections
+            must leave at least the slots of this many targets in use.
           timeout: deadline of a request without a deadline of its own.
           queue_limit: requests that may wait for a slot at one entry node.
           retry_percent: retries allowed, as a share of recent requests.
--- a/endivewind/operators/request_trace.py
+++ b/endivewind/operators/request_trace.py
@@ -2,9 +2,9 @@
 
 The command `endivewind explain` uses it. A call that a target makes while it
 runs a request may be logged by another node, whose clock differs. The call's id
-begins with the request's. It must have started after the request was sent to
-the target and ended before the target's response, so its times are shifted as
-far as that requires.
+begins with the request's. The call must have started after the request was sent
+to the target and ended before the target's response, so the call's times are
+shifted as far as that requires.
 """
 
 import collections.abc
@@ -13,8 +13,9 @@
 import json
 from typing import Any
 
-# How long before a request's end lines on the status of its targets and nodes
-# are included: ejections last for seconds to a minute.
+# Log lines on the status of a request's targets and nodes are included if they
+# were written within this time before the end of the request: ejections last
+# for seconds to a minute.
 STATUS_LOOKBACK = datetime.timedelta(minutes=1)
 # How long before and after a request other requests to its targets are
 # included.
@@ -122,7 +123,7 @@
 
     Args:
       text: the lines. Log collectors may put words before a line's JSON
-        object; the last of these is then taken for the name of the node.
+        object; the last of these words is then taken as the node's name.
       node: the node of all other lines.
 
     Yields:
@@ -143,9 +144,11 @@
 def build_trace(
     lines: collections.abc.Iterable[LogLine], request_id: str
 ) -> RequestTrace | None:
-    """Builds the trace of a request; returns None if no line mentions it.
+    """Builds the trace of a request; returns None if it was not logged.
 
-    A request that succeeded at its first attempt is not logged.
+    Only a complete line with the message "request" counts; other lines that
+    mention the request do not suffice. A request that succeeded at its first
+    attempt is not logged.
     """
     all_lines = list(lines)
     requests = [
--- a/endivewind/platform/client.py
+++ b/endivewind/platform/client.py
@@ -42,7 +42,7 @@
 _KEEPALIVE_INTERVAL = datetime.timedelta(seconds=1)
 _MAX_LOST_KEEPALIVES = 2
 _SECOND = datetime.timedelta(seconds=1)
-# Sorts after every valid object name.
+# Not an object's name: it sorts after every valid one.
 _LAST_NAME = "~"
 
 DecodedT = TypeVar("DecodedT")
@@ -80,7 +80,7 @@
     """Labels under which calls are counted.
 
     Attributes:
-      word: get, list, watch, put, post or delete.
+      word: the operation: get, list, watch, put, post or delete.
       kind: the kind of objects that the call reads or writes.
     """
 
@@ -173,7 +173,8 @@
         revision is that of the whole store; the kind only selects a listing.
         The call requests the page after the last possible name, which is
         empty, so no objects are transferred. A pending watch would prove
-        nothing: one that is cut off from changes looks like one without them.
+        nothing: as long as it reports no change, there may be none, or it may
+        no longer receive changes.
         """
         result = await self._call(
             "GET",
--- a/endivewind/platform/configuration.py
+++ b/endivewind/platform/configuration.py
@@ -1,6 +1,7 @@
 """Converts the operators' configuration into an object of kind `document`.
 
-That is the project's own format of a configuration in one object.
+A `document` is a complete configuration in one object, in the project's own
+format.
 
 The configuration reader calls decode() for each object that it reads from
 the platform's store.
@@ -22,7 +23,8 @@
 
 _VERSION_BASE = 16
 # Route types whose requests are idempotent; a download is a read with a large
-# response.
+# response. Type "safe" permits repeating requests of any HTTP method, so it is
+# not RepeatPolicy.SAFE_METHODS.
 _REPEAT_POLICIES = {
     "safe": objects.RepeatPolicy.ALWAYS,
     "download": objects.RepeatPolicy.ALWAYS,
--- a/endivewind/platform/heartbeats.py
+++ b/endivewind/platform/heartbeats.py
@@ -87,8 +87,8 @@
           clock: the clock of the VM on which the targets run, too. They use it
             for their incarnations, so a deregistration applies to incarnations
             up to the present time.
-          wait_for_peers: waits until this node has received what its peers
-            know of the targets whose home it is.
+          wait_for_peers: waits until this node has received its peers' state
+            of its own targets, those whose home node it is.
         """
         self._clock = clock
         self._wait_for_peers = wait_for_peers
@@ -145,7 +145,8 @@
                 "incarnation": heartbeat.born,
                 "sequence": heartbeat.status.sequence,
                 "slots": heartbeat.info.slots,
-                # The announcement's own validation reports an unknown state.
+                # An unknown state is passed on unchanged, so that validation of
+                # the announcement fails and reports it.
                 "state": state or heartbeat.status.state,
                 "cold_ms": cold_ms,
                 "lease_ms": lease_ms,
--- a/endivewind/platform/messages.py
+++ b/endivewind/platform/messages.py
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformError:
-    """A call that failed.
+    """A failed call; returned as a value, not raised.
 
     Attributes:
       failure: the kind of failure.
--- a/endivewind/platform/wire.py
+++ b/endivewind/platform/wire.py
@@ -18,7 +18,8 @@
 
     Attributes:
       metadata: the name, and the store's revision at the last change.
-      spec: the value; of any type in objects of other writers.
+      spec: the value; may be of any type, since not only this project writes
+        objects.
     """
 
     metadata: _Metadata
--- a/endivewind/tls.py
+++ b/endivewind/tls.py
@@ -9,7 +9,7 @@
 def make_server_context(tls: settings.Tls | None) -> ssl.SSLContext | None:
     """Makes a listener's context; returns None if TLS is not configured.
 
-    If an authority is set, clients must present a certificate of it.
+    If an authority is set, clients must present a certificate signed by it.
     """
     if tls is None:
         return None
