--- a/endivewind/callers/gateway.py
+++ b/endivewind/callers/gateway.py
@@ -51,9 +51,9 @@
 
 # Attempts of one request, each at a home. Most refusals come from the home,
 # before the target receives anything, and cost a hop. A full target is tried
-# again after a cooldown of a quarter of the usual latency, so even with a
-# single target 16 attempts last for about four latencies: a request with a long
-# deadline is not refused just because all targets are full for a moment.
+# again after a cooldown of a quarter of the usual latency, so 16 attempts last
+# for several latencies: a request whose deadline is many latencies away is not
+# refused within the first of them.
 MAX_ATTEMPTS = 16
 # Delay of a hedged request, as a share of the latency objective. About 95 % of
 # requests have a response by then, and the second target still has time for
--- a/endivewind/callers/ticket_store.py
+++ b/endivewind/callers/ticket_store.py
@@ -27,8 +27,8 @@
 RECORD_BYTES = 1_024
 HEADER_OVERHEAD_BYTES = 128
 # A node has 64 MB of memory, of which libraries take about 49 MB. 6 MiB hold
-# 6,144 records: those of 51 tickets per second during the retention, which
-# corresponds to a total load of 184 requests per second.
+# 6,144 records: those of 51 first sends per second, among a total of 184
+# requests per second, during the retention.
 MAX_STORE_BYTES = 6 * 1024 * 1024
 FULL_RETRY_AFTER = datetime.timedelta(seconds=5)
 
--- a/endivewind/decisions/baseline.py
+++ b/endivewind/decisions/baseline.py
@@ -35,9 +35,8 @@
 # The expected share is multiplied by this, because a share that is measured
 # over few requests has an error.
 EXPECTED_SHARE_FACTOR = 1.25
-# Above one half, because half of the healthy targets lie above the median by
-# chance; low enough that the loss of one availability zone out of three does
-# not change the typical peer.
+# Above one half, so that noise does not decide. Low enough that the typical peer
+# is still a healthy one if one availability zone out of three fails.
 TYPICAL_PEER_QUANTILE = 0.6
 # Weight of a request in the moving averages of the service's signal shares.
 HISTORY_WEIGHT = 1 / 4096
@@ -48,7 +47,8 @@
 # fault is common to the service.
 SHARED_FAULT_EVIDENCE = 0.1
 # A signal is unusual if less than this share of the service's requests is
-# expected to show it. An unusual signal fails a request in trial.
+# expected to show it. It then tells something even if it occurs once, and so
+# fails a request in trial.
 MAX_UNUSUAL_SHARE = 0.1
 
 _SIGNAL_COUNT = len(sequential_test.OutlierSignal)
--- a/endivewind/decisions/outlier_detection.py
+++ b/endivewind/decisions/outlier_detection.py
@@ -28,7 +28,8 @@
 # Evidence against a target is dismissed if it has another cause, such as a
 # fault of the whole service. The baseline takes a target for unhealthy until
 # this long after the dismissal. Otherwise the last of many targets with a
-# common fault would look like an outlier.
+# common fault would look like an outlier, because the evidence against the
+# others has been discarded.
 _DISMISSAL_DURATION = datetime.timedelta(seconds=3)
 # Failures at a target are attributed to one workspace if the p-value of a
 # binomial test is below the first limit, and if the other workspaces' requests
@@ -403,8 +404,8 @@
     ) -> list[StatusChange]:
         """Checks for overdue requests and for ejections that have ended.
 
-        A target that hangs finishes no requests, so without this check no
-        evidence would be recorded against it although all its slots are taken.
+        A target that hangs finishes no requests, so without this check it would
+        look idle although all its slots are taken.
         A pending request is counted once for each latency limit that it
         exceeds.
 
--- a/endivewind/decisions/peer_updates.py
+++ b/endivewind/decisions/peer_updates.py
@@ -20,8 +20,8 @@
 # a target is unhealthy for hours.
 MIN_UPDATE_INTERVAL = datetime.timedelta(milliseconds=250)
 # Maximum number of nodes that an update is sent to. In larger zones it goes to
-# a random selection; the other entry nodes learn the target's status from the
-# responses to their own requests.
+# a random selection; the other entry nodes see enough responses to their own
+# requests to do without it.
 MAX_PEERS = 24
 
 
@@ -127,10 +127,9 @@
     requests per second. Risk: an entry node learns of a target's health only
     from its own requests, so a target that becomes unhealthy fails a request
     of every entry node in turn, and each non-idempotent one is lost. The home
-    node sees all requests to the target. As soon as one fails, it sends an
-    update to the entry nodes of its zone, from which nearly all requests come,
-    so that they avoid the target. While all targets are healthy, no updates are
-    sent.
+    node sees all requests to the target. One update to the entry nodes of its
+    zone, from which nearly all requests come, saves the requests of the others.
+    While all targets are healthy, no updates are sent.
     """
 
     def __init__(self) -> None:
--- a/endivewind/decisions/poison_requests.py
+++ b/endivewind/decisions/poison_requests.py
@@ -34,8 +34,8 @@
     Scenario: a request that crashes each target that runs it, from a caller
     that resends it. Risk: with retries it crashes a service's targets one after
     another, and outlier detection takes each of them for unhealthy. A harmless
-    request that is sent often may be running at several targets when they
-    crash, too; a response to it from any target clears it.
+    request that is sent often is running at many targets when one of them
+    crashes; a response to it from another target clears it immediately.
     """
 
     def __init__(self) -> None:
--- a/endivewind/decisions/response_times.py
+++ b/endivewind/decisions/response_times.py
@@ -55,8 +55,8 @@
 
         Scenario: targets that accept requests and respond to none of them for
         some seconds. Risk: no request completes, so without this there is no
-        evidence against such a target until its first request is overdue, and
-        it may be sent another six requests by then. So a pending request counts
+        evidence against such a target until its first request is overdue; one
+        such target was sent six requests by then. So a pending request counts
         as evidence from the age at which most responses of its kind have
         arrived.
 
--- a/endivewind/decisions/retry_budget.py
+++ b/endivewind/decisions/retry_budget.py
@@ -24,7 +24,7 @@
 # Share of its own limit that a node keeps for itself. The rest is shared.
 KEPT_SHARE = 0.2
 # Time until the other nodes know what a node has used: the interval between
-# two messages with its counts, plus the time that a message takes to arrive.
+# two messages with its counts, with one of the messages arriving late.
 PROPAGATION_DELAY = datetime.timedelta(milliseconds=500)
 
 
@@ -81,11 +81,11 @@
     what is left, so that nodes that act at the same time do not spend the same
     retries twice. The sum of the limits remains the bound.
 
-    A target that runs a retried request may call other services. As the first
-    attempt may have made the same calls, they count as retries in the budgets
-    of the called services (`callers/gateway.py` estimates how many do). They
-    are not refused when such a budget is spent, only charged to it (`charge`),
-    so that later retries have to wait.
+    A target that runs a retried request may call other services. These calls
+    count as retries in the budgets of the called services
+    (`callers/gateway.py` charges each call with the probability that it is made
+    for a retried request). They can't be refused for that, so they are charged
+    even if the budget is spent (`charge`), and later retries have to wait.
     """
 
     def __init__(self, limits: RetryLimits) -> None:
--- a/endivewind/nodes/repair.py
+++ b/endivewind/nodes/repair.py
@@ -20,8 +20,9 @@
 MAX_DATAGRAM_BYTES = 1200
 _OVERHEAD = 160
 MAX_PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - _OVERHEAD
-# Minimum time between two comparisons that a node starts. REPAIR_PERIOD applies
-# if its records have not changed for that long, BUSY_REPAIR_PERIOD otherwise:
+# A node compares its records with one other node at a time. These are the
+# minimum times between two comparisons that it starts. REPAIR_PERIOD applies if
+# its records have not changed for that long, BUSY_REPAIR_PERIOD otherwise:
 # digests then differ because others have not received the latest change yet.
 # Without the longer period each change would make every node compare its
 # buckets.
