--- a/endivewind/decisions/peer_updates.py
+++ b/endivewind/decisions/peer_updates.py
@@ -128,8 +128,8 @@
     from its own requests, so a target that becomes unhealthy fails a request
     of every entry node in turn, and each non-idempotent one is lost. The home
     node sees all requests to the target. One update to the entry nodes of its
-    zone, from which nearly all requests come, saves the requests of the others.
-    While all targets are healthy, no updates are sent.
+    zone, from which nearly all requests come, saves the requests that the
+    others would lose. While all targets are healthy, no updates are sent.
     """
 
     def __init__(self) -> None:
