--- a/endivewind/decisions/suspicion.py
+++ b/endivewind/decisions/suspicion.py
@@ -12,8 +12,8 @@
 import math
 
 # Mean times until a healthy target becomes unhealthy, and until it recovers.
-# They model recorded traffic, in which each target fails for some seconds more
-# often than once a minute, and determine how fast evidence becomes outdated.
+# They model recorded traffic, in which each target fails for some seconds every
+# half minute or so, and determine how fast evidence becomes outdated.
 MEAN_HEALTHY_TIME = datetime.timedelta(seconds=40)
 MEAN_UNHEALTHY_TIME = datetime.timedelta(seconds=5)
 # Limits of the estimated probability. However many requests have failed, a few
