--- a/endivewind/callers/authorization.py
+++ b/endivewind/callers/authorization.py
@@ -12,8 +12,9 @@
 from endivewind.callers import workspaces
 from endivewind.config import objects
 
-# While the platform is reachable, the configuration is confirmed to be the
-# newest several times a second.
+# While the platform is reachable, a node confirms several times a second that
+# its configuration is the newest, so a retry after a second usually finds it
+# confirmed.
 STALE_RETRY_AFTER = datetime.timedelta(seconds=1)
 
 
@@ -63,7 +64,8 @@
         return call.refuse(exchange.Reason.UNAUTHENTICATED, detail)
     if status.is_fresh():
         return None
-    # The key may have been revoked since. Another node may have the newest
-    # configuration, or this one shortly.
+    # The key may have been revoked since the configuration was last confirmed.
+    # The caller may retry: another node may have the newest configuration, or
+    # this node may have it shortly.
     detail = "the configuration may be out of date"
     return call.refuse(exchange.Reason.NOT_READY, detail, STALE_RETRY_AFTER)
--- a/endivewind/callers/budgets.py
+++ b/endivewind/callers/budgets.py
@@ -20,9 +20,10 @@
 # How often neighbours are counted while the number of known nodes is the same.
 # Counting iterates over all nodes.
 NEIGHBOUR_COUNT_INTERVAL = datetime.timedelta(seconds=1)
-# Share of its reserve that a node has immediately after it starts; the rest is
-# added over one window. How many retries the node made before a restart is
-# unknown. If all nodes restart, the retries before and after the restart
+# Share of its reserve (see `RetryLimits`) that a node has immediately after it
+# starts; the rest is added over one window. How many retries the node made
+# before a restart is unknown, so a full reserve could be spent twice in one
+# window. With this share the retries before and after a restart of all nodes
 # together stay within the fleet's bound.
 INITIAL_RESERVE_SHARE = 0.5
 # New requests after which a node sends its counts even if it has made no
--- a/endivewind/callers/caller_requests.py
+++ b/endivewind/callers/caller_requests.py
@@ -123,7 +123,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeaderFilter:
-    """Selects the headers of a request that are forwarded to a target.
+    """Selects the headers to forward to a target, and adds those of the node.
 
     Attributes:
       dropped_names: The headers that are not forwarded, as bytes in lower
--- a/endivewind/callers/client.py
+++ b/endivewind/callers/client.py
@@ -87,7 +87,7 @@
         timeout: datetime.timedelta = datetime.timedelta(seconds=30),
         fields: collections.abc.Mapping[str, str] | None = None,
     ) -> Reply:
-        """Runs a request at most once.
+        """Sends a request, repeatedly if necessary; it runs at most once.
 
         Args:
           method: the HTTP method.
--- a/endivewind/callers/entry_routes.py
+++ b/endivewind/callers/entry_routes.py
@@ -21,7 +21,7 @@
 
 
 class LocalTarget(Protocol):
-    """The target on this node's VM, whose calls to services enter here."""
+    """Activity of the target on this node's VM, whose calls enter here."""
 
     @property
     def has_active_work(self) -> bool:
@@ -44,9 +44,11 @@
 
     An idle target makes no calls. So a request that arrives while the target is
     idle is a caller's, and so are later requests with the same service and
-    route prefix. All other requests are taken for calls by the target, made for
-    any of its running requests with equal probability. A target that is rarely
-    idle reveals few routes, so the nodes of a zone exchange them.
+    route prefix. All other requests are assumed to be calls by the target, and
+    each is equally likely to belong to any of the requests that it runs. So the
+    share of these that may be retries is the probability that a call is made
+    for a retry. A target that is rarely idle reveals few routes, so the nodes
+    of a zone exchange them.
     """
 
     def __init__(
--- a/endivewind/callers/gateway.py
+++ b/endivewind/callers/gateway.py
@@ -49,11 +49,12 @@
     [records.TargetRecord, str, ResponseResult, datetime.timedelta], None
 ]
 
-# Attempts of one request, each at a home. Most refusals come from the home,
-# before the target receives anything, and cost a hop. A full target is tried
-# again after a cooldown of a quarter of the usual latency, so even with a
-# single target 16 attempts last for about four latencies: a request with a long
-# deadline is not refused just because all targets are full for a moment.
+# Maximum number of attempts of one request. Each is sent to the home node of a
+# target. Most refusals come from the home, before the target receives anything,
+# and cost a hop. A full target is tried again after a cooldown of a quarter of
+# the usual latency, so even with a single target 16 attempts last for about
+# four latencies: a request with a long deadline is not refused just because all
+# targets are full for a moment.
 MAX_ATTEMPTS = 16
 # Delay of a hedged request, as a share of the latency objective. About 95 % of
 # requests have a response by then, and the second target still has time for
@@ -242,9 +243,9 @@
     def _with_retry_after(self, result: ResponseResult) -> ResponseResult:
         """Adds a Retry-After to a refusal of a request that was not executed.
 
-        Homes and targets refuse without one, since the entry node may try
-        others.
-        Without it callers would retry immediately or not at all.
+        Most refusals by homes and targets have no Retry-After, since the entry
+        node may try other targets. If the caller got none, it would retry
+        immediately or not at all.
         """
         if result.is_ok() or not result.error.was_not_run:
             return result
@@ -323,8 +324,9 @@
     def _take_retry(self, service: str) -> bool:
         """Takes one retry from the budget; returns False if none is left.
 
-        While requests wait here for slots, a retry would displace one of them,
-        so this entry node then borrows no unused retries of other entry nodes.
+        While requests for the service wait here for slots, a retry would
+        displace one of them. During that time this entry node uses only its own
+        retries and borrows none that other entry nodes have not used.
         """
         return self._budgets.for_service(service).take(
             self._clock.monotonic(),
@@ -349,7 +351,7 @@
     async def _place_again(
         self, request: routed_request.RoutedRequest, last: ResponseResult
     ) -> ResponseResult:
-        """Places a request again that did not reach a target."""
+        """Sends a request again that did not reach a target."""
         if last.error.reason is exchange.Reason.BUSY and request.last_target:
             # A busy target is eligible again: after its cooldown it may be the
             # only one available.
@@ -432,7 +434,10 @@
         first = asyncio.create_task(self._attempt(request, record))
         tasks = {first}
         started = self._clock.monotonic()
-        # A route's time limit may be shorter than its latency objective.
+        # If little time remains, as with a route whose time limit is shorter
+        # than its latency objective, a share of the remaining time replaces the
+        # objective. Even a late hedged request then has time left for a
+        # response.
         objective = min(
             request.head.latency_objective,
             HEDGE_DELAY_SHARE * (request.deadline - started),
--- a/endivewind/callers/listener.py
+++ b/endivewind/callers/listener.py
@@ -1,8 +1,8 @@
 """The HTTP listener for callers.
 
-Converts HTTP requests from the connections to exchanges, validates and routes
-them, and passes them to the gateway, or to the ticket handler if they need a
-ticket. Sends the response or refusal back to the caller.
+Validates and routes HTTP requests from the connections. Passes their heads and
+bodies to the gateway, or to the ticket handler if they need a ticket. Sends the
+response or refusal back to the caller.
 """
 
 import asyncio
@@ -155,8 +155,9 @@
         """Starts a request before its turn if it is idempotent.
 
         Requests that would be refused wait for their turn. While the node is
-        stopping all requests do: the connection is closed before their turn,
-        and the caller sends them to another node.
+        stopping, no request is started early: the connection is closed before
+        the waiting requests have their turn, and the caller sends them to
+        another node.
 
         Returns:
           The request, or None if it must wait for its turn.
--- a/endivewind/callers/placement.py
+++ b/endivewind/callers/placement.py
@@ -75,9 +75,10 @@
 # Requests take a few hundred milliseconds.
 _STATUS_LIFETIME = datetime.timedelta(milliseconds=300)
 _NEVER_REPORTED_SECONDS = 86_400.0
-# Older latencies are ignored. For targets that respond within milliseconds the
-# limit is a multiple of the latency instead, so that a target avoided for one
-# slow response is tried again after a few times that response's duration.
+# A target's average latency is ignored if its last update is longer ago than
+# this, or than _MAX_AGE_IN_LATENCIES times the latency itself if that is less.
+# So a target that responds within milliseconds and is avoided for one slow
+# response is soon tried again: after a few times that response's duration.
 _MAX_LATENCY_AGE = datetime.timedelta(seconds=2)
 _MAX_AGE_IN_LATENCIES = 8
 
@@ -520,8 +521,8 @@
         Skipped if they are a large share of the pool, as after the start of
         this node or a restart of most of the service: then all their slots are
         needed immediately. Targets that the capacity floor readmits are not
-        among the pool's normal targets, so they have no slow start, which
-        would take the capacity below the floor.
+        among the pool's normal targets and are skipped, too: a slow start would
+        take the capacity below the floor.
         """
         now = self._clock.monotonic()
         new_targets = pool.normal_target_ids() - before.target_ids()
--- a/endivewind/callers/problems.py
+++ b/endivewind/callers/problems.py
@@ -46,7 +46,7 @@
 
 # Statuses after which HTTP clients assume that the request was not executed.
 _NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-# Statuses that leave open whether it was.
+# Statuses that do not tell HTTP clients whether the request was executed.
 _UNKNOWN_OUTCOME_STATUSES = frozenset({502, 504})
 
 
--- a/endivewind/callers/request_queues.py
+++ b/endivewind/callers/request_queues.py
@@ -146,8 +146,8 @@
     def _release_slot(self, request: SlotRequest) -> None:
         """Frees the slot of a request that was cancelled or timed out.
 
-        The slot may have been reserved at the same moment. Otherwise this entry
-        node would count it as in use for ever.
+        A slot may have been reserved for it at the same moment. If that slot
+        were not freed, this entry node would count it as in use for ever.
         """
         if request.future is None or not request.future.done():
             return
@@ -220,6 +220,7 @@
     def _choose_target(
         self, request: SlotRequest
     ) -> records.TargetRecord | None:
+        """Chooses a target and reserves a slot there; None if none is free."""
         record = self._placement.choose(request.service, request.constraints)
         if record is not None:
             self._placement.record_start(record, request.body_bytes)
--- a/endivewind/callers/routed_request.py
+++ b/endivewind/callers/routed_request.py
@@ -34,9 +34,9 @@
 )
 # Share of its latency objective that a request may wait for a near target
 # before it goes to a more distant one. A usual request runs for a quarter of
-# its objective, so its response is still in time. With a share of less than a
-# third, one non-idempotent request in twelve went to another region while the
-# near targets were briefly busy; with a half it is one in forty, and no
+# its objective, so its response is still in time. When this share was less than
+# a third, one non-idempotent request in twelve went to another region while the
+# near targets were briefly busy. With a half it was one in forty, and no
 # response was late.
 MAX_WAIT_SHARE = 0.5
 # Retry-After of requests that a stopping node has not executed. The smallest
--- a/endivewind/callers/ticketing.py
+++ b/endivewind/callers/ticketing.py
@@ -143,11 +143,11 @@
         priority: objects.Priority,
         incarnation: int,
     ) -> ResponseResult:
-        """Starts the request of this node's ticket, or returns its result.
+        """Returns the result of a request whose ticket this node issued.
 
-        Later copies of the request wait for the running one or get the recorded
-        result. The request runs in a task of its own, so that a
-        caller that disconnects does not cancel it and can resend to get the
+        The first copy of the request is executed. Later copies wait for it or
+        get the recorded result. The request runs in a task of its own, so that
+        a caller that disconnects does not cancel it and can resend to get the
         response.
 
         Args:
--- a/endivewind/callers/workspaces.py
+++ b/endivewind/callers/workspaces.py
@@ -17,7 +17,7 @@
 class Workspaces:
     """Finds workspaces by name or by API key.
 
-    Combines those of all configuration objects, each an `objects.Workspaces`.
+    Combines those of all `objects.WorkspaceGroup` objects in the configuration.
     """
 
     def __init__(self, configuration: store.ConfigurationStore) -> None:
--- a/endivewind/nodes/digests.py
+++ b/endivewind/nodes/digests.py
@@ -47,7 +47,7 @@
 
     @property
     def summary(self) -> int:
-        """Digest of all versions."""
+        """XOR of the hashes of all versions; equal for equal versions."""
         return self._summary
 
     @property
--- a/endivewind/nodes/discovery.py
+++ b/endivewind/nodes/discovery.py
@@ -26,8 +26,9 @@
 # listing doubles while nodes may still be missing.
 FIRST_LISTING_DELAY = datetime.timedelta(milliseconds=500)
 # Interval of listings once no node is missing. Membership forgets dead members
-# after some hours; these listings find the nodes again that can be reached
-# after a longer time. With 760 nodes this amounts to 1.3 reads per second.
+# after some hours (DEAD_RETENTION); these listings find nodes again that were
+# unreachable for longer than that. With 760 nodes this amounts to 1.3 reads per
+# second.
 LISTING_PERIOD = datetime.timedelta(minutes=10)
 # A registered node that membership has not known for this long is not going to
 # come back.
@@ -53,14 +54,14 @@
         rng: random.Random,
         on_registered: collections.abc.Callable[[], None],
     ) -> None:
-        """Initializes discovery with a listing from before this incarnation.
+        """Initializes discovery with the listing made when the node started.
 
         Args:
           directory: the directory in which nodes register.
           members: receives the addresses that are found.
           seeds: configured addresses to contact as well.
-          initial_listing: listing of this node's zone from before this
-            incarnation, if known.
+          initial_listing: listing of this node's zone that the node made at its
+            start to determine its incarnation; None if that failed.
           clock: source of monotonic time.
           rng: spreads the calls of a fleet over time.
           on_registered: called when this incarnation has been registered.
--- a/endivewind/nodes/gossip.py
+++ b/endivewind/nodes/gossip.py
@@ -1,6 +1,6 @@
 """Disseminates member records and target changes by epidemic gossip.
 
-Pure: no I/O; the node service sends what these methods return. Changes are
+Pure: no I/O; GossipService sends what these methods return. Changes are
 pushed to a few random nodes in small datagrams. A node detects what it has
 missed by a digest in every datagram and fetches it over a link (anti-entropy).
 """
@@ -66,9 +66,10 @@
 
     @property
     def has_joined(self) -> bool:
-        """Whether this node need not wait for a peer's full state any longer.
+        """Whether this node has stopped waiting for a peer's full state.
 
-        Its state has arrived, there is no peer, or JOIN_TIMEOUT is over.
+        That is so if the state has arrived, if there is no peer, or once
+        JOIN_TIMEOUT has passed.
         """
         if self._has_joined or not self._members.has_contacts():
             return True
--- a/endivewind/nodes/graceful_shutdown.py
+++ b/endivewind/nodes/graceful_shutdown.py
@@ -21,12 +21,14 @@
 FINAL_RESPONSES_TIMEOUT = datetime.timedelta(milliseconds=100)
 
 
-# Time at which this home announces its drain to the other nodes, as a share of
-# the stop limit. From then on they send it no more requests, so a target that
-# can't move to another home is idle until this node has restarted and the
-# target has announced itself again. With the drain announced at once, a rolling
-# stop of half the nodes took a quarter of all targets out of use. Requests that
-# arrive just before still have most of the limit to complete.
+# Latest time at which this home announces its drain to the other nodes, as a
+# share of the stop limit, which is the timeout of `GracefulShutdown.run`. It is
+# announced earlier if the notice period is shorter. From then on they send it
+# no more requests, so a target that can't move to another home is idle until
+# this node has restarted and the target has announced itself again. With the
+# drain announced at once, a rolling stop of half the nodes took a quarter of
+# all targets out of use. Requests that arrive just before still have most of
+# the limit to complete.
 DRAIN_NOTICE_SHARE = 0.3
 
 
@@ -44,7 +46,10 @@
         """Waits until nothing is being served."""
 
     def abort_all(self) -> None:
-        """Aborts running requests, each with a response on its outcome."""
+        """Aborts running requests.
+
+        Each caller gets the outcome, as far as it is known.
+        """
 
 
 class PeerListener(Protocol):
@@ -75,8 +80,8 @@
     announced, so that peers send no more requests for this home's targets.
     After the notice period new requests are refused with a retry delay, and
     running ones complete. Stored responses stay available until the limit.
-    Requests that still run at the limit are aborted, each with a response on
-    its outcome.
+    Requests that still run at the limit are aborted, and their callers get the
+    outcome as far as it is known.
     """
 
     def __init__(
--- a/endivewind/nodes/membership.py
+++ b/endivewind/nodes/membership.py
@@ -51,9 +51,10 @@
 DEAD_RETENTION = datetime.timedelta(hours=4)
 # tick() is called every 100 ms; a longer gap means that the process was paused.
 MAX_TICK_GAP = datetime.timedelta(seconds=1)
-# A node takes itself for isolated if its latest probes of three different nodes
-# all failed, or nine of its last twelve probes, of three nodes or more. A fleet
-# of three has too few other nodes, so its nodes never do so.
+# A node takes itself for isolated in two cases: its latest probes all failed
+# and were of three or more nodes, or at least nine of its last twelve probes
+# failed, and the failed ones were of three or more nodes. In a fleet of three
+# nodes each has only two others, so none ever takes itself for isolated.
 ISOLATION_WINDOW_PROBES = 12
 MIN_ISOLATION_FAILURES = 9
 MIN_ISOLATION_MEMBERS = 3
--- a/endivewind/nodes/proofs.py
+++ b/endivewind/nodes/proofs.py
@@ -23,8 +23,8 @@
 log = logging.getLogger(__name__)
 
 _MILLISECOND = datetime.timedelta(milliseconds=1)
-# Interval of checking whether a proof is needed. The settings may not limit the
-# age of proofs, but a reload may introduce a limit.
+# Interval of checking whether a proof is needed while the settings set no limit
+# to the age of proofs. A reload may introduce a limit.
 _IDLE_INTERVAL = datetime.timedelta(seconds=1)
 
 # Reads the platform within a timeout; returns whether that gave a proof.
@@ -69,7 +69,10 @@
         self._clock = clock
         self._rng = rng
         self._started = clock.time_since_boot()
+        # When this node last began to read the platform as a standby.
         self._stand_in_started: datetime.timedelta | None = None
+        # Whether the parent is queried next. While the proof is stale, the
+        # parent and other nodes are queried in turn.
         self._is_parent_useful = True
 
     def response_frame(self) -> Any:
--- a/endivewind/nodes/quotas.py
+++ b/endivewind/nodes/quotas.py
@@ -2,8 +2,8 @@
 
 Rendezvous hashing selects one node in each zone as the owner of a workspace's
 bucket. Entry nodes request tokens from the owner of their zone, and owners
-borrow from those of other zones. `decisions/quotas.py` has the token bucket,
-`callers/` the entry node's side.
+borrow from those of other zones. `decisions/quotas.py` has the token bucket.
+`callers/quota_client.py` requests tokens here for the entry node.
 """
 
 import asyncio
@@ -69,7 +69,7 @@
     def last_owner_departure(
         self, workspace: str, me: view.NodeRecord
     ) -> datetime.timedelta | None:
-        """Returns when a node with a higher rank than this one last departed.
+        """Returns when a node that ranked before this one last departed.
 
         If this node is the owner now, it has been so since then.
 
--- a/endivewind/nodes/repair.py
+++ b/endivewind/nodes/repair.py
@@ -20,11 +20,11 @@
 MAX_DATAGRAM_BYTES = 1200
 _OVERHEAD = 160
 MAX_PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - _OVERHEAD
-# Minimum time between two comparisons that a node starts. REPAIR_PERIOD applies
-# if its records have not changed for that long, BUSY_REPAIR_PERIOD otherwise:
+# Minimum time between two comparisons that a node starts. BUSY_REPAIR_PERIOD
+# applies if its records have changed within the last REPAIR_PERIOD, since
 # digests then differ because others have not received the latest change yet.
-# Without the longer period each change would make every node compare its
-# buckets.
+# Otherwise REPAIR_PERIOD applies. Without the longer period each change would
+# make every node compare its buckets.
 REPAIR_PERIOD = datetime.timedelta(seconds=2)
 BUSY_REPAIR_PERIOD = datetime.timedelta(seconds=10)
 MAX_VERSION_DATAGRAMS = 4
@@ -55,6 +55,7 @@
         self._rng = rng
         self._digests = digests.BucketDigests()
         self._changed_at = clock.monotonic()
+        # When this node last started a comparison.
         self._last_repair = clock.monotonic() - REPAIR_PERIOD
         self._last_full_pull = clock.monotonic() - MIN_FULL_PULL_INTERVAL
 
--- a/endivewind/nodes/traffic.py
+++ b/endivewind/nodes/traffic.py
@@ -12,10 +12,11 @@
     """Purpose of the bytes.
 
     REQUESTS and RESPONSES are those of callers. STATE is pulled by nodes that
-    join or have missed changes. CHANGES are gossiped changes of members and
-    targets. PEER_UPDATES are sent to nodes of the same zone or region. PROBES
-    detect failed nodes and carry the digests for anti-entropy. QUERIES ask
-    other nodes for proofs of freshness and for shares of a quota.
+    join or have missed changes. CONFIGURATION is exchanged by peers. CHANGES
+    are gossiped changes of members and targets. PEER_UPDATES are sent to nodes
+    of the same zone or region. PROBES detect failed nodes and carry the digests
+    for anti-entropy. QUERIES ask other nodes for proofs of freshness and for
+    shares of a quota.
     """
 
     REQUESTS = "requests"
@@ -31,8 +32,8 @@
 class Distance(enum.StrEnum):
     """How far bytes go.
 
-    ZONE: within the sender's zone, free of charge. REGION: to another zone of
-    the sender's region, billed. OTHER_REGION: to another region, billed.
+    ZONE: within the sender's zone, free of charge. OTHER_ZONE: to another zone
+    of the sender's region, billed. OTHER_REGION: to another region, billed.
     UNKNOWN: to a host that is not known as a node.
     """
 
--- a/endivewind/targets/attempt_log.py
+++ b/endivewind/targets/attempt_log.py
@@ -1,9 +1,10 @@
 """A home node's log of attempts, which ensures at-most-once execution.
 
 Deduplicates the attempts under a ticket. An attempt is recorded before any byte
-is sent to the target. One that was refused as not run is sealed: it is marked
-as not run, and late duplicates of it are refused, too. Called by the
-dispatcher. Pure: no I/O, and the caller passes the time.
+is sent to the target. If it ends without any byte having been sent, it is
+marked as not run: late duplicates of it are refused, and a further attempt is
+accepted. A refusal because of an earlier attempt has the reason SEALED. Called
+by the dispatcher. Pure: no I/O, and the caller passes the time.
 """
 
 import dataclasses
@@ -18,8 +19,9 @@
 MAX_BYTES_PER_ATTEMPT = 512
 # At most 2 MiB; enough for 68 attempts per second during the retention time.
 MAX_ATTEMPTS = 4_096
-# Further records for tickets that are refused because the log is full: such a
-# refusal is recorded as well, so that a late duplicate is also refused.
+# Records beyond MAX_ATTEMPTS, only for tickets that are refused because that
+# number is reached: such a refusal is recorded as well, so that a late
+# duplicate is also refused.
 RESERVED_FOR_REFUSALS = 1_024
 FULL_RETRY_AFTER = datetime.timedelta(seconds=1)
 
--- a/endivewind/targets/dispatch.py
+++ b/endivewind/targets/dispatch.py
@@ -262,9 +262,10 @@
         return result
 
     def check_overdue(self) -> None:
-        """Reports overdue requests without a latency objective as suspicious.
+        """Raises the suspicion of targets whose responses are overdue.
 
-        Must be called several times a second. Each request is reported once.
+        Only requests without a latency objective are checked, and each counts
+        once. Must be called several times a second.
 
         An unresponsive target completes no request: without this check there
         would be no evidence against it until the first deadline has passed.
@@ -363,9 +364,10 @@
 
         Scenario: a target responds twice to a request, the second time after
         the connection was returned to the pool. Risk: the next caller gets the
-        response to another caller's request. If the name of a marker header is
-        configured, targets return the request id; then a response with a
-        different id, or a successful one without an id, is rejected.
+        response to another caller's request. The check is made only if the name
+        of a marker header is configured, since targets then return the request
+        id; the marker itself is not read. A response with a different id, or a
+        successful one without an id, is rejected.
 
         Raises:
           ResponseLostError: if the response is rejected.
--- a/endivewind/targets/outlier_monitor.py
+++ b/endivewind/targets/outlier_monitor.py
@@ -28,7 +28,8 @@
 # detected. A tenth of the detection time that users require.
 CHECK_INTERVAL = datetime.timedelta(milliseconds=100)
 
-# Returns a service's profile: fast detection, or ejections that keep capacity.
+# Returns a service's profile: whether targets are ejected fast, or only on
+# stronger evidence so that false alarms cost little capacity.
 ProfileLookup = collections.abc.Callable[[str], objects.Profile]
 
 _SETTINGS = {
@@ -87,7 +88,7 @@
     def ejection_causes(self) -> collections.abc.Mapping[str, str]:
         """Cause of each target's current ejection or trial, for operators.
 
-        In a trial a target gets few requests after its ejection.
+        A trial follows an ejection; during it the target gets few requests.
         """
         return self._ejection_causes
 
--- a/endivewind/targets/registration.py
+++ b/endivewind/targets/registration.py
@@ -8,6 +8,7 @@
 from endivewind.targets import registry
 
 DefaultSlotsLookup = collections.abc.Callable[[str], int]
+# Returns why an announcement is refused; empty if it is accepted.
 AnnouncementCheck = collections.abc.Callable[[registry.Announcement], str]
 
 
@@ -63,8 +64,9 @@
         Args:
           target: the target's id.
           incarnation: the target's incarnation; 0 if not given.
-          max_incarnation: upper bound of the incarnation, used if it is
-            neither given nor known at this node; 0 if there is none.
+          max_incarnation: upper bound of the incarnation; 0 if there is none.
+            If the target is not registered at this node, announcements up to
+            this incarnation are refused for DEPARTURE_RETENTION.
 
         Returns:
           False if the target is not registered.
--- a/endivewind/targets/registry.py
+++ b/endivewind/targets/registry.py
@@ -124,7 +124,12 @@
         )
 
     def snapshot(self, now: datetime.timedelta) -> peer_updates.TargetSnapshot:
-        """Returns the state from which updates to entry nodes are derived."""
+        """Returns the update for entry nodes, and what tells if it is due.
+
+        Once an update has been sent, the next can only be due if the signal
+        count has changed. The logarithm is added so that it also changes when
+        the likelihood ratio of the pending requests passes a power of two.
+        """
         return peer_updates.TargetSnapshot(
             peer_updates.TargetUpdate(self.record.id, self.report(now)),
             self.suspicion.signal_count
@@ -296,8 +301,10 @@
         Args:
           target: the target's id.
           incarnation: the target's incarnation; 0 if not given.
-          max_incarnation: the highest that the incarnation can be, used if it
-            is neither given nor known; 0 if incarnations are not numbered.
+          max_incarnation: the highest that the incarnation can be; 0 if
+            incarnations are not numbered. If the target is not registered here,
+            announcements up to this incarnation are refused for
+            DEPARTURE_RETENTION.
 
         Returns:
           False if the target is not registered.
--- a/endivewind/targets/slots.py
+++ b/endivewind/targets/slots.py
@@ -10,9 +10,10 @@
 from endivewind.decisions import admission
 
 # Maximum number of queued requests per slot. Only the home node sees the load
-# of all entry nodes; a short queue there keeps a slot from idling between a
-# refusal and the entry node's next attempt. A longer queue would delay requests
-# that another target could execute immediately.
+# of all entry nodes, so these may send more requests than there are slots. If
+# all the excess were refused, a slot that becomes free would idle until an
+# entry node's next attempt; a short queue at the home prevents that. A longer
+# queue would delay requests that another target could execute immediately.
 QUEUE_LENGTH_PER_SLOT = 2
 
 
--- a/endivewind/targets/target_request.py
+++ b/endivewind/targets/target_request.py
@@ -21,8 +21,8 @@
 
 # Responses to requests without a latency objective are overdue after this.
 DEFAULT_OVERDUE_TIME = datetime.timedelta(milliseconds=300)
-# A response whose latency is more than this many times likelier at an unhealthy
-# target is no evidence of health.
+# If the latency of a successful response is more than this many times likelier
+# at an unhealthy target than at a healthy one, the response counts as overdue.
 LATE_LIKELIHOOD_RATIO = 16.0
 _SIGNALS = {
     evidence.ResultKind.SUCCESS: suspicion.SuspicionSignal.SUCCESS,
@@ -33,8 +33,8 @@
     evidence.ResultKind.SHED: suspicion.SuspicionSignal.SHED,
     evidence.ResultKind.CANCELLED: None,
 }
-# Kinds of results that say nothing about the target's health beyond how long
-# there was no response.
+# Kinds of results of requests that got no response. If such a request has a
+# latency objective, only the time without a response counts as evidence.
 _WITHOUT_RESPONSE = (evidence.ResultKind.TIMEOUT, evidence.ResultKind.CANCELLED)
 
 
