--- a/endivewind/bench/experiment.py
+++ b/endivewind/bench/experiment.py
@@ -42,7 +42,7 @@
         the target still receives a request under normal load balancing after
         that, detection is the time of the last such request. None if the
         target was not ejected while unhealthy.
-      unhealthy_target_requests: number of requests that an unhealthy target received.
+      sick_requests: number of requests that an unhealthy target received.
       work_lost: number of requests that failed for their callers.
       false_ejections: number of ejections of healthy targets.
       true_ejections: number of ejections of unhealthy targets.
--- a/endivewind/standins/fault_matrix.py
+++ b/endivewind/standins/fault_matrix.py
@@ -22,8 +22,8 @@
     """Result of one run of the matrix.
 
     Attributes:
-      cases: number of cases run.
-      violations: cases that violated a guarantee, each with the violation.
+      cells: number of cases run.
+      red: cases that violated a guarantee, each with the violation.
       unreached: number of cases in which a fault was never triggered.
     """
 
